--- a/relay/src/backlog.rs
+++ b/relay/src/backlog.rs
@@ -23,7 +23,7 @@
 use crate::clock;
 use crate::config;
 use crate::figures::BacklogFigures;
-use crate::journal::Open;
+use crate::journal::OpenJob;
 
 /// Requests that may wait for the store's thread.
 const QUEUED_REQUESTS: usize = 4096;
@@ -84,24 +84,24 @@
         owner: &str,
         classes: &[BacklogClass],
         most_in_memory: Option<u32>,
-        journaled: &[Open],
+        journaled: &[OpenJob],
         figures: BacklogFigures,
     ) -> Result<(Backlog, Vec<Action>), StoreError> {
         let worker = open_worker(settings, owner).await?;
         tracing::info!(folder = %settings.folder.display(), "backlog folder opened");
-        Backlog::over(worker, settings, classes, most_in_memory, journaled, figures).await
+        Backlog::with_worker(worker, settings, classes, most_in_memory, journaled, figures).await
     }
 
     /// The same over a store that is open already.
     ///
     /// # Errors
     /// Those of the store.
-    pub async fn over(
+    pub async fn with_worker(
         worker: Worker,
         settings: &config::Backlog,
         classes: &[BacklogClass],
         most_in_memory: Option<u32>,
-        journaled: &[Open],
+        journaled: &[OpenJob],
         figures: BacklogFigures,
     ) -> Result<(Backlog, Vec<Action>), StoreError> {
         let mut numbers = HashMap::new();
@@ -183,7 +183,7 @@
     }
 
     /// A time as the planner has it.
-    pub fn at(&self, at: Instant) -> Duration {
+    pub fn planner_time(&self, at: Instant) -> Duration {
         at.saturating_duration_since(self.started)
     }
 
@@ -250,12 +250,12 @@
     }
 
     /// A request that was fetched has its place at the decision module.
-    pub fn entered(&self, destination: u64, message: MsgId) {
+    pub fn add_fetched(&self, destination: u64, message: MsgId) {
         self.fetched.borrow_mut().entry(destination).or_default().insert(message);
     }
 
     /// It has left that place.
-    pub fn left(&self, destination: u64, message: MsgId) {
+    pub fn remove_fetched(&self, destination: u64, message: MsgId) {
         let mut fetched = self.fetched.borrow_mut();
         if let Some(messages) = fetched.get_mut(&destination) {
             messages.remove(&message);
@@ -305,7 +305,11 @@
 
     /// The first messages of a lane that nobody else is about to remove, at most `most`; whether the lane has no more.
     /// They are the caller's until it releases them.
-    pub async fn claim_first(&self, lane: Lane, most: u32) -> Result<(Vec<StoredMessage>, bool), StoreError> {
+    pub async fn reserve_first(
+        &self,
+        lane: Lane,
+        most: u32,
+    ) -> Result<(Vec<StoredMessage>, bool), StoreError> {
         let mut after = None;
         loop {
             let read = self.ask(|worker| worker.fetch(lane, after, most as usize)).await?;
@@ -320,7 +324,7 @@
 
     /// Messages whose time is over, the earliest deadlines first, at most `most`; whether there may be more. They are
     /// the caller's until it releases them.
-    pub async fn claim_expired(&self, most: u32) -> Result<(Vec<StoredMessage>, bool), StoreError> {
+    pub async fn reserve_expired(&self, most: u32) -> Result<(Vec<StoredMessage>, bool), StoreError> {
         let now = unix_millis(clock::now());
         let read = self.ask(|worker| worker.due(now, most as usize)).await?;
         let more = read.len() == most as usize;
@@ -350,7 +354,7 @@
     }
 
     /// Claims a message by its place; false if somebody else is about to remove it.
-    pub fn claim_place(&self, place: Place) -> bool {
+    pub fn reserve(&self, place: Place) -> bool {
         self.claimed.borrow_mut().insert(place)
     }
 
@@ -404,7 +408,7 @@
 }
 
 /// How the planner sees a fault of the store.
-pub fn fault_of(error: &StoreError) -> StoreFault {
+pub fn store_fault(error: &StoreError) -> StoreFault {
     if matches!(error, StoreError::Full { .. }) { StoreFault::Full } else { StoreFault::Failing }
 }
 
--- a/relay/src/backlog/report.rs
+++ b/relay/src/backlog/report.rs
@@ -121,7 +121,7 @@
 ///
 /// # Errors
 /// A text that says what the relay answered, or why it did not.
-pub async fn ask(address: SocketAddr, destination: Option<u64>) -> Result<BacklogReport, String> {
+pub async fn fetch(address: SocketAddr, destination: Option<u64>) -> Result<BacklogReport, String> {
     let path = destination.map_or("/-/backlog".to_owned(), |number| format!("/-/backlog/{number}"));
     let body = admin_client::get(address, &path).await?;
     serde_json::from_slice(&body).map_err(|e| format!("its answer cannot be read: {e}"))
--- a/relay/src/clock.rs
+++ b/relay/src/clock.rs
@@ -43,7 +43,7 @@
 }
 
 /// The present boot; none where the system does not tell.
-pub fn boot() -> Option<[u8; 16]> {
+pub fn boot_id() -> Option<[u8; 16]> {
     let text = std::fs::read_to_string(BOOT_ID).ok()?;
     let digits: String = text.chars().filter(char::is_ascii_hexdigit).collect();
     u128::from_str_radix(&digits, 16).ok().map(u128::to_le_bytes)
@@ -55,8 +55,8 @@
 }
 
 /// Has this process reckon as the folder's earlier processes of this boot did, if that can be read and nothing was reckoned yet.
-pub fn adopt(folder: &Path) {
-    if let Ok(Some(zero)) = read(&folder.join(NAME), boot()) {
+pub fn restore_epoch(folder: &Path) {
+    if let Ok(Some(zero)) = read(&folder.join(NAME), boot_id()) {
         ZERO.get_or_init(|| zero);
     }
 }
@@ -77,7 +77,7 @@
     ///
     /// The record is there and cannot be read.
     pub fn open(folder: &Path) -> io::Result<FolderClock> {
-        let (path, boot) = (folder.join(NAME), boot());
+        let (path, boot) = (folder.join(NAME), boot_id());
         let found = read(&path, boot)?;
         let zero = found.unwrap_or_else(|| *ZERO.get_or_init(measured_zero));
         Ok(FolderClock { path, boot, zero, recorded: found.is_some() })
--- a/relay/src/clock/tests.rs
+++ b/relay/src/clock/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn a_later_process_reckons_as_the_one_before_did_whatever_the_wall_clock_says() {
     let folder = tempfile::tempdir().expect("a folder");
-    let boot = boot().expect("told by the system");
+    let boot = boot_id().expect("told by the system");
     // The process before began while the wall clock was an hour behind.
     let before = *ZERO.get_or_init(measured_zero) - Duration::from_secs(3600);
     std::fs::write(folder.path().join(NAME), encode(boot, before)).expect("written");
@@ -18,7 +18,7 @@
 fn a_record_that_is_torn_or_of_another_boot_is_none_and_is_written_anew() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join(NAME);
-    let boot = boot().expect("told by the system");
+    let boot = boot_id().expect("told by the system");
     let whole = encode(boot, Duration::from_secs(7));
     let mut records: Vec<_> = (0..whole.len()).map(|length| whole[..length].to_vec()).collect();
     records.push(encode([9; 16], Duration::from_secs(7)));
--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -18,11 +18,11 @@
 use super::life::Course;
 use super::rounds::{Order, order};
 use super::{Carrier, Core};
-use crate::backlog::{Backlog, fault_of, unix_millis};
+use crate::backlog::{Backlog, store_fault, unix_millis};
 use crate::clock;
 use crate::figures::{BacklogRefusal, Ended};
 use crate::job::{Answer, Job, Notice, NoticeEnd};
-use crate::journal::{Key, QueuedRequest, SettledEnd, TakenOn};
+use crate::journal::{Acceptance, FinalNotice, Key, QueuedRequest};
 
 /// Pause between two tries of what has to be done in the end.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
@@ -73,7 +73,7 @@
 impl<C: Carrier> Drop for MemorySlot<C> {
     fn drop(&mut self) {
         if let Some(message) = self.message {
-            self.backlog.left(self.destination, message);
+            self.backlog.remove_fetched(self.destination, message);
         }
         if let Some(outcome) = self.left.get() {
             let destination = self.destination;
@@ -122,7 +122,7 @@
     pub(super) fn may_go_back(slot: &mut Option<MemorySlot<C>>, message: MsgId) {
         if let Some(slot) = slot {
             slot.message = Some(message);
-            slot.backlog.entered(slot.destination, message);
+            slot.backlog.add_fetched(slot.destination, message);
         }
     }
 
@@ -145,7 +145,7 @@
     pub(super) fn attempt_failed(self: &Rc<Self>, destination: u64, wait: Option<Duration>) {
         let Some(backlog) = self.backlog() else { return };
         let event = match wait {
-            Some(wait) => Event::WaitTold { destination, until: backlog.at(Instant::now() + wait) },
+            Some(wait) => Event::WaitTold { destination, until: backlog.planner_time(Instant::now() + wait) },
             None => Event::AttemptFailed { destination },
         };
         self.tell_backlog(&backlog, event);
@@ -209,7 +209,7 @@
             match backlog.find(&job.id).await {
                 Ok(None) => {}
                 Ok(Some(place)) => {
-                    let taken_on = Decision::Taken(TakenOn::in_backlog(&place));
+                    let taken_on = Decision::Taken(Acceptance::in_backlog(&place));
                     return self.answer_placed(&job.id, answer, taken_on);
                 }
                 Err(_) => return self.answer_placed(&job.id, answer, refused(STORE_RETRY)),
@@ -294,14 +294,14 @@
                 self.tell_backlog(&backlog, Event::Stored { lane, count: 1 });
                 self.count(|tally| tally.taken += 1);
                 backlog.figures.stored.inc();
-                match answer.send(Decision::Taken(TakenOn::in_backlog(&place))) {
+                match answer.send(Decision::Taken(Acceptance::in_backlog(&place))) {
                     Ok(()) => self.release_id(&id, Some(Answer::Taken)),
                     // A client that is gone was not told: it hands the message in again.
                     Err(_) => self.withdraw(&backlog, &id, place).await,
                 }
             }
             Err(error) => {
-                let fault = fault_of(&error);
+                let fault = store_fault(&error);
                 tracing::debug!(%error, "the backlog does not take a request");
                 self.tell_backlog(&backlog, Event::StoreFailed { lane, count: 1, fault });
                 if matches!(error, StoreError::Io(_) | StoreError::Closed) {
@@ -317,7 +317,7 @@
     async fn settle_doubt(self: Rc<Self>, backlog: Rc<Backlog>, id: String) {
         while !self.is_handed() {
             let removed = match backlog.find(&id).await {
-                Ok(Some(place)) if backlog.claim_place(place) => {
+                Ok(Some(place)) if backlog.reserve(place) => {
                     let removed = backlog.remove(vec![place]).await;
                     backlog.release([place]);
                     removed
@@ -336,7 +336,7 @@
     /// Removes a message that nobody wants any more, unless it is on its way into memory: then its id is open until it
     /// has ended there.
     async fn withdraw(self: &Rc<Self>, backlog: &Rc<Backlog>, id: &str, place: Place) {
-        if !backlog.claim_place(place) {
+        if !backlog.reserve(place) {
             return;
         }
         let removed = backlog.remove(vec![place]).await;
@@ -349,7 +349,7 @@
 
     /// Brings the first messages of a lane into memory.
     async fn fetch(self: Rc<Self>, backlog: Rc<Backlog>, lane: Lane, most: u32) {
-        let (claimed, exhausted) = match backlog.claim_first(lane, most).await {
+        let (claimed, exhausted) = match backlog.reserve_first(lane, most).await {
             Ok(claimed) => claimed,
             Err(error) => return self.fetch_failed(&backlog, lane, &error),
         };
@@ -399,7 +399,7 @@
                     continue;
                 }
             };
-            match journal.fetched(&request, message.place) {
+            match journal.record_fetched(&request, message.place) {
                 Ok(Some(key)) => {
                     taken.places.push(message.place);
                     taken.requests.push((key, request));
@@ -431,7 +431,7 @@
         let mut messages = Vec::new();
         let mut keys = Vec::new();
         while let Some(Parked { key, job }) = given.recv().await {
-            let Some((request, place)) = self.journal.borrow().to_put_back(key, &job) else { continue };
+            let Some((request, place)) = self.journal.borrow().put_back_copy(key, &job) else { continue };
             messages.push(stored(&request, place));
             keys.push((key, job.id));
         }
@@ -439,7 +439,7 @@
             return;
         }
         for (key, id) in keys {
-            if let Err(error) = self.journal.borrow_mut().end(key) {
+            if let Err(error) = self.journal.borrow_mut().remove_job(key) {
                 tracing::error!(id, %error, "the journal cannot record that the backlog has a request again");
             }
             self.decided(&id, None);
@@ -477,7 +477,7 @@
 
     /// Tells the ends of messages whose time is over, and removes them.
     async fn end_expired(self: Rc<Self>, backlog: Rc<Backlog>, most: u32) {
-        let (expired, more) = match backlog.claim_expired(most).await {
+        let (expired, more) = match backlog.reserve_expired(most).await {
             Ok(claimed) => claimed,
             Err(error) => {
                 tracing::warn!(%error, "the backlog cannot tell whose time is over");
@@ -519,7 +519,7 @@
 
     /// Tells an end, however long it takes.
     async fn tell_in_the_end(self: Rc<Self>, notice: Notice) {
-        let end = SettledEnd::of_backlog(notice);
+        let end = FinalNotice::from_backlog(notice);
         while self.carrier.notify(&end).await.is_err() && !self.is_handed() {
             sleep(RETRY_PAUSE).await;
         }
--- a/relay/src/core/backlog/tests.rs
+++ b/relay/src/core/backlog/tests.rs
@@ -107,7 +107,7 @@
         Outcome::Delivered
     }
 
-    async fn notify(&self, end: &SettledEnd) -> Result<(), String> {
+    async fn notify(&self, end: &FinalNotice) -> Result<(), String> {
         let notice = end.notice();
         self.world.lock().expect("whole").notices.push(notice.clone());
         Ok(())
@@ -261,7 +261,7 @@
             classes.iter().map(|name| BacklogClass { name: (*name).into(), worth: 1.0 }).collect();
         let worker = worker(&site.disk, crash);
         let opened =
-            Backlog::over(worker, &settings, &classes, Some(MOST_HELD), &open, backlog_figures).await;
+            Backlog::with_worker(worker, &settings, &classes, Some(MOST_HELD), &open, backlog_figures).await;
         let (backlog, actions) = match opened {
             Ok(opened) => opened,
             // Killed while it opens.
--- a/relay/src/core/decision.rs
+++ b/relay/src/core/decision.rs
@@ -2,12 +2,12 @@
 use std::time::Duration;
 
 use crate::job::Answer;
-use crate::journal::TakenOn;
+use crate::journal::Acceptance;
 
 /// What was decided on a new job.
 #[derive(Debug)]
 pub(super) enum Decision {
-    Taken(TakenOn),
+    Taken(Acceptance),
     Refused(Refusal),
     /// The process that has taken over has decided.
     ByAnother(Answer),
--- a/relay/src/core/ends.rs
+++ b/relay/src/core/ends.rs
@@ -6,7 +6,7 @@
 use super::{Carrier, Core};
 use crate::figures::Ended;
 use crate::job::{Answer, Job, Notice, NoticeEnd};
-use crate::journal::{Key, SettledEnd};
+use crate::journal::{FinalNotice, Key};
 
 /// Shortest and longest time between two tries to tell an end.
 const NOTICE_FIRST_PAUSE: Duration = Duration::from_millis(50);
@@ -31,22 +31,22 @@
 
     /// Records an end. While that cannot be done it is tried again, until the job's time is over: then it has failed, whatever was
     /// decided on it, since that is what a later process would come to. None if the job is another process's meanwhile.
-    async fn settle_end(&self, job: &Job, key: Key, notice: Notice) -> Option<SettledEnd> {
+    async fn settle_end(&self, job: &Job, key: Key, notice: Notice) -> Option<FinalNotice> {
         loop {
             if self.is_handed() {
                 return None;
             }
-            let error = match self.journal.borrow_mut().ending(key, &notice) {
+            let error = match self.journal.borrow_mut().record_notice(key, &notice) {
                 Ok(end) => return Some(end),
                 Err(error) => error,
             };
             let left = job.left();
             tracing::debug!(id = job.id, ?left, %error, end = ?notice.end, "journal cannot record an end; it is not told yet");
             if left.is_zero() {
-                return Some(self.journal.borrow_mut().out_of_time(key, job));
+                return Some(self.journal.borrow_mut().expire_job(key, job));
             }
             tokio::select! {
-                () = self.journal_health.works() => {}
+                () = self.journal_health.wait_for_recovery() => {}
                 () = sleep(left) => {}
                 () = self.handed.cancelled() => {}
             }
@@ -66,7 +66,7 @@
     }
 
     /// Tells an end until it is heard. False if whoever has the journal by then tells it.
-    async fn tell_end(&self, job: &Job, end: &SettledEnd) -> bool {
+    async fn tell_end(&self, job: &Job, end: &FinalNotice) -> bool {
         let begun = Instant::now();
         let mut pause = NOTICE_FIRST_PAUSE;
         while let Err(e) = self.carrier.notify(end).await {
@@ -86,7 +86,7 @@
 
     /// Nothing more is owed for a job; its id may have been `told` an answer that goes on to hold.
     pub(super) fn forget(&self, job: &Job, course: &Course, told: Option<Answer>) {
-        if let Err(error) = self.journal.borrow_mut().end(course.key()) {
+        if let Err(error) = self.journal.borrow_mut().remove_job(course.key()) {
             tracing::debug!(id = job.id, %error, "journal cannot record yet that nothing more is owed");
         }
         self.decided(&job.id, told);
@@ -94,7 +94,7 @@
 
     /// The latest claim of a job never ran.
     pub(super) fn record_never_ran(&self, key: Key, id: &str) {
-        if let Err(error) = self.journal.borrow_mut().never_ran(key) {
+        if let Err(error) = self.journal.borrow_mut().record_never_ran(key) {
             tracing::debug!(id, %error, "journal cannot record yet that a claim never ran");
         }
     }
@@ -102,7 +102,7 @@
     /// Tries a journal that cannot be written until it can. Has no end.
     pub async fn keep_journal(&self) {
         loop {
-            self.journal_health.failed().await;
+            self.journal_health.wait_for_failure().await;
             // What waits for a place is not sent before that.
             self.wake.notify_one();
             while self.journal_health.is_failing() && !self.is_handed() {
--- a/relay/src/core/life.rs
+++ b/relay/src/core/life.rs
@@ -13,10 +13,10 @@
 use super::rounds::{ORDERS, Order};
 use super::{Carrier, Core, DEFAULT_BACKOFF, FAR_OFF, Node, Ticket};
 use crate::clock;
-use crate::estate::Home;
 use crate::figures::Ended;
+use crate::handover_state::FinishedClaim;
 use crate::job::{Job, Notice, Outcome, nanos};
-use crate::journal::{Key, MayHaveRun, Open, QueuedRequest, TakenOn};
+use crate::journal::{Acceptance, Key, OpenJob, QueuedRequest, RecordedClaim};
 
 /// Before a claim is reported that a fault of this machine kept back.
 const LOCAL_FAULT_PAUSE: Duration = Duration::from_millis(20);
@@ -31,7 +31,7 @@
     /// Claims made by an earlier process.
     tries: u32,
     /// The first claim that may have run.
-    risk: Option<MayHaveRun>,
+    risk: Option<RecordedClaim>,
     /// As the journal has them.
     taken_under: Option<Class>,
     /// Its process has ended: a planned or unplanned restart lies between.
@@ -54,12 +54,12 @@
         self.tries
     }
 
-    pub fn set_risk(&mut self, risk: Option<MayHaveRun>) {
+    pub fn set_risk(&mut self, risk: Option<RecordedClaim>) {
         self.risk = risk;
     }
 
-    pub fn resumed(open: Open) -> (Job, Course) {
-        let Open { key, job, rules, tries, risk, ending, place } = open;
+    pub fn resumed(open: OpenJob) -> (Job, Course) {
+        let OpenJob { key, job, rules, tries, risk, pending_notice: ending, place } = open;
         let fetched = place.is_some();
         (job, Course { key, taken_under: rules, tries, risk, ending, fetched, ..Course::default() })
     }
@@ -72,7 +72,7 @@
     }
 
     /// The same after a restart.
-    pub fn kept(open: Open) -> (Job, Course) {
+    pub fn kept(open: OpenJob) -> (Job, Course) {
         let (job, course) = Course::resumed(open);
         (job, Course { kept: true, ..course })
     }
@@ -302,7 +302,7 @@
         if let Some(successor) = &*self.successor.borrow() {
             // A process of another version knows no faults of this machine.
             let told = if outcome == Outcome::LocalFault { Outcome::NotSent } else { outcome };
-            successor.home(Home { key: course.key, outcome: told, node: node.name.to_string() });
+            successor.home(FinishedClaim { key: course.key, outcome: told, node: node.name.to_string() });
             return outcome;
         }
         if outcome == Outcome::LocalFault && !self.journal_health.is_failing() {
@@ -397,8 +397,8 @@
         (course.risk.is_none() || course.rules.may_come_again()) && !job.left().is_zero()
     }
 
-    fn record(&self, job: &Job, rules: &Class) -> Option<TakenOn> {
-        match self.journal.borrow_mut().job(job, rules) {
+    fn record(&self, job: &Job, rules: &Class) -> Option<Acceptance> {
+        match self.journal.borrow_mut().record_job(job, rules) {
             Ok(Some(taken_on)) => Some(taken_on),
             Ok(None) => {
                 tracing::warn!(id = job.id, size = job.body.len(), "journal is full; the job is refused");
@@ -415,7 +415,7 @@
         let now = clock::now();
         let mut state = self.state.borrow_mut();
         let risk = course.risk.as_ref().map(|risk| {
-            let ago = risk.ago(now);
+            let ago = risk.age(now);
             let zone = risk.zone.as_ref().and_then(|z| self.rules().names.zones.iter().position(|n| n == z));
             Risk {
                 sent: self.module_time(Instant::now()).saturating_sub(nanos(ago)),
@@ -453,9 +453,9 @@
 }
 
 /// Until when an earlier claim is surely remembered, where a repeat matters.
-fn memory_ends(rules: &Class, risk: &MayHaveRun) -> Option<Instant> {
+fn memory_ends(rules: &Class, risk: &RecordedClaim) -> Option<Instant> {
     let memory = Duration::from_nanos(rules.memory()?);
-    Some(Instant::now() + memory.saturating_sub(risk.ago(clock::now())))
+    Some(Instant::now() + memory.saturating_sub(risk.age(clock::now())))
 }
 
 /// A job's place at the module. Leaving it frees the place.
--- a/relay/src/core/list_confirmation.rs
+++ b/relay/src/core/list_confirmation.rs
@@ -6,7 +6,7 @@
 
 use super::{CLOCK_START, Carrier, Core};
 use crate::job::nanos;
-use crate::lease_record::{Confirmed, LeaseRecord};
+use crate::lease_record::{LeaseRecord, ListConfirmation};
 
 /// The lease on the list, on the system's monotonic clock.
 pub struct ListClock {
@@ -72,11 +72,16 @@
 impl<C: Carrier> Core<C> {
     /// Binds the list to a lease from now on, since it is asked for: `before` is what a process before knew of the list of this version
     /// or an older one, and `first_start` that there was none. Then what the configuration says is taken as confirmed just now.
-    pub fn bind_list(&self, record: Option<LeaseRecord>, before: Option<Confirmed>, first_start: bool) {
+    pub fn bind_list(
+        &self,
+        record: Option<LeaseRecord>,
+        before: Option<ListConfirmation>,
+        first_start: bool,
+    ) {
         let now = self.module_time(Instant::now());
         let mut lease = ListLease::asked_for(nanos(self.rules().must_ask_in()));
         match before {
-            Some(before) => lease.restore(now.saturating_sub(nanos(before.ago))),
+            Some(before) => lease.restore(now.saturating_sub(nanos(before.age))),
             None if first_start => lease.restore(now),
             None => {}
         }
@@ -140,9 +145,9 @@
             let now = self.module_time(Instant::now());
             let confirmed = self.list_clock.lease.borrow().inheritable();
             let generation = self.generation.get();
-            record.write(confirmed.zip(generation).map(|(confirmed, generation)| Confirmed {
+            record.write(confirmed.zip(generation).map(|(confirmed, generation)| ListConfirmation {
                 generation,
-                ago: Duration::from_nanos(now.saturating_sub(confirmed)),
+                age: Duration::from_nanos(now.saturating_sub(confirmed)),
             }));
         }
     }
--- a/relay/src/core/mod.rs
+++ b/relay/src/core/mod.rs
@@ -35,7 +35,7 @@
 use crate::figures::{Census, Ended, Figures};
 use crate::hook::Hooks;
 use crate::job::{Answer, Job, Outcome, nanos};
-use crate::journal::{Health, Journal, Key, Open, SettledEnd};
+use crate::journal::{FinalNotice, Journal, JournalHealth, Key, OpenJob};
 use decision::Decision;
 use life::Course;
 use rounds::Order;
@@ -62,7 +62,7 @@
         std::future::ready(vec![Outcome::NotSent; parts.len()])
     }
     /// Tells how a job ended; done once it is certain to have been heard.
-    fn notify(&self, end: &SettledEnd) -> impl Future<Output = Result<(), String>>;
+    fn notify(&self, end: &FinalNotice) -> impl Future<Output = Result<(), String>>;
     /// Under what a job that waits is replaced by a later one under the same, if by any.
     fn replaces(&self, _job: &Job) -> Option<String> {
         None
@@ -139,7 +139,7 @@
     hooks: Option<Hooks>,
     state: RefCell<State>,
     journal: Rc<RefCell<Journal>>,
-    journal_health: Rc<Health>,
+    journal_health: Rc<JournalHealth>,
     disabled: RefCell<Disabled>,
     /// Among how many relays limits are divided, where that follows who is there.
     divided: Cell<Option<u32>>,
@@ -334,7 +334,7 @@
         let in_progress = on_disk + state.ids.values().filter(|taken| **taken).count();
         let (known, closed) = state.nodes.count();
         let list_age = self.list_clock.age(Instant::now());
-        let unwritten_records = self.journal_health.unwritten();
+        let unwritten_records = self.journal_health.unwritten_records();
         Census { in_progress, known, skipped: closed + state.courier.avoided(), list_age, unwritten_records }
     }
 
@@ -344,12 +344,12 @@
     }
 
     /// Goes on with a job that outlived its process.
-    pub fn recover(self: &Rc<Self>, open: Open) {
+    pub fn recover(self: &Rc<Self>, open: OpenJob) {
         self.go_on(Course::kept(open));
     }
 
     /// Goes on with a job that another process had.
-    fn resume(self: &Rc<Self>, open: Open) {
+    fn resume(self: &Rc<Self>, open: OpenJob) {
         self.go_on(Course::resumed(open));
     }
 
--- a/relay/src/core/nodes.rs
+++ b/relay/src/core/nodes.rs
@@ -16,9 +16,9 @@
 use crate::clock;
 use crate::config::Rules;
 use crate::disabled::Refused;
-use crate::estate::ListedNode;
+use crate::handover_state::ListedNode;
 use crate::job::nanos;
-use crate::journal::{Journal, Key, MayHaveRun};
+use crate::journal::{Journal, Key, RecordedClaim};
 use crate::list::{Lifecycle, NodeEntry, NodeList};
 
 /// Longest name of a node, and of a zone together with it, that fits into a journal record.
@@ -180,7 +180,7 @@
     key: Key,
     node: String,
     zone: Option<String>,
-    written: RefCell<Option<MayHaveRun>>,
+    written: RefCell<Option<RecordedClaim>>,
 }
 
 impl ClaimRecord {
@@ -188,8 +188,9 @@
     fn write(&self) -> bool {
         let mut written = self.written.borrow_mut();
         if written.is_none() {
-            let claim = MayHaveRun { sent: clock::now(), node: self.node.clone(), zone: self.zone.clone() };
-            if let Err(error) = self.journal.borrow_mut().claim(self.key, claim.clone()) {
+            let claim =
+                RecordedClaim { sent: clock::now(), node: self.node.clone(), zone: self.zone.clone() };
+            if let Err(error) = self.journal.borrow_mut().record_claim(self.key, claim.clone()) {
                 tracing::debug!(key = self.key, %error, "journal cannot record a claim; it is not sent");
                 return false;
             }
@@ -262,7 +263,7 @@
     }
 
     /// The claim as the journal has it, if it has begun.
-    pub(super) fn recorded(&self) -> Option<MayHaveRun> {
+    pub(super) fn recorded(&self) -> Option<RecordedClaim> {
         self.record.as_ref().and_then(|record| record.written.borrow().clone())
     }
 
@@ -622,7 +623,7 @@
             serving: self.serving.get(),
             weight: self.weight(),
             started_ms: self.started_ms.get(),
-            back_ms: self.back_ms.get(),
+            reenabled_ms: self.back_ms.get(),
         }
     }
 
--- a/relay/src/core/nodes/tests.rs
+++ b/relay/src/core/nodes/tests.rs
@@ -2,7 +2,7 @@
 use crate::disabled::Disabled;
 use crate::figures::Figures;
 use crate::job::{Job, Outcome};
-use crate::journal::SettledEnd;
+use crate::journal::FinalNotice;
 
 /// A node that is open or not.
 pub(crate) fn node(address: SocketAddr, open: bool) -> Node {
@@ -58,7 +58,7 @@
         Outcome::NotSent
     }
 
-    async fn notify(&self, _: &SettledEnd) -> Result<(), String> {
+    async fn notify(&self, _: &FinalNotice) -> Result<(), String> {
         Ok(())
     }
 
--- a/relay/src/core/succession.rs
+++ b/relay/src/core/succession.rs
@@ -13,10 +13,10 @@
 use super::backlog::MemorySlot;
 use super::life::Course;
 use super::{Carrier, Core};
-use crate::estate::{Estate, Home, LearnedNode, LearnedUnit, ToldWait};
 use crate::figures::Ended;
+use crate::handover_state::{FinishedClaim, HandoverState, LearnedNode, LearnedUnit, RequestedWait};
 use crate::job::{Answer, Job, Outcome, nanos};
-use crate::journal::{Key, Open};
+use crate::journal::{Key, OpenJob};
 use crate::list::{Lifecycle, NodeEntry, NodeList};
 
 /// The process that has taken over.
@@ -24,7 +24,7 @@
     /// Takes a job from a submitter who is still connected here.
     fn admit(&self, job: Job) -> LocalBoxFuture<'_, Answer>;
     /// A claim has come home.
-    fn home(&self, home: Home);
+    fn home(&self, home: FinishedClaim);
 }
 
 fn span(nanos: u64) -> Duration {
@@ -34,7 +34,7 @@
 impl<C: Carrier> Core<C> {
     /// Stops deciding and lets the journal go, at once and between two rounds: from the return of this on the jobs are
     /// another process's. Claims that are out come home to `successor`; those not yet sent never are.
-    pub fn hand_over(&self, successor: Rc<dyn Successor>) -> Estate {
+    pub fn hand_over(&self, successor: Rc<dyn Successor>) -> HandoverState {
         self.winding_down.set(true);
         let estate = self.estate();
         // The newcomer hears of each claim that is out what became of it, also of those that have not begun.
@@ -48,13 +48,13 @@
         estate
     }
 
-    fn estate(&self) -> Estate {
+    fn estate(&self) -> HandoverState {
         let mut state = self.state.borrow_mut();
         let now = Instant::now();
         let recent = state.recent.all();
         let name = |id| state.nodes.get(id).map(|node| node.name.to_string());
         let waits = state.waits.iter().filter(|(_, until)| until.get() > now);
-        let waits = waits.map(|((dest, node), until)| ToldWait {
+        let waits = waits.map(|((dest, node), until)| RequestedWait {
             dest: *dest,
             node: node.and_then(name),
             left: until.get() - now,
@@ -88,13 +88,13 @@
                 })
                 .collect(),
         });
-        Estate {
+        HandoverState {
             generation: self.generation.get(),
             nodes: state.nodes.all().map(|node| node.listed(&self.rules())).collect(),
             waits: waits.collect(),
             learned: learned.collect(),
             recent,
-            out: state.out.keys().copied().collect(),
+            in_flight: state.out.keys().copied().collect(),
             drained: false,
         }
     }
@@ -118,9 +118,9 @@
     /// claim is still out there, where its outcome is to be told; a claim that is never told of may have run.
     pub async fn inherit(
         self: &Rc<Self>,
-        estate: &Estate,
-        open: Vec<Open>,
-    ) -> Vec<(Key, oneshot::Sender<Home>)> {
+        estate: &HandoverState,
+        open: Vec<OpenJob>,
+    ) -> Vec<(Key, oneshot::Sender<FinishedClaim>)> {
         let entries = estate.nodes.iter().map(|node| NodeEntry {
             instance_id: node.name.clone().into(),
             host_port: node.address.clone().into(),
@@ -135,13 +135,14 @@
         list.generation = estate.generation.unwrap_or(0);
         self.take_list(&list).await;
         for node in &estate.nodes {
-            self.set_back(&node.name, node.back_ms);
+            self.set_back(&node.name, node.reenabled_ms);
         }
         // The module knows what is listed after a round.
         self.round(Instant::now());
         self.recall(estate);
         let mut homes = Vec::new();
-        let (out, here): (Vec<_>, Vec<_>) = open.into_iter().partition(|open| estate.out.contains(&open.key));
+        let (out, here): (Vec<_>, Vec<_>) =
+            open.into_iter().partition(|open| estate.in_flight.contains(&open.key));
         self.borrowed.set(out.len());
         self.lend();
         for open in out {
@@ -154,7 +155,7 @@
         homes
     }
 
-    fn recall(&self, estate: &Estate) {
+    fn recall(&self, estate: &HandoverState) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
@@ -208,7 +209,7 @@
     }
 
     /// The life of a job whose claim is out at another process: it waits for that, and then goes on here.
-    async fn elsewhere(self: Rc<Self>, open: Open, home: oneshot::Receiver<Home>) {
+    async fn elsewhere(self: Rc<Self>, open: OpenJob, home: oneshot::Receiver<FinishedClaim>) {
         let key = open.key;
         let slot = self.take_slot(&open.job);
         let told = home.await.ok();
--- a/relay/src/handover/frame.rs
+++ b/relay/src/handover/frame.rs
@@ -4,7 +4,7 @@
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-use crate::estate::{Estate, Home, ListedNode};
+use crate::handover_state::{FinishedClaim, HandoverState, ListedNode};
 use crate::job::{Answer, Job};
 
 /// What both must speak; raised with any change of what follows `Hello`.
@@ -26,9 +26,9 @@
     /// A part of the list, before the estate.
     Nodes(Vec<ListedNode>),
     /// The owner owns nothing any more but the claims that it has out.
-    Yours(Box<Estate>),
+    Yours(Box<HandoverState>),
     /// One of them has come home.
-    Home(Home),
+    Home(FinishedClaim),
     /// A job from a submitter who is still connected to the old process, and the answer.
     Ask(u64, Box<Job>),
     Told(u64, Answer),
--- a/relay/src/handover/frame/tests.rs
+++ b/relay/src/handover/frame/tests.rs
@@ -5,7 +5,7 @@
 fn a_frame_is_read_whole_or_not_at_all() {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     runtime.block_on(async {
-        let home = Home { key: 7, outcome: Outcome::Full { wait: None }, node: "n1".into() };
+        let home = FinishedClaim { key: 7, outcome: Outcome::Full { wait: None }, node: "n1".into() };
         let frames = [Frame::Hello { version: 3 }, Frame::Home(home), Frame::Yours(Box::default())];
         for frame in frames {
             let bytes = frame.encode();
--- a/relay/src/handover/mod.rs
+++ b/relay/src/handover/mod.rs
@@ -21,7 +21,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::core::{Carrier, Core, Successor};
-use crate::estate::{Estate, Home};
+use crate::handover_state::{FinishedClaim, HandoverState};
 use crate::job::{Answer, Job};
 use crate::journal::Key;
 use frame::{Frame, VERSION};
@@ -64,8 +64,8 @@
 }
 
 /// The relay as it was had from the process before, which may still have claims out.
-pub struct Legacy {
-    pub estate: Estate,
+pub struct Predecessor {
+    pub state: HandoverState,
     read: OwnedReadHalf,
     write: OwnedWriteHalf,
 }
@@ -73,7 +73,7 @@
 /// Waits until the journal in the folder is this process's to open. If another one has it, `waiting` is called once
 /// that one knows of this, or can't be told; what it hands over comes with the lock. Should it die, or not know how to
 /// hand over, its lock ends with it, and the journal is all there is.
-pub async fn own(folder: &Path, waiting: impl FnOnce()) -> io::Result<(File, Option<Legacy>)> {
+pub async fn acquire(folder: &Path, waiting: impl FnOnce()) -> io::Result<(File, Option<Predecessor>)> {
     if let Some(lock) = try_lock(folder)? {
         return Ok((lock, None));
     }
@@ -117,7 +117,7 @@
 }
 
 /// Waits for what is handed over.
-async fn heir(stream: UnixStream) -> io::Result<Legacy> {
+async fn heir(stream: UnixStream) -> io::Result<Predecessor> {
     let (mut read, write) = stream.into_split();
     let mut nodes = Vec::new();
     loop {
@@ -125,23 +125,23 @@
             Frame::Nodes(part) => nodes.extend(part),
             Frame::Yours(mut estate) => {
                 estate.nodes = nodes;
-                return Ok(Legacy { estate: *estate, read, write });
+                return Ok(Predecessor { state: *estate, read, write });
             }
             other => return Err(io::Error::other(format!("{other:?} was not to be expected"))),
         }
     }
 }
 
-impl Legacy {
+impl Predecessor {
     /// Hears what becomes of claims that are out at the process before, and takes jobs from submitters who are still
     /// connected there, until it ends. Claims of which nothing was told by then may have run.
     pub async fn follow<C: Carrier>(
         self,
         core: Rc<Core<C>>,
-        homes: Vec<(Key, oneshot::Sender<Home>)>,
+        homes: Vec<(Key, oneshot::Sender<FinishedClaim>)>,
         ended: impl FnOnce(),
     ) {
-        let Legacy { mut read, write, .. } = self;
+        let Predecessor { mut read, write, .. } = self;
         let say = writer(write);
         let mut homes: HashMap<_, _> = homes.into_iter().collect();
         let fault = loop {
@@ -183,7 +183,7 @@
 }
 
 /// The side of the process that runs the relay.
-pub struct Elder {
+pub struct HandoverListener {
     owner: Cell<Owner>,
     heir: RefCell<Option<Rc<Heir>>>,
     /// The socket's path can be used for as long as this is open.
@@ -197,16 +197,17 @@
     last: Cell<u64>,
 }
 
-impl Elder {
+impl HandoverListener {
     /// Listens for newcomers. To be called by who has the lock: what an earlier process left is taken away.
-    pub fn listen(folder: &Path) -> io::Result<Rc<Elder>> {
+    pub fn listen(folder: &Path) -> io::Result<Rc<HandoverListener>> {
         let (path, open) = socket_path(folder)?;
         match std::fs::remove_file(&path) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
             _ => {}
         }
         let listener = UnixListener::bind(path)?;
-        let elder = Rc::new(Elder { owner: Cell::default(), heir: RefCell::default(), _folder: open });
+        let elder =
+            Rc::new(HandoverListener { owner: Cell::default(), heir: RefCell::default(), _folder: open });
         let this = elder.clone();
         actix_rt::spawn(async move {
             loop {
@@ -223,7 +224,7 @@
     }
 
     /// A newcomer waits for this process to end.
-    pub fn is_linked(&self) -> bool {
+    pub fn has_successor(&self) -> bool {
         self.owner.get() == Owner::Linked
     }
 
@@ -267,7 +268,7 @@
         let (Does::HandOver, Some(heir)) = (self.turn(Happens::Terminate), heir) else { return false };
         let mut estate = core.hand_over(heir.clone());
         estate.drained = drained;
-        let (nodes, waits, out) = (estate.nodes.len(), estate.waits.len(), estate.out.len());
+        let (nodes, waits, out) = (estate.nodes.len(), estate.waits.len(), estate.in_flight.len());
         tracing::info!(nodes, waits, out, "upgrade: the relay is handed over");
         for part in std::mem::take(&mut estate.nodes).chunks(NODES) {
             drop(heir.say.send(Frame::Nodes(part.to_vec())));
@@ -291,7 +292,7 @@
         })
     }
 
-    fn home(&self, home: Home) {
+    fn home(&self, home: FinishedClaim) {
         // Should the successor be gone, the journal says that the claim may have run.
         drop(self.say.send(Frame::Home(home)));
     }
--- a/relay/src/estate.rs
+++ b/relay/src/handover_state.rs
@@ -7,17 +7,17 @@
 
 /// All that is handed over beside the journal, which holds the jobs themselves.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Estate {
+pub struct HandoverState {
     /// The version of the list, if one was had.
     pub generation: Option<u64>,
     pub nodes: Vec<ListedNode>,
     /// Told waits that run on.
-    pub waits: Vec<ToldWait>,
+    pub waits: Vec<RequestedWait>,
     pub learned: Vec<LearnedUnit>,
     /// Answers given a moment ago, by id.
     pub recent: Vec<(String, Answer)>,
     /// Jobs whose claims are out and come home to the process that made them.
-    pub out: Vec<Key>,
+    pub in_flight: Vec<Key>,
     /// Clients are sent away.
     pub drained: bool,
 }
@@ -34,12 +34,12 @@
     pub weight: Option<f64>,
     pub started_ms: u64,
     /// When it was last taken back by hand.
-    pub back_ms: u64,
+    pub reenabled_ms: u64,
 }
 
 /// A wait that a destination told, or a node where nodes are routes apart.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ToldWait {
+pub struct RequestedWait {
     pub dest: u64,
     pub node: Option<String>,
     pub left: Duration,
@@ -76,7 +76,7 @@
 
 /// A claim that was out when its job was handed over has come home.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Home {
+pub struct FinishedClaim {
     pub key: Key,
     pub outcome: Outcome,
     pub node: String,
--- a/relay/src/journal.rs
+++ b/relay/src/journal.rs
@@ -6,7 +6,7 @@
 //! What memory holds never runs ahead of the file but for records that are owed to it: that an attempt never ran, that nothing
 //! more is owed for a message, and an end whose time has come. They were true before they could be written, and a process that
 //! does not find them errs on the safe side. They are written before anything else is. A record that others are told of
-//! ([`TakenOn`], [`SettledEnd`], an attempt) changes nothing unless it was written.
+//! ([`Acceptance`], [`FinalNotice`], an attempt) changes nothing unless it was written.
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -29,28 +29,28 @@
 #[cfg(test)]
 mod storage_double;
 
-pub use health::Health;
+pub use health::JournalHealth;
 pub use queued::{QueuedRequest, UnreadableRequest};
-pub use receipt::{SettledEnd, TakenOn};
-pub use record::MayHaveRun;
+pub use receipt::{Acceptance, FinalNotice};
+pub use record::RecordedClaim;
 use record::{Claims, FORMAT, FORMATS, LONGEST, PLAIN_FORMAT, Record, TakenUnder};
 use record::{behind_damage, encode, next_record};
-pub use storage::may_pass;
+pub use storage::is_transient;
 use storage::{FolderStorage, Storage};
 
 /// A job's number in the journal.
 pub type Key = u64;
 
 /// A job that was open when the last process ended.
-pub struct Open {
+pub struct OpenJob {
     pub key: Key,
     pub job: Job,
     /// The rules of its class under which it was taken on; none where an earlier program did that.
     pub rules: Option<Class>,
     pub tries: u32,
-    pub risk: Option<MayHaveRun>,
+    pub risk: Option<RecordedClaim>,
     /// Its end was decided, but the notice of it may not have arrived.
-    pub ending: Option<Notice>,
+    pub pending_notice: Option<Notice>,
     /// Where it stood in the backlog, which may still have it.
     pub place: Option<Place>,
 }
@@ -100,7 +100,7 @@
     next: Key,
     /// There is a backlog beside it.
     has_backlog: bool,
-    health: Rc<Health>,
+    health: Rc<JournalHealth>,
 }
 
 impl Journal {
@@ -114,8 +114,8 @@
     ///
     /// # Errors
     ///
-    /// The folder cannot be read ([`may_pass`] says whether it may be later), can never be written, or a later program wrote it.
-    pub fn open(folder: &Path, limit: u64) -> io::Result<(Journal, Vec<Open>)> {
+    /// The folder cannot be read ([`is_transient`] says whether it may be later), can never be written, or a later program wrote it.
+    pub fn open(folder: &Path, limit: u64) -> io::Result<(Journal, Vec<OpenJob>)> {
         let storage = FolderStorage::open(folder)?;
         let clock = FolderClock::open(folder)?;
         Journal::over(Box::new(storage), clock, limit)
@@ -125,7 +125,7 @@
         mut storage: Box<dyn Storage>,
         clock: FolderClock,
         limit: u64,
-    ) -> io::Result<(Journal, Vec<Open>)> {
+    ) -> io::Result<(Journal, Vec<OpenJob>)> {
         let text = storage.read()?;
         let mut journal = Journal {
             storage: Some(storage),
@@ -143,19 +143,19 @@
         };
         let open = journal.replay(&Bytes::from(text))?;
         match journal.settle() {
-            Err(error) if !may_pass(&error) => return Err(error),
+            Err(error) if !is_transient(&error) => return Err(error),
             settled => journal.told(settled).unwrap_or_default(),
         }
         Ok((journal, open))
     }
 
     /// Whether it can be written.
-    pub fn health(&self) -> Rc<Health> {
+    pub fn health(&self) -> Rc<JournalHealth> {
         self.health.clone()
     }
 
     /// Holds a lock for as long as it has the journal.
-    pub fn guard(&mut self, lock: Option<File>) {
+    pub fn keep_lock(&mut self, lock: Option<File>) {
         self.lock = lock;
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// The first claim of a job that may have run.
-    pub fn risk(&self, key: Key) -> Option<MayHaveRun> {
+    pub fn risk(&self, key: Key) -> Option<RecordedClaim> {
         self.live.get(&key).and_then(|live| live.claims.risk.clone())
     }
 
@@ -190,7 +190,7 @@
 
     /// Takes in all whole records, and tells what is open. A torn end is dropped; damage in the middle is passed over, and
     /// what is behind it is read.
-    fn replay(&mut self, text: &Bytes) -> io::Result<Vec<Open>> {
+    fn replay(&mut self, text: &Bytes) -> io::Result<Vec<OpenJob>> {
         let mut open = BTreeMap::new();
         let mut at = 0;
         let mut formats = 0;
@@ -251,7 +251,7 @@
             let live = self.live.get(&key)?;
             let Claims { tries, risk, .. } = live.claims.clone();
             let (rules, ending) = (live.rules.clone(), live.ending.clone());
-            Some(Open { key, job, rules, tries, risk, ending, place: live.place })
+            Some(OpenJob { key, job, rules, tries, risk, pending_notice: ending, place: live.place })
         });
         Ok(open.collect())
     }
@@ -259,7 +259,7 @@
     /// Records are missing: any job from before may have had a claim there. Guards against sending again, as never
     /// sent, what has run.
     fn doubt(&mut self) {
-        let unknown = MayHaveRun { sent: SystemTime::UNIX_EPOCH, node: String::new(), zone: None };
+        let unknown = RecordedClaim { sent: SystemTime::UNIX_EPOCH, node: String::new(), zone: None };
         for live in self.live.values_mut() {
             live.claims.risk.get_or_insert_with(|| unknown.clone());
             live.claims.latest = false;
@@ -300,12 +300,12 @@
         }
     }
 
-    fn claim_from_folder(&self, claim: MayHaveRun) -> MayHaveRun {
-        MayHaveRun { sent: self.clock.from_folder(claim.sent), ..claim }
+    fn claim_from_folder(&self, claim: RecordedClaim) -> RecordedClaim {
+        RecordedClaim { sent: self.clock.from_folder(claim.sent), ..claim }
     }
 
-    fn claim_to_folder(&self, claim: &MayHaveRun) -> MayHaveRun {
-        MayHaveRun { sent: self.clock.to_folder(claim.sent), ..claim.clone() }
+    fn claim_to_folder(&self, claim: &RecordedClaim) -> RecordedClaim {
+        RecordedClaim { sent: self.clock.to_folder(claim.sent), ..claim.clone() }
     }
 
     /// All that is recorded of a job's claims, as the folder has it.
@@ -322,7 +322,7 @@
     ///
     /// # Errors
     /// When it is not recorded; then no later process finds it.
-    pub fn job(&mut self, job: &Job, rules: &Class) -> io::Result<Option<TakenOn>> {
+    pub fn record_job(&mut self, job: &Job, rules: &Class) -> io::Result<Option<Acceptance>> {
         let key = self.next;
         let mut frame = encode(&self.job_record(key, job));
         frame.extend(encode(&Record::Rules(key, rules.into())));
@@ -333,7 +333,7 @@
         self.append(&frame)?;
         self.next += 1;
         self.add_live(key, frame, Some(rules.clone()));
-        Ok(Some(TakenOn::journaled(key)))
+        Ok(Some(Acceptance::journaled(key)))
     }
 
     /// Whether another open job with these records fits into the folder.
@@ -347,7 +347,7 @@
     ///
     /// # Errors
     /// When it is not recorded: it must not be sent.
-    pub fn claim(&mut self, key: Key, claim: MayHaveRun) -> io::Result<()> {
+    pub fn record_claim(&mut self, key: Key, claim: RecordedClaim) -> io::Result<()> {
         self.append(&encode(&Record::Claim(key, self.claim_to_folder(&claim))))?;
         self.with(key, |live| live.claims.add(claim));
         Ok(())
@@ -357,7 +357,7 @@
     ///
     /// # Errors
     /// When that is owed to the file.
-    pub fn never_ran(&mut self, key: Key) -> io::Result<()> {
+    pub fn record_never_ran(&mut self, key: Key) -> io::Result<()> {
         self.with(key, |live| live.claims.never_ran());
         self.append_or_owe(&Record::NeverRan(key))
     }
@@ -366,15 +366,15 @@
     ///
     /// # Errors
     /// When it is not recorded: it must not be told.
-    pub fn ending(&mut self, key: Key, notice: &Notice) -> io::Result<SettledEnd> {
+    pub fn record_notice(&mut self, key: Key, notice: &Notice) -> io::Result<FinalNotice> {
         self.append(&encode(&Record::Ending(key, notice.clone())))?;
         self.with(key, |live| live.ending = Some(notice.clone()));
-        Ok(SettledEnd::recorded(notice.clone()))
+        Ok(FinalNotice::recorded(notice.clone()))
     }
 
     /// The end of a job whose time is over and whose end could not be recorded until now.
-    pub fn out_of_time(&mut self, key: Key, job: &Job) -> SettledEnd {
-        let end = SettledEnd::out_of_time(&job.id);
+    pub fn expire_job(&mut self, key: Key, job: &Job) -> FinalNotice {
+        let end = FinalNotice::expired(&job.id);
         self.with(key, |live| live.ending = Some(end.notice().clone()));
         // Owed to the file at worst.
         let _ = self.append_or_owe(&Record::Ending(key, end.notice().clone()));
@@ -385,13 +385,13 @@
     ///
     /// # Errors
     /// When that is owed to the file.
-    pub fn end(&mut self, key: Key) -> io::Result<()> {
+    pub fn remove_job(&mut self, key: Key) -> io::Result<()> {
         self.remove_live(key);
         self.append_or_owe(&Record::End(key))
     }
 
     /// Whether the file lacks records that memory has.
-    pub fn owes(&self) -> bool {
+    pub fn has_deferred_records(&self) -> bool {
         !self.owed.is_empty()
     }
 
--- a/relay/src/journal/health.rs
+++ b/relay/src/journal/health.rs
@@ -5,7 +5,7 @@
 
 /// How the journal does.
 #[derive(Default)]
-pub struct Health {
+pub struct JournalHealth {
     failing: Cell<Option<Failing>>,
     /// Records that were not written, in all.
     unwritten: Cell<u64>,
@@ -20,7 +20,7 @@
     refused: u64,
 }
 
-impl Health {
+impl JournalHealth {
     /// A record was not written; true if it is the first after one that was.
     pub(super) fn fail(&self) -> bool {
         self.unwritten.set(self.unwritten.get() + 1);
@@ -44,19 +44,19 @@
     }
 
     /// How many records were not written, tries that failed again counted.
-    pub fn unwritten(&self) -> u64 {
+    pub fn unwritten_records(&self) -> u64 {
         self.unwritten.get()
     }
 
     /// Done while records are not written.
-    pub async fn failed(&self) {
+    pub async fn wait_for_failure(&self) {
         while !self.is_failing() {
             self.failed.notified().await;
         }
     }
 
     /// Done when records are written again.
-    pub async fn works(&self) {
+    pub async fn wait_for_recovery(&self) {
         while self.is_failing() {
             self.works.notified().await;
         }
--- a/relay/src/journal/queued.rs
+++ b/relay/src/journal/queued.rs
@@ -12,7 +12,7 @@
 use onyxglade_backlog::message::Place;
 use slatethread::Class;
 
-use super::{Claims, Journal, Key, MayHaveRun, Record, TakenUnder, encode};
+use super::{Claims, Journal, Key, Record, RecordedClaim, TakenUnder, encode};
 use crate::job::Job;
 
 /// The form of what is written here; a later one is not read.
@@ -78,7 +78,7 @@
     }
 
     /// The first attempt that may have run.
-    pub fn risk(&self) -> Option<MayHaveRun> {
+    pub fn risk(&self) -> Option<RecordedClaim> {
         self.claims.risk.clone()
     }
 
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// When the file cannot be written; then the request is still the backlog's.
-    pub fn fetched(&mut self, request: &QueuedRequest, place: Place) -> io::Result<Option<Key>> {
+    pub fn record_fetched(&mut self, request: &QueuedRequest, place: Place) -> io::Result<Option<Key>> {
         let key = self.next;
         let mut frame = encode(&self.job_record(key, &request.job));
         frame.extend(encode(&Record::Rules(key, request.rules.clone())));
@@ -120,7 +120,7 @@
 
     /// An open request as the backlog is to have it again, and its place there; `None` if it did not come from there
     /// or has ended.
-    pub fn to_put_back(&self, key: Key, job: &Job) -> Option<(QueuedRequest, Place)> {
+    pub fn put_back_copy(&self, key: Key, job: &Job) -> Option<(QueuedRequest, Place)> {
         let live = self.live.get(&key)?;
         let mut request = QueuedRequest::new(job.clone(), live.rules.as_ref()?);
         request.claims = live.claims.clone();
--- a/relay/src/journal/queued/tests.rs
+++ b/relay/src/journal/queued/tests.rs
@@ -48,8 +48,8 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut journal = with_backlog(folder.path());
     let queued = QueuedRequest::new(job("a", 9), &rules());
-    let key = journal.fetched(&queued, place(5)).expect("written").expect("room");
-    journal.claim(key, claim(1)).expect("written");
+    let key = journal.record_fetched(&queued, place(5)).expect("written").expect("room");
+    journal.record_claim(key, claim(1)).expect("written");
     drop(journal);
     // Once as it was appended, once as it was rewritten.
     for _ in 0..2 {
@@ -65,17 +65,17 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut journal = with_backlog(folder.path());
     let queued = QueuedRequest::new(job("a", 9), &rules());
-    let key = journal.fetched(&queued, place(5)).expect("written").expect("room");
-    journal.claim(key, claim(1)).expect("written");
-    journal.claim(key, claim(2)).expect("written");
-    journal.never_ran(key).expect("written");
-    let (back, at) = journal.to_put_back(key, &job("a", 9)).expect("open");
+    let key = journal.record_fetched(&queued, place(5)).expect("written").expect("room");
+    journal.record_claim(key, claim(1)).expect("written");
+    journal.record_claim(key, claim(2)).expect("written");
+    journal.record_never_ran(key).expect("written");
+    let (back, at) = journal.put_back_copy(key, &job("a", 9)).expect("open");
     assert_eq!((at, back.may_have_run()), (place(5), true));
-    journal.end(key).expect("written");
-    assert!(journal.to_put_back(key, &job("a", 9)).is_none(), "it has ended here");
+    journal.remove_job(key).expect("written");
+    assert!(journal.put_back_copy(key, &job("a", 9)).is_none(), "it has ended here");
 
     let again = QueuedRequest::decode(&back.encode()).expect("a request");
-    let key = journal.fetched(&again, place(5)).expect("written").expect("room");
+    let key = journal.record_fetched(&again, place(5)).expect("written").expect("room");
     assert_eq!(journal.risk(key), Some(claim(1)));
     drop(journal);
     let (_, open) = Journal::open(folder.path(), LIMIT).expect("it opens");
@@ -87,7 +87,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut journal = with_backlog(folder.path());
     let key = take(&mut journal, &job("a", 9));
-    assert!(journal.to_put_back(key, &job("a", 9)).is_none());
+    assert!(journal.put_back_copy(key, &job("a", 9)).is_none());
 }
 
 #[test]
@@ -95,7 +95,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut journal = with_backlog(folder.path());
     let queued = QueuedRequest::new(job("a", 60_000), &rules());
-    assert_eq!(journal.fetched(&queued, place(1)).expect("no fault"), None);
+    assert_eq!(journal.record_fetched(&queued, place(1)).expect("no fault"), None);
     drop(journal);
     assert!(Journal::open(folder.path(), LIMIT).expect("it opens").1.is_empty());
 }
@@ -104,7 +104,7 @@
 fn without_a_backlog_the_file_has_the_format_from_before() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut journal, _) = Journal::open(folder.path(), LIMIT).expect("it opens");
-    journal.job(&job("a", 9), &rules()).expect("written");
+    journal.record_job(&job("a", 9), &rules()).expect("written");
     drop(journal);
     assert_eq!(format_of(folder.path()), PLAIN_FORMAT);
     drop(with_backlog(folder.path()));
@@ -116,11 +116,11 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut journal = with_backlog(folder.path());
     let queued = QueuedRequest::new(job("a", 9), &rules());
-    let key = journal.fetched(&queued, place(5)).expect("written").expect("room");
+    let key = journal.record_fetched(&queued, place(5)).expect("written").expect("room");
     drop(journal);
     let (mut journal, _) = Journal::open(folder.path(), LIMIT).expect("it opens");
     assert_eq!(format_of(folder.path()), FORMAT, "its place must not be lost");
-    journal.end(key).expect("written");
+    journal.remove_job(key).expect("written");
     drop(journal);
     drop(Journal::open(folder.path(), LIMIT).expect("it opens"));
     assert_eq!(format_of(folder.path()), PLAIN_FORMAT);
--- a/relay/src/journal/receipt.rs
+++ b/relay/src/journal/receipt.rs
@@ -6,16 +6,16 @@
 
 /// A message that outlasts the process: its submitter may be told that it is taken on.
 #[derive(Debug, PartialEq, Eq)]
-pub struct TakenOn(Option<Key>);
+pub struct Acceptance(Option<Key>);
 
-impl TakenOn {
+impl Acceptance {
     pub(super) fn journaled(key: Key) -> Self {
-        TakenOn(Some(key))
+        Acceptance(Some(key))
     }
 
     /// The backlog on disk has it at a place.
     pub fn in_backlog(_stored: &Place) -> Self {
-        TakenOn(None)
+        Acceptance(None)
     }
 
     /// Its number in the journal, if it is there.
@@ -26,22 +26,22 @@
 
 /// An end that every later process comes to as well: it may be told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SettledEnd(Notice);
+pub struct FinalNotice(Notice);
 
-impl SettledEnd {
+impl FinalNotice {
     /// The journal has it.
     pub(super) fn recorded(notice: Notice) -> Self {
-        SettledEnd(notice)
+        FinalNotice(notice)
     }
 
     /// The message's time is over: whoever finds it open fails it, by real time, without any record.
-    pub fn out_of_time(id: &str) -> Self {
-        SettledEnd(Notice { id: id.to_owned(), end: NoticeEnd::Failed { status: None } })
+    pub fn expired(id: &str) -> Self {
+        FinalNotice(Notice { id: id.to_owned(), end: NoticeEnd::Failed { status: None } })
     }
 
     /// It follows from what the backlog on disk has, which goes on having it until this is told.
-    pub fn of_backlog(notice: Notice) -> Self {
-        SettledEnd(notice)
+    pub fn from_backlog(notice: Notice) -> Self {
+        FinalNotice(notice)
     }
 
     /// How it ended.
--- a/relay/src/journal/record.rs
+++ b/relay/src/journal/record.rs
@@ -22,17 +22,17 @@
 
 /// A claim that may have run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MayHaveRun {
+pub struct RecordedClaim {
     /// Just before its first byte.
     pub sent: SystemTime,
     pub node: String,
     pub zone: Option<String>,
 }
 
-impl MayHaveRun {
+impl RecordedClaim {
     /// How long ago it was sent. By a clock that was set back it lies in the future: then nobody can say, and it
     /// counts as longer ago than any memory lasts.
-    pub fn ago(&self, now: SystemTime) -> Duration {
+    pub fn age(&self, now: SystemTime) -> Duration {
         now.duration_since(self.sent).unwrap_or(Duration::MAX)
     }
 }
@@ -40,7 +40,7 @@
 #[derive(Serialize, Deserialize)]
 pub(super) enum Record {
     Job(Key, Job),
-    Claim(Key, MayHaveRun),
+    Claim(Key, RecordedClaim),
     /// The job's latest claim never ran.
     NeverRan(Key),
     /// All that earlier records said of a job's claims.
@@ -128,13 +128,13 @@
 pub(super) struct Claims {
     pub tries: u32,
     /// The first that may have run.
-    pub risk: Option<MayHaveRun>,
+    pub risk: Option<RecordedClaim>,
     /// That first one is the latest, so that it may still turn out never to have run.
     pub latest: bool,
 }
 
 impl Claims {
-    pub fn add(&mut self, claim: MayHaveRun) {
+    pub fn add(&mut self, claim: RecordedClaim) {
         self.tries += 1;
         self.latest = self.risk.is_none();
         self.risk.get_or_insert(claim);
--- a/relay/src/journal/storage.rs
+++ b/relay/src/journal/storage.rs
@@ -23,7 +23,7 @@
 
 /// Whether a fault of the folder may pass by itself: it is full, its disk or the system fails for a while. The others say that the
 /// folder is not one in which a journal can be kept.
-pub fn may_pass(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     const PASSING: [Errno; 12] = [
         Errno::NOSPC,
         Errno::DQUOT,
--- a/relay/src/journal/tests.rs
+++ b/relay/src/journal/tests.rs
@@ -21,7 +21,7 @@
 
 /// Takes a job on.
 pub(super) fn take(journal: &mut Journal, job: &Job) -> Key {
-    journal.job(job, &rules()).expect("written").expect("room").key().expect("journaled")
+    journal.record_job(job, &rules()).expect("written").expect("room").key().expect("journaled")
 }
 
 pub(super) fn rules() -> Class {
@@ -34,9 +34,9 @@
     }
 }
 
-pub(super) fn claim(at: u64) -> MayHaveRun {
+pub(super) fn claim(at: u64) -> RecordedClaim {
     let sent = SystemTime::UNIX_EPOCH + Duration::from_secs(at);
-    MayHaveRun { sent, node: "n1".into(), zone: None }
+    RecordedClaim { sent, node: "n1".into(), zone: None }
 }
 
 fn disk_use(folder: &Path) -> u64 {
@@ -49,29 +49,29 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (mut journal, _) = Journal::open(folder.path(), 100_000).expect("it opens");
     let keys = ["a", "b", "c", "d"].map(|id| take(&mut journal, &job(id, 9)));
-    journal.claim(keys[0], claim(1)).expect("written");
-    journal.never_ran(keys[0]).expect("written");
-    journal.claim(keys[0], claim(2)).expect("written");
-    journal.claim(keys[0], claim(3)).expect("written");
-    journal.never_ran(keys[0]).expect("written");
-    journal.end(keys[1]).expect("written");
+    journal.record_claim(keys[0], claim(1)).expect("written");
+    journal.record_never_ran(keys[0]).expect("written");
+    journal.record_claim(keys[0], claim(2)).expect("written");
+    journal.record_claim(keys[0], claim(3)).expect("written");
+    journal.record_never_ran(keys[0]).expect("written");
+    journal.remove_job(keys[1]).expect("written");
     let notice = Notice { id: "c".into(), end: NoticeEnd::Returned { after: None } };
-    journal.ending(keys[2], &notice).expect("written");
+    journal.record_notice(keys[2], &notice).expect("written");
     // Once as it was appended, once as it was rewritten.
     for _ in 0..2 {
         let (_, open) = Journal::open(folder.path(), 100_000).expect("it opens");
         let ids: Vec<_> = open.iter().map(|o| o.job.id.as_str()).collect();
         assert_eq!(ids, ["a", "c", "d"]);
         assert_eq!((open[0].tries, open[0].risk.clone()), (3, Some(claim(2))));
-        assert_eq!(open[1].ending, Some(notice.clone()));
+        assert_eq!(open[1].pending_notice, Some(notice.clone()));
         assert_eq!(open[2].job, job("d", 9));
     }
 }
 
 #[test]
 fn a_claim_from_the_future_is_remembered_by_nobody() {
-    assert_eq!(claim(9).ago(claim(7).sent), Duration::MAX);
-    assert_eq!(claim(7).ago(claim(9).sent), Duration::from_secs(2));
+    assert_eq!(claim(9).age(claim(7).sent), Duration::MAX);
+    assert_eq!(claim(7).age(claim(9).sent), Duration::from_secs(2));
 }
 
 #[test]
@@ -79,7 +79,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (mut journal, _) = Journal::open(folder.path(), 100_000).expect("it opens");
     for id in ["a", "b"] {
-        journal.job(&job(id, 50), &rules()).expect("written");
+        journal.record_job(&job(id, 50), &rules()).expect("written");
     }
     drop(journal);
     let file = folder.path().join("journal");
@@ -91,7 +91,7 @@
         std::fs::write(&file, &text[..text.len() - cut]).expect("written");
         let (mut journal, open) = Journal::open(folder.path(), 100_000).expect("it opens");
         assert_eq!(open.len(), 1, "{cut} bytes are missing");
-        journal.job(&job("z", 5), &rules()).expect("written");
+        journal.record_job(&job("z", 5), &rules()).expect("written");
         let (_, open) = Journal::open(folder.path(), 100_000).expect("it opens");
         assert_eq!(open.last().map(|o| o.job.id.as_str()), Some("z"));
     }
@@ -105,15 +105,16 @@
     let mut open = std::collections::VecDeque::new();
     let mut refused = 0;
     for round in 0..3000 {
-        match journal.job(&job(&format!("j{round}"), (round * 37) % 3000), &rules()).expect("written") {
+        match journal.record_job(&job(&format!("j{round}"), (round * 37) % 3000), &rules()).expect("written")
+        {
             Some(taken_on) => open.push_back(taken_on.key().expect("journaled")),
             None => refused += 1,
         }
         for key in &open {
-            journal.claim(*key, claim(round as u64)).expect("written");
+            journal.record_claim(*key, claim(round as u64)).expect("written");
         }
         if round % 3 > 0 {
-            open.pop_front().into_iter().for_each(|key| journal.end(key).expect("written"));
+            open.pop_front().into_iter().for_each(|key| journal.remove_job(key).expect("written"));
         }
         // The successor is there for a moment only: what both take is bounded by what is live.
         assert!(disk_use(folder.path()) + journal.live_size <= limit, "round {round}");
@@ -135,7 +136,7 @@
 }
 
 /// What is open by such a text, without a file: a file for each damaged byte would take a minute.
-fn read(text: &[u8]) -> Vec<Open> {
+fn read(text: &[u8]) -> Vec<OpenJob> {
     let folder = tempfile::tempdir().expect("a folder");
     let clock = FolderClock::open(folder.path()).expect("it can be read");
     let disk = storage_double::Disk::holding(text.to_vec());
@@ -155,8 +156,8 @@
 #[test]
 fn damage_at_any_byte_hides_no_record_behind_it_and_leaves_no_claim_forgotten() {
     let (_folder, _file, text) = written(&["a", "b", "c"], |journal, keys| {
-        journal.claim(keys[0], claim(1)).expect("written");
-        journal.job(&job("d", 9), &rules()).expect("written");
+        journal.record_claim(keys[0], claim(1)).expect("written");
+        journal.record_job(&job("d", 9), &rules()).expect("written");
     });
     let at = records(&text);
     // The format twice, three jobs with their rules, a claim, a fourth job with its own.
@@ -193,8 +194,8 @@
     let mut holder = job("b", 0);
     holder.body = Bytes::from([&[0; 40][..], &forged, &[0; 40]].concat());
     let (folder, file, text) = written(&["a"], |journal, _| {
-        journal.job(&holder, &rules()).expect("written");
-        journal.job(&job("c", 9), &rules()).expect("written");
+        journal.record_job(&holder, &rules()).expect("written");
+        journal.record_job(&job("c", 9), &rules()).expect("written");
     });
     let mut damaged = text.clone();
     // The length of the record that holds it.
@@ -225,14 +226,14 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (mut journal, _) = Journal::open(folder.path(), 100_000).expect("it opens");
     let key = take(&mut journal, &job("a", 9));
-    journal.claim(key, claim(1)).expect("written");
-    journal.never_ran(key).expect("written");
-    journal.claim(key, claim(2)).expect("written");
-    journal.claim(key, claim(3)).expect("written");
-    journal.never_ran(key).expect("written");
+    journal.record_claim(key, claim(1)).expect("written");
+    journal.record_never_ran(key).expect("written");
+    journal.record_claim(key, claim(2)).expect("written");
+    journal.record_claim(key, claim(3)).expect("written");
+    journal.record_never_ran(key).expect("written");
     let notice = Notice { id: "a".into(), end: NoticeEnd::Failed { status: None } };
-    journal.ending(key, &notice).expect("written");
-    journal.end(key).expect("written");
+    journal.record_notice(key, &notice).expect("written");
+    journal.remove_job(key).expect("written");
     let text = std::fs::read(folder.path().join("journal")).expect("it is there");
     let at = records(&text);
     // After each whole record: whether the job is open, its tries, when its first claim was sent that may have run,
@@ -256,12 +257,12 @@
         let open = read(&text[..cut]);
         let found = open.first().map_or((false, 0, None, false), |open| {
             let sent = open.risk.as_ref().map(claim_time);
-            (true, open.tries, sent, open.ending.is_some())
+            (true, open.tries, sent, open.pending_notice.is_some())
         });
         assert_eq!(found, after[whole], "{cut} bytes");
     }
 }
 
-fn claim_time(risk: &MayHaveRun) -> u64 {
+fn claim_time(risk: &RecordedClaim) -> u64 {
     risk.sent.duration_since(SystemTime::UNIX_EPOCH).expect("after it").as_secs()
 }
--- a/relay/src/journal/tests_of_faults.rs
+++ b/relay/src/journal/tests_of_faults.rs
@@ -9,7 +9,7 @@
 
 const LIMIT: u64 = 60_000;
 
-fn open(disk: &Disk) -> (Journal, Vec<Open>) {
+fn open(disk: &Disk) -> (Journal, Vec<OpenJob>) {
     let folder = tempfile::tempdir().expect("a folder");
     let clock = FolderClock::open(folder.path()).expect("it can be read");
     // The clock's record is not what is tested here; its folder goes after it was written.
@@ -19,7 +19,7 @@
 }
 
 /// What a process that starts now would find.
-fn found(disk: &Disk) -> Vec<Open> {
+fn found(disk: &Disk) -> Vec<OpenJob> {
     open(&Disk::holding(disk.bytes())).1
 }
 
@@ -85,7 +85,7 @@
         prop_assert_eq!(open.tries, told.tries, "{}", id);
         prop_assert!(open.risk.is_some() || !told.may_have_run, "{id} may have run");
         if told.end.is_some() {
-            prop_assert_eq!(&open.ending, &told.end, "{}", id);
+            prop_assert_eq!(&open.pending_notice, &told.end, "{}", id);
         }
         prop_assert_eq!(open.rules.as_ref(), Some(&rules()), "{}", id);
     }
@@ -113,7 +113,7 @@
             match step {
                 Step::TakeOn { size } => {
                     let id = format!("j{number}");
-                    match journal.job(&job(&id, size), &rules()) {
+                    match journal.record_job(&job(&id, size), &rules()) {
                         Ok(Some(taken_on)) => {
                             let key = taken_on.key().expect("journaled");
                             told.insert(id, Told { key, ..Told::default() });
@@ -123,22 +123,22 @@
                 }
                 Step::Claim(which) => {
                     let Some(told) = chosen(which).and_then(|id| told.get_mut(&id)) else { continue };
-                    let claim = MayHaveRun { sent: SystemTime::now(), node: "n".into(), zone: None };
-                    if told.end.is_none() && journal.claim(told.key, claim).is_ok() {
+                    let claim = RecordedClaim { sent: SystemTime::now(), node: "n".into(), zone: None };
+                    if told.end.is_none() && journal.record_claim(told.key, claim).is_ok() {
                         told.tries += 1;
                         told.may_have_run = true;
                     }
                 }
                 Step::NeverRan(which) => {
                     let Some(told) = chosen(which).and_then(|id| told.get_mut(&id)) else { continue };
-                    let _ = journal.never_ran(told.key);
+                    let _ = journal.record_never_ran(told.key);
                     told.may_have_run = journal.risk(told.key).is_some();
                 }
                 Step::Ending(which) => {
                     let Some(id) = chosen(which) else { continue };
                     let told = told.get_mut(&id).expect("chosen from it");
                     let notice = Notice { id, end: NoticeEnd::Returned { after: None } };
-                    if told.end.is_none() && let Ok(end) = journal.ending(told.key, &notice) {
+                    if told.end.is_none() && let Ok(end) = journal.record_notice(told.key, &notice) {
                         told.end = Some(end.notice().clone());
                     }
                 }
@@ -146,19 +146,19 @@
                     let Some(id) = chosen(which) else { continue };
                     let told = told.get_mut(&id).expect("chosen from it");
                     if told.end.is_none() {
-                        let end = journal.out_of_time(told.key, &job(&id, 0));
+                        let end = journal.expire_job(told.key, &job(&id, 0));
                         // Until it is recorded, a later process comes to it by the time.
-                        told.end = (!journal.owes()).then(|| end.notice().clone());
+                        told.end = (!journal.has_deferred_records()).then(|| end.notice().clone());
                     }
                 }
                 Step::End(which) => {
                     let Some(told) = chosen(which).and_then(|id| told.get_mut(&id)) else { continue };
-                    told.over_recorded = journal.end(told.key).is_ok();
+                    told.over_recorded = journal.remove_job(told.key).is_ok();
                     told.over = true;
                 }
                 Step::Retry => {
                     if journal.retry().is_ok() {
-                        prop_assert!(!journal.owes() && !journal.health().is_failing());
+                        prop_assert!(!journal.has_deferred_records() && !journal.health().is_failing());
                     }
                 }
                 Step::Restart => {
@@ -170,11 +170,11 @@
                         told.over = !open.contains_key(id);
                         told.over_recorded = told.over;
                         let Some(open) = open.get(id) else { continue };
-                        (told.may_have_run, told.end) = (open.risk.is_some(), open.ending.clone());
+                        (told.may_have_run, told.end) = (open.risk.is_some(), open.pending_notice.clone());
                     }
                 }
             }
-            if !journal.owes() {
+            if !journal.has_deferred_records() {
                 told.values_mut().for_each(|told| told.over_recorded = told.over);
             }
             check(&disk, &told, &refused)?;
@@ -187,17 +187,17 @@
 fn half_of_what_was_refused_is_not_taken_on_by_the_next_process() {
     let whole = {
         let disk = Disk::default();
-        open(&disk).0.job(&job("a", 9), &rules()).expect("written");
+        open(&disk).0.record_job(&job("a", 9), &rules()).expect("written");
         disk.bytes().len()
     };
     for written in 0..whole {
         let disk = Disk::default();
         let (mut journal, _) = open(&disk);
         disk.fail([Fate::Torn(written), Fate::Fails]);
-        journal.job(&job("a", 9), &rules()).expect_err("the disk is full");
+        journal.record_job(&job("a", 9), &rules()).expect_err("the disk is full");
         assert!(found(&disk).is_empty(), "{written} bytes");
         // With room again it goes on behind a sound end.
-        let key = journal.job(&job("b", 9), &rules()).expect("written").expect("room").key();
+        let key = journal.record_job(&job("b", 9), &rules()).expect("written").expect("room").key();
         let open = found(&disk);
         assert_eq!((open.len(), Some(open[0].key)), (1, key), "{written} bytes");
     }
@@ -207,12 +207,12 @@
 fn a_journal_that_cannot_be_written_anew_as_it_opens_tells_what_is_open_and_is_written_later() {
     let disk = Disk::default();
     let (mut journal, _) = open(&disk);
-    journal.job(&job("a", 9), &rules()).expect("written");
+    journal.record_job(&job("a", 9), &rules()).expect("written");
     disk.fail([Fate::Fails]);
     let (mut journal, found) = open(&disk);
     assert_eq!(found.len(), 1);
     assert!(journal.health().is_failing());
-    journal.job(&job("b", 9), &rules()).expect("written");
+    journal.record_job(&job("b", 9), &rules()).expect("written");
     assert!(!journal.health().is_failing());
     assert_eq!(self::found(&disk).len(), 2);
 }
--- a/relay/src/lease_record.rs
+++ b/relay/src/lease_record.rs
@@ -18,7 +18,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use crate::clock::{boot, monotonic};
+use crate::clock::{boot_id, monotonic};
 
 const FORM: u32 = 1;
 const LENGTH: usize = 4 + 16 + 8 + 8 + 4;
@@ -26,11 +26,11 @@
 
 /// What a process before knew of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Confirmed {
+pub struct ListConfirmation {
     /// The version of the list.
     pub generation: u64,
     /// How long ago it was confirmed.
-    pub ago: Duration,
+    pub age: Duration,
 }
 
 /// The record's file.
@@ -48,10 +48,10 @@
     /// # Errors
     ///
     /// The file can be neither opened nor made.
-    pub fn open(folder: &Path) -> io::Result<(LeaseRecord, Option<Confirmed>)> {
+    pub fn open(folder: &Path) -> io::Result<(LeaseRecord, Option<ListConfirmation>)> {
         let path = folder.join(NAME);
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
-        let boot = boot();
+        let boot = boot_id();
         let mut bytes = [0; LENGTH];
         let confirmed = match (file.read_exact_at(&mut bytes, 0), boot) {
             (Ok(()), Some(boot)) => decode(&bytes, boot, monotonic()),
@@ -66,7 +66,7 @@
     }
 
     /// Puts down when the list was confirmed; none if there is nothing to rely on.
-    pub fn write(&mut self, confirmed: Option<Confirmed>) {
+    pub fn write(&mut self, confirmed: Option<ListConfirmation>) {
         let written = match confirmed {
             Some(confirmed) => self.file.write_all_at(&encode(confirmed, self.boot, monotonic()), 0),
             None => self.file.set_len(0),
@@ -83,8 +83,8 @@
     }
 }
 
-fn encode(confirmed: Confirmed, boot: [u8; 16], now: Duration) -> Vec<u8> {
-    let at = now.saturating_sub(confirmed.ago).as_nanos() as u64;
+fn encode(confirmed: ListConfirmation, boot: [u8; 16], now: Duration) -> Vec<u8> {
+    let at = now.saturating_sub(confirmed.age).as_nanos() as u64;
     let mut bytes = FORM.to_le_bytes().to_vec();
     bytes.extend_from_slice(&boot);
     bytes.extend_from_slice(&confirmed.generation.to_le_bytes());
@@ -93,12 +93,12 @@
     bytes
 }
 
-fn decode(bytes: &[u8; LENGTH], boot: [u8; 16], now: Duration) -> Option<Confirmed> {
+fn decode(bytes: &[u8; LENGTH], boot: [u8; 16], now: Duration) -> Option<ListConfirmation> {
     let number = |at: usize| u64::from_le_bytes(bytes[at..at + 8].try_into().expect("eight bytes"));
     let sum = crc32fast::hash(&bytes[..LENGTH - 4]).to_le_bytes();
     let sound = bytes[..4] == FORM.to_le_bytes() && bytes[4..20] == boot && bytes[LENGTH - 4..] == sum;
-    let ago = now.checked_sub(Duration::from_nanos(number(28)))?;
-    sound.then(|| Confirmed { generation: number(20), ago })
+    let age = now.checked_sub(Duration::from_nanos(number(28)))?;
+    sound.then(|| ListConfirmation { generation: number(20), age })
 }
 
 #[cfg(test)]
--- a/relay/src/lease_record/tests.rs
+++ b/relay/src/lease_record/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const CONFIRMED: Confirmed = Confirmed { generation: 41, ago: Duration::from_secs(2) };
+const CONFIRMED: ListConfirmation = ListConfirmation { generation: 41, age: Duration::from_secs(2) };
 const NOW: Duration = Duration::from_secs(1000);
 
 fn record(boot: u8) -> [u8; LENGTH] {
@@ -10,7 +10,7 @@
 #[test]
 fn a_record_says_how_long_ago_the_list_was_confirmed() {
     let later = NOW + Duration::from_millis(600);
-    let expected = Confirmed { ago: Duration::from_millis(2600), ..CONFIRMED };
+    let expected = ListConfirmation { age: Duration::from_millis(2600), ..CONFIRMED };
     assert_eq!(decode(&record(7), [7; 16], later), Some(expected));
 }
 
@@ -34,7 +34,7 @@
     record.write(Some(CONFIRMED));
     let (mut record, before) = LeaseRecord::open(folder.path()).expect("opened");
     let before = before.expect("it was written");
-    assert!(before.generation == 41 && before.ago >= CONFIRMED.ago && before.ago < Duration::from_secs(60));
+    assert!(before.generation == 41 && before.age >= CONFIRMED.age && before.age < Duration::from_secs(60));
     record.write(None);
     assert_eq!(LeaseRecord::open(folder.path()).expect("opened").1, None);
     record.write(Some(CONFIRMED));
--- a/relay/src/main.rs
+++ b/relay/src/main.rs
@@ -136,7 +136,7 @@
 }
 
 fn backlog(address: SocketAddr, destination: Option<u64>, json: bool) -> ExitCode {
-    match actix_rt::System::new().block_on(report::ask(address, destination)) {
+    match actix_rt::System::new().block_on(report::fetch(address, destination)) {
         Ok(told) if json => {
             println!("{}", serde_json::to_string_pretty(&told).expect("a report has only plain values"));
             ExitCode::SUCCESS
--- a/relay/src/platform/carrier.rs
+++ b/relay/src/platform/carrier.rs
@@ -26,7 +26,7 @@
 use crate::core::{Carrier, Core, Node, Part, Ticket};
 use crate::discovery::Place;
 use crate::job::{Job, Outcome, told_seconds};
-use crate::journal::SettledEnd;
+use crate::journal::FinalNotice;
 
 /// How long a connection may be used; a machine that serves for a year must not tire of them.
 const LIFETIME: Duration = Duration::from_secs(365 * 24 * 3600);
@@ -428,7 +428,7 @@
         outcomes
     }
 
-    async fn notify(&self, end: &SettledEnd) -> Result<(), String> {
+    async fn notify(&self, end: &FinalNotice) -> Result<(), String> {
         let notice = end.notice();
         let (told, mut hear) = oneshot::channel();
         self.outbox.borrow_mut().push_back((crate::notice::line(notice), told));
--- a/relay/src/push/gateways.rs
+++ b/relay/src/push/gateways.rs
@@ -26,7 +26,7 @@
 use crate::config::{PoolLimits, Secured, Trust};
 use crate::core::{Carrier, Core, Node, Ticket};
 use crate::job::{Job, Outcome};
-use crate::journal::SettledEnd;
+use crate::journal::FinalNotice;
 use crate::tls;
 
 /// Streams of claims given up that a late answer may still come for without ending the connection.
@@ -464,7 +464,7 @@
         }
     }
 
-    async fn notify(&self, end: &SettledEnd) -> Result<(), String> {
+    async fn notify(&self, end: &FinalNotice) -> Result<(), String> {
         let notice = end.notice();
         let body = Bytes::from(crate::notice::line(notice));
         let request = Request::post(format!("http://{}/reports", self.notices.get())).body(());
--- a/relay/src/run.rs
+++ b/relay/src/run.rs
@@ -17,10 +17,10 @@
 use crate::core::{Carrier, Core, NotOut};
 use crate::disabled::Disabled;
 use crate::figures::{BacklogFigures, Census, Figures};
-use crate::handover::{self, Elder};
+use crate::handover::{self, HandoverListener};
 use crate::hook::Hooks;
 use crate::instances::{self, Instances, Sharing};
-use crate::journal::{Journal, Open, may_pass};
+use crate::journal::{Journal, OpenJob, is_transient};
 use crate::lease_record::LeaseRecord;
 use crate::list::NodeList;
 use crate::listener::listen;
@@ -69,7 +69,7 @@
     let platform = config::platform().map_err(Fault::Configuration)?;
     if let Some(platform) = &platform {
         // Before anything is reckoned by it.
-        clock::adopt(&platform.state);
+        clock::restore_epoch(&platform.state);
     }
     let own = file.as_deref().map(config::own).transpose().map_err(Fault::Configuration)?;
     let own = own.unwrap_or_default();
@@ -230,7 +230,7 @@
     core: Rc<Core<crate::platform::carrier::ToNodes>>,
     places: Rc<Places>,
     budget: Rc<Budget>,
-    elder: Option<Rc<Elder>>,
+    elder: Option<Rc<HandoverListener>>,
     following: actix_rt::task::JoinHandle<()>,
     listen: std::net::SocketAddr,
 }
@@ -286,7 +286,9 @@
                 }
                 return Ok(done);
             }
-            Err(error) if !may_pass(&error) => return Err(format!("{what} in {}: {error}", state.display())),
+            Err(error) if !is_transient(&error) => {
+                return Err(format!("{what} in {}: {error}", state.display()));
+            }
             Err(error) => {
                 if !std::mem::replace(&mut told, true) {
                     let state = state.display();
@@ -299,7 +301,7 @@
 }
 
 /// The journal and what it holds open, as soon as its folder can be read.
-async fn open_journal(state: &Path, disk: u64) -> Result<(Journal, Vec<Open>), String> {
+async fn open_journal(state: &Path, disk: u64) -> Result<(Journal, Vec<OpenJob>), String> {
     in_the_end(state, "journal", async || Journal::open(state, disk)).await
 }
 
@@ -349,7 +351,7 @@
     let (lock, legacy) = match upgrades {
         true => {
             let owned = in_the_end(&config.state, "lock", async || {
-                handover::own(&config.state, || desk.set_ready()).await
+                handover::acquire(&config.state, || desk.set_ready()).await
             });
             let (lock, legacy) = owned.await.map_err(|e| format!("BALANCER_STATE: {e}"))?;
             (Some(lock), legacy)
@@ -367,7 +369,7 @@
     let mut listener = None;
     let opened = match Journal::open(&config.state, disk) {
         Ok(opened) => Ok(opened),
-        Err(error) if !may_pass(&error) => Err(format!("journal in {}: {error}", config.state.display())),
+        Err(error) if !is_transient(&error) => Err(format!("journal in {}: {error}", config.state.display())),
         Err(_) => {
             let listener = listener.insert(listen_to_submitters(config.listen).await?);
             tokio::select! {
@@ -378,7 +380,7 @@
     };
     let (mut journal, open) = opened.map_err(|e| format!("BALANCER_STATE: {e}"))?;
     tracing::info!(recovered = open.len(), "journal read");
-    journal.guard(lock);
+    journal.keep_lock(lock);
     let core = new_core(to_nodes, config.rules, hooks, config.seed, &config.state, journal, figures);
     if let Some(settings) = backlog {
         settings.check_folder(Some(&config.state))?;
@@ -389,11 +391,11 @@
     let mut held = None;
     match legacy {
         Some(legacy) => {
-            if legacy.estate.drained {
+            if legacy.state.drained {
                 process.turn(Word::Drain);
             }
-            let homes = core.inherit(&legacy.estate, open).await;
-            held = legacy.estate.generation;
+            let homes = core.inherit(&legacy.state, open).await;
+            held = legacy.state.generation;
             let (core, places, budget, idle) = (core.clone(), places.clone(), budget.clone(), *idle);
             actix_rt::spawn(legacy.follow(core.clone(), homes, move || {
                 budget.shared.set(false);
@@ -418,7 +420,7 @@
     }
     let following = actix_rt::spawn(crate::discovery::follow(core.clone(), discovery, held, sharing));
     actix_rt::spawn(crate::platform::carrier::close_idle(core.clone()));
-    let elder = upgrades.then(|| Elder::listen(&config.state)).transpose();
+    let elder = upgrades.then(|| HandoverListener::listen(&config.state)).transpose();
     let elder = elder.unwrap_or_else(|fault| {
         tracing::warn!(%fault, "upgrade: no newcomer can be met; it takes over when this process has ended");
         None
@@ -454,7 +456,7 @@
     core: &Rc<Core<C>>,
     settings: &config::Backlog,
     owner: &str,
-    journaled: &[Open],
+    journaled: &[OpenJob],
 ) -> Result<(), String> {
     let rules = core.rules();
     let classes = rules.names.classes.iter().zip(&rules.settings.classes);
@@ -496,7 +498,7 @@
     /// Hands the relay to a newcomer, if one waits; done once nothing is left to do here.
     async fn hand_over(&self, drained: bool) -> bool {
         let Some(elder) = &self.elder else { return false };
-        if !elder.is_linked() {
+        if !elder.has_successor() {
             return false;
         }
         let end = Instant::now() + LAST_HOME;
