--- a/relay/src/clock.rs
+++ b/relay/src/clock.rs
@@ -1,19 +1,20 @@
-//! The time that deadlines and attempts are kept by: spans of real time that outlast the process.
+//! Timestamps for deadlines and attempts: they follow real time, survive a restart and ignore steps of the wall clock.
 //!
-//! The wall clock may be stepped at any moment, also while no process runs, so nothing is reckoned by it. Times are what the wall clock
-//! said when the machine's boot was first seen, plus what the monotonic clock has run since. That first reading is kept in the folder
-//! that lasts, so that every process of a boot reckons alike; another boot begins anew, since the monotonic clock does.
+//! The wall clock may be stepped at any moment, also while no process runs, so no time is computed from it directly. A timestamp is the
+//! epoch plus the present reading of the monotonic clock. The epoch is the Unix time at which the monotonic clock was zero, measured
+//! once per boot of the machine. It is stored in the state folder, so that all processes of one boot compute the same timestamps;
+//! after a reboot it is measured again, since the monotonic clock restarts.
 //!
 //! The record is a file of its own, little-endian, written before the journal has its first record of the boot:
 //!
 //! | bytes | what |
 //! | --- | --- |
-//! | 4 | the form of the record, [`FORM`] |
-//! | 16 | the boot of the machine, as the system numbers it |
-//! | 8 | the Unix time at which the monotonic clock was zero, in nanoseconds |
-//! | 4 | CRC-32 of all that stands before |
+//! | 4 | format of the record, [`FORMAT`] |
+//! | 16 | boot ID of the machine, as the kernel reports it |
+//! | 8 | the epoch: Unix time at which the monotonic clock was zero, in nanoseconds |
+//! | 4 | CRC-32 of all preceding bytes |
 //!
-//! A record that is torn or of another boot is none.
+//! A record that is torn or of another boot is ignored.
 use rustix::time::{ClockId, clock_gettime};
 use std::fs::OpenOptions;
 use std::io::{self, ErrorKind};
@@ -22,92 +23,92 @@
 use std::sync::OnceLock;
 use std::time::{Duration, SystemTime};
 
-const FORM: u32 = 1;
+const FORMAT: u32 = 1;
 const LENGTH: usize = 4 + 16 + 8 + 4;
 const NAME: &str = "clock";
-/// The machine's present boot, as text.
-const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
+/// File with the machine's boot ID, as text.
+const BOOT_ID_PATH: &str = "/proc/sys/kernel/random/boot_id";
 
-/// The Unix time at which the monotonic clock was zero, as this process reckons.
-static ZERO: OnceLock<Duration> = OnceLock::new();
+/// The Unix time at which the monotonic clock was zero, as this process uses it.
+static EPOCH: OnceLock<Duration> = OnceLock::new();
 
-/// The present time. Steps of the wall clock do not show in it.
+/// The present time, unaffected by steps of the wall clock.
 pub fn now() -> SystemTime {
-    SystemTime::UNIX_EPOCH + *ZERO.get_or_init(measured_zero) + monotonic()
+    SystemTime::UNIX_EPOCH + *EPOCH.get_or_init(measure_epoch) + monotonic()
 }
 
-/// The machine's monotonic clock.
+/// Reads the machine's monotonic clock.
 pub fn monotonic() -> Duration {
     let now = clock_gettime(ClockId::Monotonic);
     Duration::new(now.tv_sec.try_into().unwrap_or(0), now.tv_nsec.try_into().unwrap_or(0))
 }
 
-/// The present boot; none where the system does not tell.
+/// The ID of the present boot; none if the system does not report it.
 pub fn boot_id() -> Option<[u8; 16]> {
-    let text = std::fs::read_to_string(BOOT_ID).ok()?;
+    let text = std::fs::read_to_string(BOOT_ID_PATH).ok()?;
     let digits: String = text.chars().filter(char::is_ascii_hexdigit).collect();
     u128::from_str_radix(&digits, 16).ok().map(u128::to_le_bytes)
 }
 
-fn measured_zero() -> Duration {
+fn measure_epoch() -> Duration {
     let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     wall.saturating_sub(monotonic())
 }
 
-/// Has this process reckon as the folder's earlier processes of this boot did, if that can be read and nothing was reckoned yet.
+/// Uses the epoch that an earlier process of this boot stored in the folder, if it can be read and this process has no epoch yet.
 pub fn restore_epoch(folder: &Path) {
-    if let Ok(Some(zero)) = read(&folder.join(NAME), boot_id()) {
-        ZERO.get_or_init(|| zero);
+    if let Ok(Some(epoch)) = read(&folder.join(NAME), boot_id()) {
+        EPOCH.get_or_init(|| epoch);
     }
 }
 
-/// How the times in one folder are reckoned.
+/// Converts between this process's timestamps and those stored in a folder, which may be based on another epoch.
 #[derive(Debug)]
 pub struct FolderClock {
     path: PathBuf,
     boot: Option<[u8; 16]>,
-    zero: Duration,
+    epoch: Duration,
     recorded: bool,
 }
 
 impl FolderClock {
-    /// Reads how earlier processes of this boot reckoned; where there was none, the folder's times are this process's.
+    /// Reads the epoch that earlier processes of this boot stored; without one the folder uses this process's epoch.
     ///
     /// # Errors
     ///
-    /// The record is there and cannot be read.
+    /// The record exists and cannot be read.
     pub fn open(folder: &Path) -> io::Result<FolderClock> {
         let (path, boot) = (folder.join(NAME), boot_id());
         let found = read(&path, boot)?;
-        let zero = found.unwrap_or_else(|| *ZERO.get_or_init(measured_zero));
-        Ok(FolderClock { path, boot, zero, recorded: found.is_some() })
+        let epoch = found.unwrap_or_else(|| *EPOCH.get_or_init(measure_epoch));
+        Ok(FolderClock { path, boot, epoch, recorded: found.is_some() })
     }
 
-    /// Records how the folder's times are reckoned, once.
+    /// Stores the folder's epoch, once.
     ///
     /// # Errors
     ///
-    /// The record cannot be written; nothing that a later process has to reckon with may be either.
+    /// The record cannot be written; then no timestamp that a later process has to interpret may be written either.
     pub fn record(&mut self) -> io::Result<()> {
         let Some(boot) = self.boot.filter(|_| !self.recorded) else { return Ok(()) };
         let file = OpenOptions::new().write(true).create(true).truncate(false).open(&self.path)?;
-        file.write_all_at(&encode(boot, self.zero), 0)?;
+        file.write_all_at(&encode(boot, self.epoch), 0)?;
         self.recorded = true;
         Ok(())
     }
 
-    /// One of this process's times as the folder has it.
+    /// Converts a timestamp of this process to the folder's epoch.
     pub fn to_folder(&self, time: SystemTime) -> SystemTime {
-        shift(time, *ZERO.get_or_init(measured_zero), self.zero)
+        shift(time, *EPOCH.get_or_init(measure_epoch), self.epoch)
     }
 
-    /// One of the folder's times as this process has it.
+    /// Converts a timestamp stored in the folder to this process's epoch.
     pub fn from_folder(&self, time: SystemTime) -> SystemTime {
-        shift(time, self.zero, *ZERO.get_or_init(measured_zero))
+        shift(time, self.epoch, *EPOCH.get_or_init(measure_epoch))
     }
 }
 
-/// The same reading of the monotonic clock, reckoned from another zero. What lies outside the clock stays as it is.
+/// Moves a timestamp from one epoch to another, keeping its reading of the monotonic clock. A result out of range leaves it unchanged.
 fn shift(time: SystemTime, from: Duration, to: Duration) -> SystemTime {
     let shifted = match to.checked_sub(from) {
         Some(later) => time.checked_add(later),
@@ -124,20 +125,20 @@
     }
 }
 
-fn encode(boot: [u8; 16], zero: Duration) -> Vec<u8> {
-    let mut bytes = FORM.to_le_bytes().to_vec();
+fn encode(boot: [u8; 16], epoch: Duration) -> Vec<u8> {
+    let mut bytes = FORMAT.to_le_bytes().to_vec();
     bytes.extend_from_slice(&boot);
-    bytes.extend_from_slice(&(zero.as_nanos() as u64).to_le_bytes());
+    bytes.extend_from_slice(&(epoch.as_nanos() as u64).to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(&bytes).to_le_bytes());
     bytes
 }
 
 fn decode(bytes: &[u8], boot: [u8; 16]) -> Option<Duration> {
     let bytes: &[u8; LENGTH] = bytes.try_into().ok()?;
-    let sum = crc32fast::hash(&bytes[..LENGTH - 4]).to_le_bytes();
-    let sound = bytes[..4] == FORM.to_le_bytes() && bytes[4..20] == boot && bytes[LENGTH - 4..] == sum;
-    let zero = u64::from_le_bytes(bytes[20..28].try_into().expect("eight bytes"));
-    sound.then_some(Duration::from_nanos(zero))
+    let checksum = crc32fast::hash(&bytes[..LENGTH - 4]).to_le_bytes();
+    let valid = bytes[..4] == FORMAT.to_le_bytes() && bytes[4..20] == boot && bytes[LENGTH - 4..] == checksum;
+    let epoch = u64::from_le_bytes(bytes[20..28].try_into().expect("eight bytes"));
+    valid.then_some(Duration::from_nanos(epoch))
 }
 
 #[cfg(test)]
