--- a/relay/src/handover/frame.rs
+++ b/relay/src/handover/frame.rs
@@ -1,5 +1,5 @@
-//! What two processes of the relay say to each other while one takes the other's place, and its form: four bytes that
-//! name the protocol, the length and the CRC-32 of the text, and the text (postcard).
+//! Messages between two processes of the relay during a handover, and their encoding: four magic bytes that identify the
+//! protocol, the length and the CRC-32 of the payload, and the payload (postcard).
 use serde::{Deserialize, Serialize};
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
@@ -7,64 +7,64 @@
 use crate::handover_state::{FinishedClaim, HandoverState, ListedNode};
 use crate::job::{Answer, Job};
 
-/// What both must speak; raised with any change of what follows `Hello`.
+/// The protocol version, which both processes must share; raised with any change to what follows `Hello`.
 pub const VERSION: u32 = 1;
 const MAGIC: [u8; 4] = *b"ogho";
-/// A longer frame is none.
-const LONGEST: usize = 16 * 1024 * 1024;
+/// A frame that announces a longer payload is rejected.
+const MAX_PAYLOAD: usize = 16 * 1024 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The newcomer's first word. It never changes its form.
-    Hello {
-        version: u32,
-    },
-    /// The owner's answer: it hands over when it is told to end.
+    /// The successor's first message. Its encoding never changes.
+    Hello { version: u32 },
+    /// The predecessor's reply: it hands over when it receives SIGTERM.
     Welcome,
-    /// Or it does not, and why.
+    /// The predecessor's other reply: it does not hand over, for this reason.
     Refused(String),
-    /// A part of the list, before the estate.
+    /// A part of the list of execute nodes, sent before the rest of the state.
     Nodes(Vec<ListedNode>),
-    /// The owner owns nothing any more but the claims that it has out.
-    Yours(Box<HandoverState>),
-    /// One of them has come home.
-    Home(FinishedClaim),
-    /// A job from a submitter who is still connected to the old process, and the answer.
-    Ask(u64, Box<Job>),
-    Told(u64, Answer),
+    /// Completes the handover: the predecessor keeps nothing but its claims in flight.
+    HandOver(Box<HandoverState>),
+    /// One of those claims has completed.
+    ClaimFinished(FinishedClaim),
+    /// Forwards a job from a submitter who is still connected to the predecessor; the number identifies the answer.
+    Admit(u64, Box<Job>),
+    /// The successor's answer to a forwarded job.
+    Answered(u64, Answer),
 }
 
 impl Frame {
     pub fn encode(&self) -> Vec<u8> {
-        let text = postcard::to_stdvec(self).expect("frames have no unsized parts");
-        let mut bytes = Vec::with_capacity(text.len() + 12);
+        let payload = postcard::to_stdvec(self).expect("frames have no unsized parts");
+        let mut bytes = Vec::with_capacity(payload.len() + 12);
         bytes.extend_from_slice(&MAGIC);
-        bytes.extend_from_slice(&(text.len() as u32).to_le_bytes());
-        bytes.extend_from_slice(&crc32fast::hash(&text).to_le_bytes());
-        bytes.extend_from_slice(&text);
+        bytes.extend_from_slice(&(payload.len() as u32).to_le_bytes());
+        bytes.extend_from_slice(&crc32fast::hash(&payload).to_le_bytes());
+        bytes.extend_from_slice(&payload);
         bytes
     }
 
-    /// Reads one; an end within it, and what is not of this protocol, are faults.
+    /// Reads one frame. A frame that is cut short, damaged, or of another protocol is an error.
     pub async fn read(from: &mut (impl AsyncRead + Unpin)) -> io::Result<Frame> {
-        let bad = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what);
-        let mut head = [0; 12];
-        from.read_exact(&mut head).await?;
-        let number = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+        let invalid = |reason: &str| io::Error::new(io::ErrorKind::InvalidData, reason);
+        let mut header = [0; 12];
+        from.read_exact(&mut header).await?;
+        let number =
+            |at: usize| u32::from_le_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
         let length = number(4) as usize;
-        if head[..4] != MAGIC || length > LONGEST {
-            return Err(bad("it does not speak this protocol"));
+        if header[..4] != MAGIC || length > MAX_PAYLOAD {
+            return Err(invalid("the peer does not speak this protocol"));
         }
-        // Guards against a length that is only said: room is made for what comes.
-        let mut text = Vec::new();
-        from.take(length as u64).read_to_end(&mut text).await?;
-        if text.len() < length {
+        // Memory is allocated for the bytes received, not for the announced length.
+        let mut payload = Vec::new();
+        from.take(length as u64).read_to_end(&mut payload).await?;
+        if payload.len() < length {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        if crc32fast::hash(&text) != number(8) {
-            return Err(bad("a frame is damaged"));
+        if crc32fast::hash(&payload) != number(8) {
+            return Err(invalid("a frame's checksum does not match its payload"));
         }
-        postcard::from_bytes(&text).map_err(|e| bad(&e.to_string()))
+        postcard::from_bytes(&payload).map_err(|e| invalid(&e.to_string()))
     }
 }
 
--- a/relay/src/handover/mod.rs
+++ b/relay/src/handover/mod.rs
@@ -1,7 +1,8 @@
-//! An upgrade: a second process takes the relay over from the one that runs. `docs/handover.md` tells the whole.
+//! Upgrades: a second process, the successor, takes the relay over from the running one, its predecessor. The whole
+//! protocol is described in `docs/handover.md`.
 //!
-//! Owns the lock that says who has the journal, the socket between the two, and what goes over it. Who owns what is
-//! decided in [`owners`], what a job's life is in the core; here is only what carries it.
+//! This module has the lock on the journal, the socket between the two processes, and the exchange of frames over it.
+//! [`owners`] decides which process owns the relay, and the core runs the jobs; this module does only the I/O.
 mod frame;
 mod owners;
 
@@ -25,23 +26,23 @@
 use crate::job::{Answer, Job};
 use crate::journal::Key;
 use frame::{Frame, VERSION};
-use owners::{Does, Happens, Owner};
+use owners::{Action, Event, Ownership};
 
-/// In the folder that lasts.
+/// Names of files in the state folder.
 const LOCK: &str = "lock";
 const SOCKET: &str = "handover";
-/// The address of a Unix socket holds no more bytes than 107.
-const LONGEST_PATH: usize = 100;
-/// A greeting takes no longer; the other process may be busy.
-const GREETING: Duration = Duration::from_secs(1);
-/// How often the lock is tried, while the process before is about to end.
-const LOCK_PAUSE: Duration = Duration::from_millis(5);
-/// Nodes in a frame.
-const NODES: usize = 500;
-/// What a submitter is told whose job cannot be handed on any more.
-const COME_AGAIN: Answer = Answer::Refused { after: Some(Duration::from_secs(1)) };
+/// Longest path that is used as a socket address as it is; the address of a Unix socket has at most 107 bytes.
+const MAX_SOCKET_PATH: usize = 100;
+/// Timeout of the hello exchange; the other process may be busy. Also the pause after a failed accept.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause between attempts to take the lock, while the predecessor is about to exit.
+const LOCK_RETRY_PAUSE: Duration = Duration::from_millis(5);
+/// Most nodes in a frame.
+const NODES_PER_FRAME: usize = 500;
+/// The answer to a submitter whose job can no longer be forwarded to the successor.
+const RETRY_LATER: Answer = Answer::Refused { after: Some(Duration::from_secs(1)) };
 
-/// The lock on a folder's journal, if nobody has it. It ends with its process.
+/// Takes the lock on a folder's journal unless another process has it. The lock is released when the process exits.
 fn try_lock(folder: &Path) -> io::Result<Option<File>> {
     std::fs::create_dir_all(folder)?;
     let file = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join(LOCK))?;
@@ -52,46 +53,48 @@
     }
 }
 
-/// The socket's path, in a form that is short enough. The folder must stay open for as long as it is used.
+/// The path of the handover socket, through `/proc/self/fd` if it is too long for a socket address. The returned folder
+/// must stay open for as long as the path is used.
 fn socket_path(folder: &Path) -> io::Result<(PathBuf, File)> {
     let open = File::open(folder)?;
-    let plain = folder.join(SOCKET);
-    let short = match plain.as_os_str().len() {
-        0..=LONGEST_PATH => plain,
+    let direct = folder.join(SOCKET);
+    let path = match direct.as_os_str().len() {
+        0..=MAX_SOCKET_PATH => direct,
         _ => PathBuf::from(format!("/proc/self/fd/{}/{SOCKET}", open.as_raw_fd())),
     };
-    Ok((short, open))
+    Ok((path, open))
 }
 
-/// The relay as it was had from the process before, which may still have claims out.
+/// The state received from the predecessor, and the connection to it while it still has claims in flight.
 pub struct Predecessor {
     pub state: HandoverState,
     read: OwnedReadHalf,
     write: OwnedWriteHalf,
 }
 
-/// Waits until the journal in the folder is this process's to open. If another one has it, `waiting` is called once
-/// that one knows of this, or can't be told; what it hands over comes with the lock. Should it die, or not know how to
-/// hand over, its lock ends with it, and the journal is all there is.
+/// Waits until this process may open the journal in the folder. If another process has the lock, `waiting` is called as
+/// soon as that process has replied to the hello, or has failed to; the state that it hands over is returned with the lock. If it
+/// crashes or cannot hand over, its lock is released when it exits, and only the journal is left to recover from.
 pub async fn acquire(folder: &Path, waiting: impl FnOnce()) -> io::Result<(File, Option<Predecessor>)> {
     if let Some(lock) = try_lock(folder)? {
         return Ok((lock, None));
     }
-    let met = timeout(GREETING, greet(folder)).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
-    match &met {
-        Ok(_) => tracing::info!(
-            "upgrade: another process runs the relay, and hands it over when it is told to end"
-        ),
+    let connected =
+        timeout(HELLO_TIMEOUT, connect(folder)).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
+    match &connected {
+        Ok(_) => {
+            tracing::info!("upgrade: another process runs the relay; it hands over when it receives SIGTERM")
+        }
         Err(fault) => {
-            tracing::warn!(%fault, "upgrade: another process runs the relay and cannot hand it over; waiting for its end");
+            tracing::warn!(%fault, "upgrade: another process runs the relay and cannot hand it over; waiting for it to exit");
         }
     }
     waiting();
-    let legacy = match met {
-        Ok(stream) => match heir(stream).await {
-            Ok(legacy) => Some(legacy),
+    let predecessor = match connected {
+        Ok(stream) => match receive_state(stream).await {
+            Ok(predecessor) => Some(predecessor),
             Err(fault) => {
-                tracing::warn!(%fault, "upgrade: the process before is gone; its journal is taken over");
+                tracing::warn!(%fault, "upgrade: the predecessor is gone; its journal is taken over");
                 None
             }
         },
@@ -99,106 +102,115 @@
     };
     loop {
         if let Some(lock) = try_lock(folder)? {
-            return Ok((lock, legacy));
+            return Ok((lock, predecessor));
         }
-        sleep(LOCK_PAUSE).await;
+        sleep(LOCK_RETRY_PAUSE).await;
     }
 }
 
-async fn greet(folder: &Path) -> io::Result<UnixStream> {
+/// Connects to the process that runs the relay and exchanges hellos with it.
+async fn connect(folder: &Path) -> io::Result<UnixStream> {
     let (path, _open) = socket_path(folder)?;
     let mut stream = UnixStream::connect(path).await?;
     stream.write_all(&Frame::Hello { version: VERSION }.encode()).await?;
     match Frame::read(&mut stream).await? {
         Frame::Welcome => Ok(stream),
-        Frame::Refused(why) => Err(io::Error::other(why)),
-        other => Err(io::Error::other(format!("{other:?} is no answer to a greeting"))),
+        Frame::Refused(reason) => Err(io::Error::other(reason)),
+        other => Err(io::Error::other(format!("unexpected reply to the hello: {other:?}"))),
     }
 }
 
-/// Waits for what is handed over.
-async fn heir(stream: UnixStream) -> io::Result<Predecessor> {
+/// Waits for the predecessor's state.
+async fn receive_state(stream: UnixStream) -> io::Result<Predecessor> {
     let (mut read, write) = stream.into_split();
     let mut nodes = Vec::new();
     loop {
         match Frame::read(&mut read).await? {
             Frame::Nodes(part) => nodes.extend(part),
-            Frame::Yours(mut estate) => {
-                estate.nodes = nodes;
-                return Ok(Predecessor { state: *estate, read, write });
+            Frame::HandOver(mut state) => {
+                state.nodes = nodes;
+                return Ok(Predecessor { state: *state, read, write });
             }
-            other => return Err(io::Error::other(format!("{other:?} was not to be expected"))),
+            other => return Err(io::Error::other(format!("unexpected frame: {other:?}"))),
         }
     }
 }
 
 impl Predecessor {
-    /// Hears what becomes of claims that are out at the process before, and takes jobs from submitters who are still
-    /// connected there, until it ends. Claims of which nothing was told by then may have run.
+    /// Receives the outcomes of the predecessor's claims in flight, and admits jobs from submitters who are still connected
+    /// to it, until it exits; then calls `ended`. Each outcome goes to the sender with its job's key in `waiting`. Claims
+    /// whose outcome was not reported by then may have run.
     pub async fn follow<C: Carrier>(
         self,
         core: Rc<Core<C>>,
-        homes: Vec<(Key, oneshot::Sender<FinishedClaim>)>,
+        waiting: Vec<(Key, oneshot::Sender<FinishedClaim>)>,
         ended: impl FnOnce(),
     ) {
         let Predecessor { mut read, write, .. } = self;
-        let say = writer(write);
-        let mut homes: HashMap<_, _> = homes.into_iter().collect();
+        let frames = spawn_writer(write);
+        let mut waiting: HashMap<_, _> = waiting.into_iter().collect();
         let fault = loop {
             match Frame::read(&mut read).await {
-                Ok(Frame::Home(home)) => {
-                    if let Some(teller) = homes.remove(&home.key) {
-                        // The life that waits for it is there for as long as its teller is.
-                        drop(teller.send(home));
+                Ok(Frame::ClaimFinished(claim)) => {
+                    if let Some(sender) = waiting.remove(&claim.key) {
+                        // The job's task keeps the receiver until the outcome arrives or the sender is dropped.
+                        drop(sender.send(claim));
                     }
                 }
-                Ok(Frame::Ask(number, job)) => {
-                    let (core, say) = (core.clone(), say.clone());
+                Ok(Frame::Admit(number, job)) => {
+                    let (core, frames) = (core.clone(), frames.clone());
                     actix_rt::spawn(async move {
                         let answer = core.admit(*job).await;
-                        drop(say.send(Frame::Told(number, answer)));
+                        drop(frames.send(Frame::Answered(number, answer)));
                     });
                 }
-                Ok(other) => break format!("{other:?} was not to be expected"),
+                Ok(other) => break format!("unexpected frame: {other:?}"),
                 Err(fault) => break fault.to_string(),
             }
         };
-        tracing::info!(fault, unknown = homes.len(), "upgrade: the process before has ended");
-        drop(homes);
+        tracing::info!(
+            fault,
+            unknown = waiting.len(),
+            "upgrade: the connection to the predecessor has ended"
+        );
+        drop(waiting);
         ended();
     }
 }
 
-/// Writes what is put in, for as long as that goes. What waits is bounded by claims out and submitters' connections.
-fn writer(mut write: OwnedWriteHalf) -> mpsc::UnboundedSender<Frame> {
-    let (say, mut said) = mpsc::unbounded_channel::<Frame>();
+/// Spawns a task that writes the frames sent to it until a write fails. The channel has no bound of its own: its length is
+/// bounded by the claims in flight and the submitters' connections.
+fn spawn_writer(mut write: OwnedWriteHalf) -> mpsc::UnboundedSender<Frame> {
+    let (sender, mut frames) = mpsc::unbounded_channel::<Frame>();
     actix_rt::spawn(async move {
-        while let Some(frame) = said.recv().await {
+        while let Some(frame) = frames.recv().await {
             if write.write_all(&frame.encode()).await.is_err() {
                 return;
             }
         }
     });
-    say
+    sender
 }
 
-/// The side of the process that runs the relay.
+/// The predecessor's side of a handover: accepts successors, and hands over to one.
 pub struct HandoverListener {
-    owner: Cell<Owner>,
-    heir: RefCell<Option<Rc<Heir>>>,
-    /// The socket's path can be used for as long as this is open.
+    ownership: Cell<Ownership>,
+    successor: RefCell<Option<Rc<SuccessorLink>>>,
+    /// Kept open since the socket's path may lead through this descriptor.
     _folder: File,
 }
 
-/// The newcomer, as the process before sees it.
-struct Heir {
-    say: mpsc::UnboundedSender<Frame>,
-    asked: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
+/// The predecessor's connection to its successor.
+struct SuccessorLink {
+    frames: mpsc::UnboundedSender<Frame>,
+    /// Forwarded jobs without an answer yet, by number.
+    pending: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
+    /// Number of the last forwarded job.
     last: Cell<u64>,
 }
 
 impl HandoverListener {
-    /// Listens for newcomers. To be called by who has the lock: what an earlier process left is taken away.
+    /// Listens for successors. The caller must have the lock, since the socket of an earlier process is removed.
     pub fn listen(folder: &Path) -> io::Result<Rc<HandoverListener>> {
         let (path, open) = socket_path(folder)?;
         match std::fs::remove_file(&path) {
@@ -206,94 +218,108 @@
             _ => {}
         }
         let listener = UnixListener::bind(path)?;
-        let elder =
-            Rc::new(HandoverListener { owner: Cell::default(), heir: RefCell::default(), _folder: open });
-        let this = elder.clone();
+        let handover = Rc::new(HandoverListener {
+            ownership: Cell::default(),
+            successor: RefCell::default(),
+            _folder: open,
+        });
+        let this = handover.clone();
         actix_rt::spawn(async move {
             loop {
                 match listener.accept().await {
-                    Ok((stream, _)) => drop(actix_rt::spawn(this.clone().meet(stream))),
+                    Ok((stream, _)) => drop(actix_rt::spawn(this.clone().serve(stream))),
                     Err(error) => {
-                        tracing::warn!(%error, "upgrade: cannot take a newcomer's connection");
-                        sleep(GREETING).await;
+                        tracing::warn!(%error, "upgrade: cannot accept a successor's connection; trying again");
+                        sleep(HELLO_TIMEOUT).await;
                     }
                 }
             }
         });
-        Ok(elder)
+        Ok(handover)
     }
 
-    /// A newcomer waits for this process to end.
+    /// Whether a successor waits for this process to terminate.
     pub fn has_successor(&self) -> bool {
-        self.owner.get() == Owner::Linked
+        self.ownership.get() == Ownership::SuccessorWaiting
     }
 
-    fn turn(&self, what: Happens) -> Does {
-        let (owner, does) = self.owner.get().turn(what);
-        self.owner.set(owner);
-        does
+    fn handle(&self, event: Event) -> Action {
+        let (ownership, action) = self.ownership.get().handle(event);
+        self.ownership.set(ownership);
+        action
     }
 
-    async fn meet(self: Rc<Self>, mut stream: UnixStream) {
-        let hello = timeout(GREETING, Frame::read(&mut stream)).await;
+    /// Serves a connection to the socket until it ends.
+    async fn serve(self: Rc<Self>, mut stream: UnixStream) {
+        let hello = timeout(HELLO_TIMEOUT, Frame::read(&mut stream)).await;
         let Ok(Ok(Frame::Hello { version })) = hello else {
-            tracing::warn!(?hello, "upgrade: who came does not speak this protocol");
+            tracing::warn!(
+                ?hello,
+                "upgrade: the peer does not speak this protocol; its connection is closed"
+            );
             return;
         };
-        if let Does::Refuse(why) = self.turn(Happens::Met { version }) {
-            tracing::warn!(version, why, "upgrade: a newcomer is refused");
-            // It finds out by the end of the connection otherwise.
+        if let Action::Refuse(why) = self.handle(Event::Hello { version }) {
+            tracing::warn!(version, why, "upgrade: a successor is refused");
+            // If the frame is lost, the end of the connection tells the successor the same.
             let _ = stream.write_all(&Frame::Refused(why.into()).encode()).await;
             return;
         }
-        tracing::info!("upgrade: a newcomer waits for this process to end");
+        tracing::info!("upgrade: a successor waits for this process to terminate");
         let (mut read, write) = stream.into_split();
-        let heir = Rc::new(Heir { say: writer(write), asked: RefCell::default(), last: Cell::new(0) });
-        drop(heir.say.send(Frame::Welcome));
-        *self.heir.borrow_mut() = Some(heir.clone());
-        while let Ok(Frame::Told(number, answer)) = Frame::read(&mut read).await {
-            let asked = heir.asked.borrow_mut().remove(&number);
-            // A submitter that is gone needs none.
-            asked.into_iter().for_each(|asked| _ = asked.send(answer));
+        let successor = Rc::new(SuccessorLink {
+            frames: spawn_writer(write),
+            pending: RefCell::default(),
+            last: Cell::new(0),
+        });
+        drop(successor.frames.send(Frame::Welcome));
+        *self.successor.borrow_mut() = Some(successor.clone());
+        while let Ok(Frame::Answered(number, answer)) = Frame::read(&mut read).await {
+            let pending = successor.pending.borrow_mut().remove(&number);
+            // The submitter may have disconnected; then nobody needs the answer.
+            pending.into_iter().for_each(|submitter| _ = submitter.send(answer));
         }
-        tracing::warn!("upgrade: the newcomer is gone");
-        self.turn(Happens::Lost);
-        heir.asked.borrow_mut().clear();
-        *self.heir.borrow_mut() = None;
+        tracing::warn!("upgrade: the successor is gone");
+        self.handle(Event::SuccessorLost);
+        successor.pending.borrow_mut().clear();
+        *self.successor.borrow_mut() = None;
     }
 
-    /// The process is told to end. True if the relay is its successor's from now on.
+    /// Hands the relay over to the waiting successor when the process receives SIGTERM. False if no successor waits, so that this
+    /// process has to wind down itself.
     pub fn terminate<C: Carrier>(&self, core: &Core<C>, drained: bool) -> bool {
-        let heir = self.heir.borrow().clone();
-        let (Does::HandOver, Some(heir)) = (self.turn(Happens::Terminate), heir) else { return false };
-        let mut estate = core.hand_over(heir.clone());
-        estate.drained = drained;
-        let (nodes, waits, out) = (estate.nodes.len(), estate.waits.len(), estate.in_flight.len());
+        let successor = self.successor.borrow().clone();
+        let (Action::HandOver, Some(successor)) = (self.handle(Event::Terminate), successor) else {
+            return false;
+        };
+        let mut state = core.hand_over(successor.clone());
+        state.drained = drained;
+        let (nodes, waits, out) = (state.nodes.len(), state.waits.len(), state.in_flight.len());
         tracing::info!(nodes, waits, out, "upgrade: the relay is handed over");
-        for part in std::mem::take(&mut estate.nodes).chunks(NODES) {
-            drop(heir.say.send(Frame::Nodes(part.to_vec())));
+        for part in std::mem::take(&mut state.nodes).chunks(NODES_PER_FRAME) {
+            drop(successor.frames.send(Frame::Nodes(part.to_vec())));
         }
-        drop(heir.say.send(Frame::Yours(Box::new(estate))));
+        drop(successor.frames.send(Frame::HandOver(Box::new(state))));
         true
     }
 }
 
-impl Successor for Heir {
+impl Successor for SuccessorLink {
     fn admit(&self, job: Job) -> LocalBoxFuture<'_, Answer> {
         Box::pin(async move {
             let number = self.last.get() + 1;
             self.last.set(number);
-            let (ask, told) = oneshot::channel();
-            self.asked.borrow_mut().insert(number, ask);
-            if self.say.send(Frame::Ask(number, Box::new(job))).is_err() {
-                return COME_AGAIN;
+            let (sender, answer) = oneshot::channel();
+            self.pending.borrow_mut().insert(number, sender);
+            if self.frames.send(Frame::Admit(number, Box::new(job))).is_err() {
+                return RETRY_LATER;
             }
-            told.await.unwrap_or(COME_AGAIN)
+            answer.await.unwrap_or(RETRY_LATER)
         })
     }
 
-    fn home(&self, home: FinishedClaim) {
-        // Should the successor be gone, the journal says that the claim may have run.
-        drop(self.say.send(Frame::Home(home)));
+    fn home(&self, claim: FinishedClaim) {
+        // If the successor is gone, the journal still says that the claim may have run.
+        drop(self.frames.send(Frame::ClaimFinished(claim)));
     }
 }
--- a/relay/src/handover/owners.rs
+++ b/relay/src/handover/owners.rs
@@ -1,34 +1,35 @@
-//! Who of two processes owns the relay: state machines without I/O. `docs/handover.md` has the same as a table.
+//! Which of two processes owns the relay during an upgrade: a state machine without I/O. `docs/handover.md` has the same
+//! as a table.
 use super::frame::VERSION;
 
-/// The process that owns the journal.
+/// State of the process that owns the journal, or did until its handover.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Owner {
+pub enum Ownership {
+    /// It owns the relay, and no successor is connected.
     #[default]
-    Alone,
-    /// A newcomer waits for it to end.
-    Linked,
-    /// Told to end with nobody to hand over to: it winds down, and whoever has the lock next replays the journal.
-    Ending,
-    /// It owns nothing but the claims that it has out.
-    Handed,
+    Sole,
+    /// It owns the relay, and a successor waits for it to terminate.
+    SuccessorWaiting,
+    /// It received SIGTERM without a successor: it winds down, and the next process to take the lock replays the journal.
+    WindingDown,
+    /// It owns nothing but its claims in flight.
+    HandedOver,
 }
 
-/// What happens to it.
+/// What changes the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Happens {
-    /// A newcomer says hello.
-    Met {
-        version: u32,
-    },
-    /// The newcomer is gone.
-    Lost,
+pub enum Event {
+    /// A successor said hello.
+    Hello { version: u32 },
+    /// The connection to the successor ended.
+    SuccessorLost,
+    /// The process received SIGTERM.
     Terminate,
 }
 
-/// What it does then.
+/// What the process does on an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Does {
+pub enum Action {
     Nothing,
     Welcome,
     Refuse(&'static str),
@@ -36,19 +37,24 @@
     WindDown,
 }
 
-impl Owner {
-    pub fn turn(self, what: Happens) -> (Owner, Does) {
-        use Owner::*;
-        match (self, what) {
-            (Alone, Happens::Met { version: VERSION }) => (Linked, Does::Welcome),
-            (Alone, Happens::Met { .. }) => (Alone, Does::Refuse("another version of the hand-over")),
-            (Linked, Happens::Met { .. }) => (Linked, Does::Refuse("another newcomer waits already")),
-            (Ending | Handed, Happens::Met { .. }) => (self, Does::Refuse("it has been told to end")),
-            (Linked, Happens::Lost) => (Alone, Does::Nothing),
-            (_, Happens::Lost) => (self, Does::Nothing),
-            (Alone, Happens::Terminate) => (Ending, Does::WindDown),
-            (Linked, Happens::Terminate) => (Handed, Does::HandOver),
-            (Ending | Handed, Happens::Terminate) => (self, Does::Nothing),
+impl Ownership {
+    /// The next state, and what to do on entering it.
+    pub fn handle(self, event: Event) -> (Ownership, Action) {
+        use Ownership::*;
+        match (self, event) {
+            (Sole, Event::Hello { version: VERSION }) => (SuccessorWaiting, Action::Welcome),
+            (Sole, Event::Hello { .. }) => (Sole, Action::Refuse("handover protocol version differs")),
+            (SuccessorWaiting, Event::Hello { .. }) => {
+                (SuccessorWaiting, Action::Refuse("another successor is already waiting"))
+            }
+            (WindingDown | HandedOver, Event::Hello { .. }) => {
+                (self, Action::Refuse("the process is already terminating"))
+            }
+            (SuccessorWaiting, Event::SuccessorLost) => (Sole, Action::Nothing),
+            (_, Event::SuccessorLost) => (self, Action::Nothing),
+            (Sole, Event::Terminate) => (WindingDown, Action::WindDown),
+            (SuccessorWaiting, Event::Terminate) => (HandedOver, Action::HandOver),
+            (WindingDown | HandedOver, Event::Terminate) => (self, Action::Nothing),
         }
     }
 }
--- a/relay/src/handover/owners/tests.rs
+++ b/relay/src/handover/owners/tests.rs
@@ -1,28 +1,34 @@
 use super::*;
 
 #[test]
-fn there_is_one_owner_whatever_happens_in_whatever_order() {
-    use Does::*;
-    use Owner::*;
-    let other = Refuse("another version of the hand-over");
-    let second = Refuse("another newcomer waits already");
-    let late = Refuse("it has been told to end");
-    // What it was; then after hello, hello of another version, the newcomer's loss, the word to end.
+fn exactly_one_process_owns_the_relay_after_any_event_in_any_state() {
+    use Action::*;
+    use Ownership::*;
+    let other = Refuse("handover protocol version differs");
+    let second = Refuse("another successor is already waiting");
+    let late = Refuse("the process is already terminating");
+    // The state before; then after hello, hello of another version, loss of the successor, SIGTERM.
     let table = [
-        (Alone, [(Linked, Welcome), (Alone, other), (Alone, Nothing), (Ending, WindDown)]),
-        (Linked, [(Linked, second), (Linked, second), (Alone, Nothing), (Handed, HandOver)]),
-        (Ending, [(Ending, late), (Ending, late), (Ending, Nothing), (Ending, Nothing)]),
-        (Handed, [(Handed, late), (Handed, late), (Handed, Nothing), (Handed, Nothing)]),
+        (Sole, [(SuccessorWaiting, Welcome), (Sole, other), (Sole, Nothing), (WindingDown, WindDown)]),
+        (
+            SuccessorWaiting,
+            [(SuccessorWaiting, second), (SuccessorWaiting, second), (Sole, Nothing), (HandedOver, HandOver)],
+        ),
+        (
+            WindingDown,
+            [(WindingDown, late), (WindingDown, late), (WindingDown, Nothing), (WindingDown, Nothing)],
+        ),
+        (HandedOver, [(HandedOver, late), (HandedOver, late), (HandedOver, Nothing), (HandedOver, Nothing)]),
     ];
-    let happens = [
-        Happens::Met { version: VERSION },
-        Happens::Met { version: VERSION + 1 },
-        Happens::Lost,
-        Happens::Terminate,
+    let events = [
+        Event::Hello { version: VERSION },
+        Event::Hello { version: VERSION + 1 },
+        Event::SuccessorLost,
+        Event::Terminate,
     ];
     for (before, afters) in table {
-        for (what, after) in happens.into_iter().zip(afters) {
-            assert_eq!(before.turn(what), after, "{before:?} {what:?}");
+        for (event, after) in events.into_iter().zip(afters) {
+            assert_eq!(before.handle(event), after, "{before:?} {event:?}");
         }
     }
 }
--- a/relay/src/handover_state.rs
+++ b/relay/src/handover_state.rs
@@ -1,28 +1,28 @@
-//! What one process of the relay hands to the next: plain values, in the form in which they cross.
+//! The state that a process of the relay hands to its successor in an upgrade: plain values, as they are serialized.
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
 use crate::job::{Answer, Outcome};
 use crate::journal::Key;
 
-/// All that is handed over beside the journal, which holds the jobs themselves.
+/// All that is handed over besides the journal, which holds the jobs themselves.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HandoverState {
-    /// The version of the list, if one was had.
+    /// The generation of the list of execute nodes, if a list was received.
     pub generation: Option<u64>,
     pub nodes: Vec<ListedNode>,
-    /// Told waits that run on.
+    /// Requested waits that are not over yet.
     pub waits: Vec<RequestedWait>,
     pub learned: Vec<LearnedUnit>,
-    /// Answers given a moment ago, by id.
+    /// The most recent answers to submitters, by message ID.
     pub recent: Vec<(String, Answer)>,
-    /// Jobs whose claims are out and come home to the process that made them.
+    /// Jobs with a claim in flight, whose outcome the process that made the claim will report.
     pub in_flight: Vec<Key>,
-    /// Clients are sent away.
+    /// Submitters are being sent to other relays (the `drain` operation).
     pub drained: bool,
 }
 
-/// An execute node as it is listed.
+/// An execute node as the list has it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedNode {
     pub name: String,
@@ -32,12 +32,13 @@
     pub dest: u64,
     pub serving: bool,
     pub weight: Option<f64>,
+    /// When it last started, as Unix time in milliseconds; 0 if long ago.
     pub started_ms: u64,
-    /// When it was last taken back by hand.
+    /// When an operator last enabled it again, likewise.
     pub reenabled_ms: u64,
 }
 
-/// A wait that a destination told, or a node where nodes are routes apart.
+/// A wait that a destination asked for, or one node of it where nodes are separate routes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestedWait {
     pub dest: u64,
@@ -45,36 +46,51 @@
     pub left: Duration,
 }
 
-/// What the module learned of a destination or route, its nodes by name.
+/// What the decision module learned of a destination or route, with nodes by name; see [`slatethread::Learned`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedUnit {
     pub dest: u64,
     pub route: Option<String>,
     pub wait_left: Duration,
+    /// Number of calls that may be in flight at once.
     pub window: f64,
+    /// Calls per second; infinite if no limit was found.
     pub pace: f64,
+    /// Time since the pace was last cut.
     pub cut_ago: Option<Duration>,
+    /// The most calls per second that it served without refusing any.
     pub proven: f64,
+    /// Least completion time, in seconds.
     pub least: Option<f64>,
+    /// Latest completion time, in seconds.
     pub recent: f64,
+    /// Mean completion time, in seconds.
     pub mean: f64,
     pub answered_ago: Duration,
+    /// Messages per second that arrived for it.
     pub demand: f64,
     pub nodes: Vec<LearnedNode>,
 }
 
+/// What the decision module learned of an execute node; see [`slatethread::LearnedPeer`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedNode {
     pub name: String,
+    /// It is in outage.
     pub down: bool,
+    /// Time since it began to answer again after an outage.
     pub returning_ago: Option<Duration>,
+    /// Time since it was last up.
     pub since_ago: Duration,
+    /// Moving average of its failures.
     pub bad: f64,
+    /// Time to its next trial call.
     pub trial_left: Duration,
+    /// Time since it last served a call.
     pub served_ago: Option<Duration>,
 }
 
-/// A claim that was out when its job was handed over has come home.
+/// A claim that was in flight when its job was handed over has completed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FinishedClaim {
     pub key: Key,
--- a/relay/tests/upgrade.rs
+++ b/relay/tests/upgrade.rs
@@ -143,7 +143,7 @@
         "",
         "send relay2 kill
          expect relay2 exit
-         expect relay log=the_newcomer_is_gone
+         expect relay log=the_successor_is_gone
          send s1 POST /notice id=j1 dest=7 left=9000
          expect s1 202
          expect n1 POST
