--- a/relay/src/journal.rs
+++ b/relay/src/journal.rs
@@ -1,12 +1,12 @@
-//! What was taken on outlasts the process: an append-only, checksummed file in the folder that lasts.
+//! The journal: an append-only, checksummed file in the state folder, so that accepted messages outlast the process.
 //!
-//! Nothing is synced: the platform promises that what was written outlasts the process. The file is written anew with what is
-//! still open before it and its successor together could outgrow the folder.
+//! Nothing is synced: the platform guarantees that written data outlasts the process. The file is rewritten with the open jobs
+//! only, before it and its replacement together could exceed the folder's limit.
 //!
-//! What memory holds never runs ahead of the file but for records that are owed to it: that an attempt never ran, that nothing
-//! more is owed for a message, and an end whose time has come. They were true before they could be written, and a process that
-//! does not find them errs on the safe side. They are written before anything else is. A record that others are told of
-//! ([`Acceptance`], [`FinalNotice`], an attempt) changes nothing unless it was written.
+//! Memory is never ahead of the file except for deferred records: that an attempt never ran, that a job is removed, and the
+//! end of a job whose time is over. These facts hold whether or not they are recorded, and a process that does not find
+//! them errs on the safe side. Deferred records are written before any other. A record that others are notified of
+//! ([`Acceptance`], [`FinalNotice`], an attempt) takes effect only once it is written.
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -33,137 +33,144 @@
 pub use queued::{QueuedRequest, UnreadableRequest};
 pub use receipt::{Acceptance, FinalNotice};
 pub use record::RecordedClaim;
-use record::{Claims, FORMAT, FORMATS, LONGEST, PLAIN_FORMAT, Record, TakenUnder};
-use record::{behind_damage, encode, next_record};
+use record::{
+    BASIC_FORMAT, ClaimHistory, FORMAT_KEYS, LATEST_FORMAT, MAX_RECORD_BYTES, Record, RecordedRules,
+};
+use record::{encode, next_record, resync};
 pub use storage::is_transient;
 use storage::{FolderStorage, Storage};
 
-/// A job's number in the journal.
+/// Number of a job in the journal.
 pub type Key = u64;
 
-/// A job that was open when the last process ended.
+/// A job that was open when the previous process ended.
 pub struct OpenJob {
     pub key: Key,
     pub job: Job,
-    /// The rules of its class under which it was taken on; none where an earlier program did that.
+    /// The rules of its class when it was accepted; none if an earlier version of the program accepted it.
     pub rules: Option<Class>,
+    /// How many claims were made.
     pub tries: u32,
+    /// The first claim that may have run.
     pub risk: Option<RecordedClaim>,
-    /// Its end was decided, but the notice of it may not have arrived.
+    /// How it ended, if that was decided; the notice may not have been delivered.
     pub pending_notice: Option<Notice>,
-    /// Where it stood in the backlog, which may still have it.
+    /// Its place in the backlog, which may still have it.
     pub place: Option<Place>,
 }
 
-struct Live {
-    /// The job's record as it stands in the file, and the rules behind it.
-    frame: Bytes,
+/// An open job, with what a rewrite of the file needs.
+struct LiveJob {
+    /// The job's record with those that directly follow it (its rules, its place in the backlog), as they are in the file.
+    frames: Bytes,
     rules: Option<Class>,
-    claims: Claims,
-    ending: Option<Notice>,
+    claims: ClaimHistory,
+    pending_notice: Option<Notice>,
     place: Option<Place>,
 }
 
-/// Room kept for the records that may follow a job's own, once rewritten.
-const BESIDE_JOB: u64 = 512;
-/// Room kept for the folder itself and for what rounding to whole blocks adds.
-const RESERVE: u64 = 16 * 1024;
-/// Part of the folder that open jobs may fill. At a half, a rewritten file would leave no room to append;
-/// at two fifths, a fifth of the folder is appended between two rewritings.
-const JOBS_PART: f64 = 0.4;
+/// Bytes reserved per job for the records that may follow its own after a rewrite.
+const JOB_OVERHEAD: u64 = 512;
+/// Bytes reserved for the folder itself and for rounding to whole blocks.
+const RESERVED_BYTES: u64 = 16 * 1024;
+/// Share of the folder's limit that open jobs may fill. At a half, a rewritten file would leave no room to append;
+/// at two fifths, a fifth of the limit can be appended between two rewrites.
+const MAX_JOB_SHARE: f64 = 0.4;
 
-/// What is known of the file beside what is whole in it.
+/// State of the file after its last whole record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Tail {
     /// Nothing follows.
-    Sound,
-    /// A record that was not written may have left a part of itself.
-    Doubtful,
-    /// It is as an earlier process left it: before anything is appended it is written anew.
+    Clean,
+    /// A failed write may have left a part of a record.
+    MaybeTorn,
+    /// An earlier process left the file: it is rewritten before anything is appended.
     Inherited,
 }
 
 pub struct Journal {
-    /// None once another process has the journal.
+    /// None once the journal is closed for another process.
     storage: Option<Box<dyn Storage>>,
     clock: FolderClock,
-    /// Keeps others from the journal for as long as it is open.
+    /// Keeps other processes from the journal while it is open.
     lock: Option<File>,
     tail: Tail,
     /// Bytes of whole records.
     size: u64,
     limit: u64,
-    live: BTreeMap<Key, Live>,
+    live: BTreeMap<Key, LiveJob>,
+    /// Bytes that the open jobs take in a rewritten file, at most.
     live_size: u64,
-    /// Records that memory has and the file lacks, in their order.
-    owed: Vec<u8>,
+    /// Encoded records that memory has and the file lacks, in their order.
+    deferred: Vec<u8>,
     next: Key,
-    /// There is a backlog beside it.
+    /// The relay also has a backlog on disk.
     has_backlog: bool,
     health: Rc<JournalHealth>,
 }
 
 impl Journal {
-    /// Whether a process has had a journal in a folder.
+    /// Whether a folder has a journal of an earlier process.
     pub fn exists(folder: &Path) -> bool {
         folder.join(storage::NAME).exists()
     }
 
-    /// Opens the journal in `folder`, which it may fill up to `limit` bytes, and tells what is open. A folder that can be read and
-    /// for the moment not written is no fault: nothing is recorded until it can be.
+    /// Opens the journal in `folder`, which it may fill up to `limit` bytes, and returns the open jobs. A folder that can be read but
+    /// temporarily not written is no error: nothing is recorded until it can be written.
     ///
     /// # Errors
     ///
-    /// The folder cannot be read ([`is_transient`] says whether it may be later), can never be written, or a later program wrote it.
+    /// The folder cannot be read ([`is_transient`] says whether a retry may succeed) or can never be written, or a later version of
+    /// the program wrote the file.
     pub fn open(folder: &Path, limit: u64) -> io::Result<(Journal, Vec<OpenJob>)> {
         let storage = FolderStorage::open(folder)?;
         let clock = FolderClock::open(folder)?;
-        Journal::over(Box::new(storage), clock, limit)
+        Journal::with_storage(Box::new(storage), clock, limit)
     }
 
-    fn over(
+    fn with_storage(
         mut storage: Box<dyn Storage>,
         clock: FolderClock,
         limit: u64,
     ) -> io::Result<(Journal, Vec<OpenJob>)> {
-        let text = storage.read()?;
+        let bytes = storage.read()?;
         let mut journal = Journal {
             storage: Some(storage),
             clock,
             lock: None,
             tail: Tail::Inherited,
-            size: text.len() as u64,
+            size: bytes.len() as u64,
             limit,
             live: BTreeMap::new(),
             live_size: 0,
-            owed: Vec::new(),
+            deferred: Vec::new(),
             next: 1,
             has_backlog: false,
             health: Rc::default(),
         };
-        let open = journal.replay(&Bytes::from(text))?;
-        match journal.settle() {
+        let open = journal.replay(&Bytes::from(bytes))?;
+        match journal.repair() {
             Err(error) if !is_transient(&error) => return Err(error),
-            settled => journal.told(settled).unwrap_or_default(),
+            repaired => journal.note_result(repaired).unwrap_or_default(),
         }
         Ok((journal, open))
     }
 
-    /// Whether it can be written.
+    /// Whether the journal can be written.
     pub fn health(&self) -> Rc<JournalHealth> {
         self.health.clone()
     }
 
-    /// Holds a lock for as long as it has the journal.
+    /// Keeps a lock until the journal is closed.
     pub fn keep_lock(&mut self, lock: Option<File>) {
         self.lock = lock;
     }
 
-    /// Lets the journal go: another process may open it. Nothing more is written by this one.
+    /// Closes the journal, so that another process may open it. This process writes nothing more to it.
     pub fn close(&mut self) {
-        // What cannot be written is not missed: see the top of this file.
-        let settled = self.settle();
-        let _ = self.told(settled);
+        // Deferred records that cannot be written may be lost: see the module's documentation.
+        let repaired = self.repair();
+        let _ = self.note_result(repaired);
         self.storage = None;
         self.lock = None;
     }
@@ -173,47 +180,50 @@
         self.live.get(&key).and_then(|live| live.claims.risk.clone())
     }
 
-    /// From now on requests come from the backlog and go there.
+    /// Prepares the journal for requests that are exchanged with the backlog on disk.
     ///
     /// # Errors
-    /// When the file cannot be written anew in the format that this takes.
+    /// The file cannot be rewritten in the format that records their places.
     pub fn enable_backlog(&mut self) -> io::Result<()> {
         self.has_backlog = true;
         let written = self.clock.record().and_then(|()| self.rewrite());
-        self.told(written)
+        self.note_result(written)
     }
 
-    /// What the folder may be filled up to from now on.
+    /// Sets how many bytes the folder may be filled up to.
     pub fn set_limit(&mut self, limit: u64) {
         self.limit = limit;
     }
 
-    /// Takes in all whole records, and tells what is open. A torn end is dropped; damage in the middle is passed over, and
-    /// what is behind it is read.
-    fn replay(&mut self, text: &Bytes) -> io::Result<Vec<OpenJob>> {
+    /// Applies all whole records and returns the open jobs. A torn record at the end is dropped; damage in the middle is
+    /// skipped, and the records after it are read.
+    fn replay(&mut self, bytes: &Bytes) -> io::Result<Vec<OpenJob>> {
         let mut open = BTreeMap::new();
         let mut at = 0;
         let mut formats = 0;
-        // A job whose rules have not been read; they are written with it.
-        let mut half_taken = None;
-        while at < text.len() {
-            let Some((frame, record)) = next_record(text, at) else {
-                let Some(next) = behind_damage(text, at) else {
-                    tracing::warn!(torn = text.len() - at, "journal ends in a torn record; it is dropped");
+        // The job of the last record if its rules, which are written with it, have not been read.
+        let mut incomplete = None;
+        while at < bytes.len() {
+            let Some((frame, record)) = next_record(bytes, at) else {
+                let Some(next) = resync(bytes, at) else {
+                    tracing::warn!(
+                        torn = bytes.len() - at,
+                        "the journal ends in a torn record; it is dropped"
+                    );
                     break;
                 };
                 tracing::error!(
                     offset = at,
                     bytes = next - at,
-                    "the journal is damaged; what stood there is lost"
+                    "the journal is damaged; the records in this range are lost"
                 );
-                self.doubt();
-                half_taken = None;
+                self.mark_claims_unknown();
+                incomplete = None;
                 at = next;
                 continue;
             };
             at += frame.len();
-            half_taken = if let Record::Job(key, _) = &record { Some(*key) } else { None };
+            incomplete = if let Record::Job(key, _) = &record { Some(*key) } else { None };
             match record {
                 Record::Job(key, mut job) => {
                     self.next = self.next.max(key + 1);
@@ -221,82 +231,87 @@
                     job.deadline = self.clock.from_folder(job.deadline);
                     open.insert(key, job);
                 }
-                Record::Rules(key, rules) => self.take_rules(key, &frame, &rules),
-                Record::Fetched(key, place) => self.take_place(key, &frame, place.into()),
+                Record::Rules(key, rules) => self.replay_rules(key, &frame, &rules),
+                Record::Fetched(key, place) => self.replay_place(key, &frame, place.into()),
                 Record::Claim(key, claim) => {
                     let claim = self.claim_from_folder(claim);
-                    self.with(key, |live| live.claims.add(claim));
+                    self.update(key, |live| live.claims.add(claim));
                 }
-                Record::NeverRan(key) => self.with(key, |live| live.claims.never_ran()),
-                Record::Claims(key, mut claims) => {
+                Record::NeverRan(key) => self.update(key, |live| live.claims.never_ran()),
+                Record::ClaimHistory(key, mut claims) => {
                     claims.risk = claims.risk.map(|claim| self.claim_from_folder(claim));
-                    self.with(key, |live| live.claims = claims);
+                    self.update(key, |live| live.claims = claims);
                 }
-                Record::Ending(key, notice) => self.with(key, |live| live.ending = Some(notice)),
-                Record::End(key) if key > FORMATS + FORMAT => {
-                    let format = key - FORMATS;
-                    let fault = format!("it has format {format}, and this program reads up to {FORMAT}");
+                Record::Notice(key, notice) => self.update(key, |live| live.pending_notice = Some(notice)),
+                Record::Removed(key) if key > FORMAT_KEYS + LATEST_FORMAT => {
+                    let format = key - FORMAT_KEYS;
+                    let fault =
+                        format!("it has format {format}; this version reads formats up to {LATEST_FORMAT}");
                     return Err(io::Error::new(io::ErrorKind::InvalidData, fault));
                 }
-                Record::End(key) if key > FORMATS => formats += 1,
-                Record::End(key) => self.remove_live(key),
+                Record::Removed(key) if key > FORMAT_KEYS => formats += 1,
+                Record::Removed(key) => self.remove_live(key),
             }
         }
-        // The program that wrote a second format writes a job and its rules at once: it was refused, or never answered.
-        if let Some(key) = half_taken.filter(|_| formats > 1) {
-            tracing::warn!(key, "the journal ends in half of what was to be taken on; it is dropped");
+        // Versions that write the format record twice write a job and its rules in one append. Without the rules that append
+        // failed or the process was killed, so the submitter got a refusal or no answer.
+        if let Some(key) = incomplete.filter(|_| formats > 1) {
+            tracing::warn!(
+                key,
+                "the journal ends in a job without its rules; the job was never accepted and is dropped"
+            );
             self.remove_live(key);
         }
         let open = open.into_iter().filter_map(|(key, job)| {
             let live = self.live.get(&key)?;
-            let Claims { tries, risk, .. } = live.claims.clone();
-            let (rules, ending) = (live.rules.clone(), live.ending.clone());
-            Some(OpenJob { key, job, rules, tries, risk, pending_notice: ending, place: live.place })
+            let ClaimHistory { tries, risk, .. } = live.claims.clone();
+            let (rules, pending_notice) = (live.rules.clone(), live.pending_notice.clone());
+            Some(OpenJob { key, job, rules, tries, risk, pending_notice, place: live.place })
         });
         Ok(open.collect())
     }
 
-    /// Records are missing: any job from before may have had a claim there. Guards against sending again, as never
-    /// sent, what has run.
-    fn doubt(&mut self) {
+    /// Notes that records are missing: any job read so far may have had a claim among them. Otherwise a job that has
+    /// run could be sent again as if it had never been sent.
+    fn mark_claims_unknown(&mut self) {
         let unknown = RecordedClaim { sent: SystemTime::UNIX_EPOCH, node: String::new(), zone: None };
         for live in self.live.values_mut() {
             live.claims.risk.get_or_insert_with(|| unknown.clone());
-            live.claims.latest = false;
+            live.claims.risk_is_latest = false;
         }
     }
 
-    fn with(&mut self, key: Key, change: impl FnOnce(&mut Live)) {
+    fn update(&mut self, key: Key, change: impl FnOnce(&mut LiveJob)) {
         if let Some(live) = self.live.get_mut(&key) {
             change(live);
         }
     }
 
-    fn add_live(&mut self, key: Key, frame: Bytes, rules: Option<Class>) {
-        self.live_size += frame.len() as u64 + BESIDE_JOB;
-        let claims = Claims::default();
-        self.live.insert(key, Live { frame, rules, claims, ending: None, place: None });
+    fn add_live(&mut self, key: Key, frames: Bytes, rules: Option<Class>) {
+        self.live_size += frames.len() as u64 + JOB_OVERHEAD;
+        let claims = ClaimHistory::default();
+        self.live.insert(key, LiveJob { frames, rules, claims, pending_notice: None, place: None });
     }
 
-    /// What is read of the rules under which a job was taken on.
-    fn take_rules(&mut self, key: Key, frame: &Bytes, rules: &TakenUnder) {
+    /// Applies a record with the rules under which a job was accepted.
+    fn replay_rules(&mut self, key: Key, frame: &Bytes, rules: &RecordedRules) {
         let Some(live) = self.live.get_mut(&key) else { return };
         live.rules = rules.class();
-        live.frame = [&live.frame[..], frame].concat().into();
+        live.frames = [&live.frames[..], frame].concat().into();
         self.live_size += frame.len() as u64;
     }
 
-    /// What is read of a request's place in the backlog.
-    fn take_place(&mut self, key: Key, frame: &Bytes, place: Place) {
+    /// Applies a record with a request's place in the backlog.
+    fn replay_place(&mut self, key: Key, frame: &Bytes, place: Place) {
         let Some(live) = self.live.get_mut(&key) else { return };
         live.place = Some(place);
-        live.frame = [&live.frame[..], frame].concat().into();
+        live.frames = [&live.frames[..], frame].concat().into();
         self.live_size += frame.len() as u64;
     }
 
     fn remove_live(&mut self, key: Key) {
         if let Some(live) = self.live.remove(&key) {
-            self.live_size -= live.frame.len() as u64 + BESIDE_JOB;
+            self.live_size -= live.frames.len() as u64 + JOB_OVERHEAD;
         }
     }
 
@@ -308,132 +323,132 @@
         RecordedClaim { sent: self.clock.to_folder(claim.sent), ..claim.clone() }
     }
 
-    /// All that is recorded of a job's claims, as the folder has it.
-    fn claims_record(&self, key: Key, claims: &Claims) -> Record {
+    /// The record of a job's claim history, with times on the folder's clock.
+    fn claims_record(&self, key: Key, claims: &ClaimHistory) -> Record {
         let risk = claims.risk.as_ref().map(|claim| self.claim_to_folder(claim));
-        Record::Claims(key, Claims { risk, ..claims.clone() })
+        Record::ClaimHistory(key, ClaimHistory { risk, ..claims.clone() })
     }
 
     fn job_record(&self, key: Key, job: &Job) -> Record {
         Record::Job(key, Job { deadline: self.clock.to_folder(job.deadline), ..job.clone() })
     }
 
-    /// Records a job before it is answered; `None` if there is no room for it.
+    /// Records a job before its submitter is answered; `None` if there is no room for it.
     ///
     /// # Errors
-    /// When it is not recorded; then no later process finds it.
+    /// The job could not be recorded; then no later process finds it.
     pub fn record_job(&mut self, job: &Job, rules: &Class) -> io::Result<Option<Acceptance>> {
         let key = self.next;
-        let mut frame = encode(&self.job_record(key, job));
-        frame.extend(encode(&Record::Rules(key, rules.into())));
-        let frame = Bytes::from(frame);
-        if !self.has_room(&frame) {
+        let mut frames = encode(&self.job_record(key, job));
+        frames.extend(encode(&Record::Rules(key, rules.into())));
+        let frames = Bytes::from(frames);
+        if !self.has_room(&frames) {
             return Ok(None);
         }
-        self.append(&frame)?;
+        self.append(&frames)?;
         self.next += 1;
-        self.add_live(key, frame, Some(rules.clone()));
+        self.add_live(key, frames, Some(rules.clone()));
         Ok(Some(Acceptance::journaled(key)))
     }
 
     /// Whether another open job with these records fits into the folder.
-    fn has_room(&self, frame: &[u8]) -> bool {
-        let with_it = self.live_size + frame.len() as u64 + BESIDE_JOB;
-        let most = self.limit.saturating_sub(RESERVE) as f64 * JOBS_PART;
-        with_it as f64 <= most && frame.len() <= LONGEST
+    fn has_room(&self, frames: &[u8]) -> bool {
+        let size = self.live_size + frames.len() as u64 + JOB_OVERHEAD;
+        let max = self.limit.saturating_sub(RESERVED_BYTES) as f64 * MAX_JOB_SHARE;
+        size as f64 <= max && frames.len() <= MAX_RECORD_BYTES
     }
 
-    /// Records a claim before its first byte.
+    /// Records a claim before its first byte is sent.
     ///
     /// # Errors
-    /// When it is not recorded: it must not be sent.
+    /// The claim could not be recorded; then it must not be sent.
     pub fn record_claim(&mut self, key: Key, claim: RecordedClaim) -> io::Result<()> {
         self.append(&encode(&Record::Claim(key, self.claim_to_folder(&claim))))?;
-        self.with(key, |live| live.claims.add(claim));
+        self.update(key, |live| live.claims.add(claim));
         Ok(())
     }
 
     /// Records that the latest claim never ran.
     ///
     /// # Errors
-    /// When that is owed to the file.
+    /// The record could not be written and is deferred.
     pub fn record_never_ran(&mut self, key: Key) -> io::Result<()> {
-        self.with(key, |live| live.claims.never_ran());
-        self.append_or_owe(&Record::NeverRan(key))
+        self.update(key, |live| live.claims.never_ran());
+        self.append_or_defer(&Record::NeverRan(key))
     }
 
-    /// Records how a job ends, before that is told: it is never sent to a node again.
+    /// Records how a job ended before the notice is sent. From then on it is never sent to a node again.
     ///
     /// # Errors
-    /// When it is not recorded: it must not be told.
+    /// The notice could not be recorded; then it must not be sent.
     pub fn record_notice(&mut self, key: Key, notice: &Notice) -> io::Result<FinalNotice> {
-        self.append(&encode(&Record::Ending(key, notice.clone())))?;
-        self.with(key, |live| live.ending = Some(notice.clone()));
+        self.append(&encode(&Record::Notice(key, notice.clone())))?;
+        self.update(key, |live| live.pending_notice = Some(notice.clone()));
         Ok(FinalNotice::recorded(notice.clone()))
     }
 
-    /// The end of a job whose time is over and whose end could not be recorded until now.
+    /// Ends a job whose time is over and whose end could not be recorded until then.
     pub fn expire_job(&mut self, key: Key, job: &Job) -> FinalNotice {
         let end = FinalNotice::expired(&job.id);
-        self.with(key, |live| live.ending = Some(end.notice().clone()));
-        // Owed to the file at worst.
-        let _ = self.append_or_owe(&Record::Ending(key, end.notice().clone()));
+        self.update(key, |live| live.pending_notice = Some(end.notice().clone()));
+        // If the record cannot be written it is deferred.
+        let _ = self.append_or_defer(&Record::Notice(key, end.notice().clone()));
         end
     }
 
-    /// Records that nothing more is owed for a job.
+    /// Removes a job for which nothing more is to be done.
     ///
     /// # Errors
-    /// When that is owed to the file.
+    /// The record could not be written and is deferred.
     pub fn remove_job(&mut self, key: Key) -> io::Result<()> {
         self.remove_live(key);
-        self.append_or_owe(&Record::End(key))
+        self.append_or_defer(&Record::Removed(key))
     }
 
     /// Whether the file lacks records that memory has.
     pub fn has_deferred_records(&self) -> bool {
-        !self.owed.is_empty()
+        !self.deferred.is_empty()
     }
 
-    /// Tries whether the file can be written again, and writes what is owed to it.
+    /// Tests whether the file can be written again, and writes the deferred records.
     ///
     /// # Errors
-    /// When it cannot.
+    /// The file still cannot be written.
     pub fn retry(&mut self) -> io::Result<()> {
-        // Something that says nothing new, so that a folder without room is found out.
+        // A record without new content shows whether the folder is still full.
         let format = encode(&self.format());
         self.append(&format)
     }
 
-    fn append_or_owe(&mut self, record: &Record) -> io::Result<()> {
+    fn append_or_defer(&mut self, record: &Record) -> io::Result<()> {
         let frame = encode(record);
         let appended = self.append(&frame);
         if appended.is_err() && self.storage.is_some() {
-            self.owed.extend(frame);
+            self.deferred.extend(frame);
         }
         appended
     }
 
-    /// Appends records behind what is owed. Where that fails, nothing has changed.
-    fn append(&mut self, frame: &[u8]) -> io::Result<()> {
-        let appended = self.settle().and_then(|()| self.write(frame));
-        self.told(appended)
+    /// Appends records after the deferred ones. If that fails, nothing has changed.
+    fn append(&mut self, frames: &[u8]) -> io::Result<()> {
+        let appended = self.repair().and_then(|()| self.write(frames));
+        self.note_result(appended)
     }
 
-    /// Has it known whether a record was written.
-    fn told(&self, written: io::Result<()>) -> io::Result<()> {
+    /// Updates the health with the result of a write, and logs when writes begin to fail or succeed again.
+    fn note_result(&self, written: io::Result<()>) -> io::Result<()> {
         match &written {
             Ok(()) => {
-                if let Some((after, refused)) = self.health.recover() {
+                if let Some((after, refused)) = self.health.record_success() {
                     tracing::info!(?after, refused, "the journal can be written again");
                 }
             }
             Err(_) if self.storage.is_none() => {}
             Err(error) => {
-                if self.health.fail() {
+                if self.health.record_failure() {
                     tracing::error!(
                         %error,
-                        "the journal cannot be written; nothing is taken on or sent until it can"
+                        "the journal cannot be written; no message is accepted or sent until it can"
                     );
                 }
             }
@@ -441,50 +456,50 @@
         written
     }
 
-    /// Puts right what failed records left: the file's end, and what is owed.
-    fn settle(&mut self) -> io::Result<()> {
+    /// Restores the file after failed writes: its torn end is removed, and the deferred records are written.
+    fn repair(&mut self) -> io::Result<()> {
         if self.storage.is_none() {
             return Err(io::Error::other("another process has the journal"));
         }
-        // Times are recorded only once it is recorded how they are reckoned.
+        // The clock's epoch is stored before any timestamp that depends on it.
         self.clock.record()?;
         match self.tail {
             Tail::Inherited => self.rewrite()?,
-            Tail::Doubtful => self.cut_tail().or_else(|_| self.rewrite())?,
-            Tail::Sound => {}
+            Tail::MaybeTorn => self.cut_tail().or_else(|_| self.rewrite())?,
+            Tail::Clean => {}
         }
-        if self.owed.is_empty() {
+        if self.deferred.is_empty() {
             return Ok(());
         }
-        let owed = std::mem::take(&mut self.owed);
-        let written = self.write(&owed);
+        let deferred = std::mem::take(&mut self.deferred);
+        let written = self.write(&deferred);
         if written.is_err() {
-            self.owed = owed;
+            self.deferred = deferred;
         }
         written
     }
 
     fn cut_tail(&mut self) -> io::Result<()> {
-        let storage = self.storage.as_mut().expect("just seen");
+        let storage = self.storage.as_mut().expect("the journal is open");
         storage.truncate(self.size)?;
-        self.tail = Tail::Sound;
+        self.tail = Tail::Clean;
         Ok(())
     }
 
-    /// Writes whole records behind a sound end. Guards against a full folder: the file and its successor must fit into it
-    /// together.
-    fn write(&mut self, frame: &[u8]) -> io::Result<()> {
-        let grown = self.size + frame.len() as u64;
-        if grown + self.live_size + RESERVE > self.limit {
+    /// Appends whole records to a clean end. The file is rewritten first if it and its replacement would no longer fit into
+    /// the folder together.
+    fn write(&mut self, frames: &[u8]) -> io::Result<()> {
+        let grown = self.size + frames.len() as u64;
+        if grown + self.live_size + RESERVED_BYTES > self.limit {
             self.rewrite()?;
         }
-        let storage = self.storage.as_mut().expect("settled before");
-        let written = storage.append(frame);
+        let storage = self.storage.as_mut().expect("the journal is open");
+        let written = storage.append(frames);
         match &written {
-            Ok(()) => self.size += frame.len() as u64,
+            Ok(()) => self.size += frames.len() as u64,
             Err(_) => {
-                // A part of a record in the middle would hide all that follows it.
-                self.tail = Tail::Doubtful;
+                // A partial record would make the records appended after it unreadable.
+                self.tail = Tail::MaybeTorn;
                 let _ = self.cut_tail();
             }
         }
@@ -493,32 +508,32 @@
 
     fn format(&self) -> Record {
         let fetched = self.live.values().any(|live| live.place.is_some());
-        let format = if self.has_backlog || fetched { FORMAT } else { PLAIN_FORMAT };
-        Record::End(FORMATS + format)
+        let format = if self.has_backlog || fetched { LATEST_FORMAT } else { BASIC_FORMAT };
+        Record::Removed(FORMAT_KEYS + format)
     }
 
-    /// Puts a new file with what is open in the old one's place.
+    /// Replaces the file with a new one that has the open jobs only.
     fn rewrite(&mut self) -> io::Result<()> {
-        let mut text = Vec::with_capacity(self.live_size as usize);
+        let mut bytes = Vec::with_capacity(self.live_size as usize);
         let format = encode(&self.format());
-        text.extend_from_slice(&format);
+        bytes.extend_from_slice(&format);
         for (key, live) in &self.live {
-            text.extend_from_slice(&live.frame);
+            bytes.extend_from_slice(&live.frames);
             if live.claims.tries > 0 {
-                text.extend(encode(&self.claims_record(*key, &live.claims)));
+                bytes.extend(encode(&self.claims_record(*key, &live.claims)));
             }
-            if let Some(notice) = &live.ending {
-                text.extend(encode(&Record::Ending(*key, notice.clone())));
+            if let Some(notice) = &live.pending_notice {
+                bytes.extend(encode(&Record::Notice(*key, notice.clone())));
             }
         }
-        text.extend_from_slice(&format);
+        bytes.extend_from_slice(&format);
         let storage =
             self.storage.as_mut().ok_or_else(|| io::Error::other("another process has the journal"))?;
-        storage.replace(&text)?;
-        self.size = text.len() as u64;
-        self.tail = Tail::Sound;
-        // What memory has is all in it.
-        self.owed.clear();
+        storage.replace(&bytes)?;
+        self.size = bytes.len() as u64;
+        self.tail = Tail::Clean;
+        // The new file has everything that memory has, including the deferred records.
+        self.deferred.clear();
         Ok(())
     }
 }
--- a/relay/src/journal/health.rs
+++ b/relay/src/journal/health.rs
@@ -1,64 +1,65 @@
-//! Whether the journal can be written, for those who wait for that.
+//! Whether the journal can be written, with a way to wait for a change.
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// How the journal does.
+/// The results of writing to the journal.
 #[derive(Default)]
 pub struct JournalHealth {
-    failing: Cell<Option<Failing>>,
-    /// Records that were not written, in all.
+    outage: Cell<Option<Outage>>,
+    /// Total number of writes that failed.
     unwritten: Cell<u64>,
     failed: Notify,
-    works: Notify,
+    recovered: Notify,
 }
 
+/// A series of failed writes.
 #[derive(Clone, Copy)]
-struct Failing {
+struct Outage {
     since: Instant,
-    /// Records that were not written.
+    /// Number of failed writes in the series.
     refused: u64,
 }
 
 impl JournalHealth {
-    /// A record was not written; true if it is the first after one that was.
-    pub(super) fn fail(&self) -> bool {
+    /// Counts a failed write. True if the write before it succeeded.
+    pub(super) fn record_failure(&self) -> bool {
         self.unwritten.set(self.unwritten.get() + 1);
-        let before = self.failing.get();
-        let Failing { since, refused } = before.unwrap_or(Failing { since: Instant::now(), refused: 0 });
-        self.failing.set(Some(Failing { since, refused: refused + 1 }));
+        let outage = self.outage.get();
+        let Outage { since, refused } = outage.unwrap_or(Outage { since: Instant::now(), refused: 0 });
+        self.outage.set(Some(Outage { since, refused: refused + 1 }));
         self.failed.notify_one();
-        before.is_none()
+        outage.is_none()
     }
 
-    /// A record was written; for how long none was, and how many were not, if any.
-    pub(super) fn recover(&self) -> Option<(Duration, u64)> {
-        let Failing { since, refused } = self.failing.take()?;
-        self.works.notify_waiters();
+    /// Notes a successful write. If it ended an outage, returns how long that lasted and how many writes failed.
+    pub(super) fn record_success(&self) -> Option<(Duration, u64)> {
+        let Outage { since, refused } = self.outage.take()?;
+        self.recovered.notify_waiters();
         Some((since.elapsed(), refused))
     }
 
-    /// Whether the last record was not written.
+    /// Whether the last write failed.
     pub fn is_failing(&self) -> bool {
-        self.failing.get().is_some()
+        self.outage.get().is_some()
     }
 
-    /// How many records were not written, tries that failed again counted.
+    /// How many writes have failed in all, including failed retries.
     pub fn unwritten_records(&self) -> u64 {
         self.unwritten.get()
     }
 
-    /// Done while records are not written.
+    /// Waits until writes fail; returns at once if the last one failed.
     pub async fn wait_for_failure(&self) {
         while !self.is_failing() {
             self.failed.notified().await;
         }
     }
 
-    /// Done when records are written again.
+    /// Waits until writes succeed; returns at once if the last one did.
     pub async fn wait_for_recovery(&self) {
         while self.is_failing() {
-            self.works.notified().await;
+            self.recovered.notified().await;
         }
     }
 }
--- a/relay/src/journal/queued.rs
+++ b/relay/src/journal/queued.rs
@@ -1,9 +1,9 @@
-//! Requests that pass between the journal and the backlog on disk.
+//! Requests that move between the journal and the backlog on disk.
 //!
-//! A request has one owner at each moment. It enters the backlog as a [`QueuedRequest`], opaque to the store. When it is
-//! fetched, the journal records it together with its place there; only then is it removed from the backlog. Where a
-//! crash comes in between, the place tells at the next start which copy is to be removed. Putting a request back goes
-//! the other way: the backlog has it again, at the same place, before the journal ends it.
+//! A request has one owner at any time. It enters the backlog as a [`QueuedRequest`], opaque to the store. When it is
+//! fetched, the journal records it together with its place in the backlog; only then is it removed from the backlog. After a
+//! crash in between, the recorded place identifies the copy to remove at the next start. Putting a request back takes the
+//! reverse order: the backlog stores it again, at the same place, before the journal removes it.
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -12,40 +12,40 @@
 use onyxglade_backlog::message::Place;
 use slatethread::Class;
 
-use super::{Claims, Journal, Key, Record, RecordedClaim, TakenUnder, encode};
+use super::{ClaimHistory, Journal, Key, Record, RecordedClaim, RecordedRules, encode};
 use crate::job::Job;
 
-/// The form of what is written here; a later one is not read.
+/// Format of the payload; a later format is not read.
 const PAYLOAD_FORMAT: u8 = 1;
 
-/// A request as it waits in the backlog, with all that a request in the journal has.
+/// A request in the backlog, with everything that the journal records of a request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct QueuedRequest {
     format: u8,
     /// The request itself.
     pub job: Job,
-    rules: TakenUnder,
-    claims: Claims,
+    rules: RecordedRules,
+    claims: ClaimHistory,
 }
 
-/// A payload of the backlog that is no request.
+/// Why a payload of the backlog cannot be read as a request.
 #[derive(Debug, Error)]
 pub enum UnreadableRequest {
-    /// A later program wrote it.
-    #[error("a queued request has format {0}, and this program reads format {PAYLOAD_FORMAT}")]
+    /// A later version of the program wrote it.
+    #[error("a queued request has format {0}; this version reads format {PAYLOAD_FORMAT}")]
     Format(u8),
-    /// Its bytes are not a request.
+    /// Its bytes cannot be decoded.
     #[error("a queued request cannot be decoded: {0}")]
     Encoding(#[from] postcard::Error),
-    /// Its class has rules that this program does not know.
-    #[error("a queued request was taken on under rules that are unknown here")]
+    /// The rules of its class have values that this version does not know.
+    #[error("a queued request was accepted under rules that this version does not know")]
     Rules,
 }
 
 impl QueuedRequest {
-    /// A request that was just taken on under the rules of its class.
+    /// A request that was just accepted under the rules of its class.
     pub fn new(job: Job, rules: &Class) -> Self {
-        QueuedRequest { format: PAYLOAD_FORMAT, job, rules: rules.into(), claims: Claims::default() }
+        QueuedRequest { format: PAYLOAD_FORMAT, job, rules: rules.into(), claims: ClaimHistory::default() }
     }
 
     /// Encodes it as a payload of the backlog.
@@ -56,7 +56,7 @@
     /// Decodes a payload of the backlog.
     ///
     /// # Errors
-    /// When it is not one, or a later program wrote it.
+    /// It is not a request, or a later version of the program wrote it.
     pub fn decode(payload: &[u8]) -> Result<Self, UnreadableRequest> {
         match payload.first() {
             Some(&PAYLOAD_FORMAT) | None => {}
@@ -67,59 +67,59 @@
         Ok(request)
     }
 
-    /// The rules of its class under which it was taken on.
+    /// The rules of its class when it was accepted.
     pub fn rules(&self) -> Class {
         self.rules.class().unwrap_or_default()
     }
 
-    /// How many attempts there were.
+    /// How many claims were made.
     pub fn tries(&self) -> u32 {
         self.claims.tries
     }
 
-    /// The first attempt that may have run.
+    /// The first claim that may have run.
     pub fn risk(&self) -> Option<RecordedClaim> {
         self.claims.risk.clone()
     }
 
-    /// Whether one of its attempts may have run.
+    /// Whether one of its claims may have run.
     pub fn may_have_run(&self) -> bool {
         self.claims.risk.is_some()
     }
 }
 
 impl Journal {
-    /// Records a request that was fetched from its place in the backlog; `None` if there is no room for it. From the
-    /// return of this on it may be removed there.
+    /// Records a request that was fetched from its place in the backlog; `None` if there is no room for it. Once this has
+    /// succeeded, the request may be removed from the backlog.
     ///
     /// # Errors
-    /// When the file cannot be written; then the request is still the backlog's.
+    /// The file cannot be written; then the backlog still owns the request.
     pub fn record_fetched(&mut self, request: &QueuedRequest, place: Place) -> io::Result<Option<Key>> {
         let key = self.next;
-        let mut frame = encode(&self.job_record(key, &request.job));
-        frame.extend(encode(&Record::Rules(key, request.rules.clone())));
-        frame.extend(encode(&Record::Fetched(key, place.into())));
-        let frame = Bytes::from(frame);
-        if !self.has_room(&frame) {
+        let mut frames = encode(&self.job_record(key, &request.job));
+        frames.extend(encode(&Record::Rules(key, request.rules.clone())));
+        frames.extend(encode(&Record::Fetched(key, place.into())));
+        let frames = Bytes::from(frames);
+        if !self.has_room(&frames) {
             return Ok(None);
         }
         let claims = request.claims.clone();
-        let mut records = frame.to_vec();
+        let mut records = frames.to_vec();
         if claims.tries > 0 {
             records.extend(encode(&self.claims_record(key, &claims)));
         }
         self.append(&records)?;
         self.next += 1;
-        self.add_live(key, frame, Some(request.rules()));
-        self.with(key, |live| {
+        self.add_live(key, frames, Some(request.rules()));
+        self.update(key, |live| {
             live.claims = claims;
             live.place = Some(place);
         });
         Ok(Some(key))
     }
 
-    /// An open request as the backlog is to have it again, and its place there; `None` if it did not come from there
-    /// or has ended.
+    /// A copy of an open request for the backlog, and its place there; `None` if it was not fetched from the backlog or has
+    /// been removed.
     pub fn put_back_copy(&self, key: Key, job: &Job) -> Option<(QueuedRequest, Place)> {
         let live = self.live.get(&key)?;
         let mut request = QueuedRequest::new(job.clone(), live.rules.as_ref()?);
--- a/relay/src/journal/queued/tests.rs
+++ b/relay/src/journal/queued/tests.rs
@@ -1,5 +1,5 @@
-use super::super::tests::{claim, job, rules, take};
-use super::super::{FORMAT, FORMATS, PLAIN_FORMAT};
+use super::super::tests::{accept, claim, job, rules};
+use super::super::{BASIC_FORMAT, FORMAT_KEYS, LATEST_FORMAT};
 use super::*;
 use onyxglade_backlog::message::{ClassNumber, Lane};
 use std::path::Path;
@@ -16,24 +16,26 @@
     journal
 }
 
-/// The format at the head of a journal's file: behind its length and its checksum stand a variant and a number.
+/// The format of a journal's file, from its first record: the payload follows the length and the checksum.
 fn format_of(folder: &Path) -> u64 {
-    let text = std::fs::read(folder.join("journal")).expect("a file");
-    let Ok(Record::End(key)) = postcard::from_bytes(&text[8..]) else { panic!("no format at the head") };
-    key - FORMATS
+    let bytes = std::fs::read(folder.join("journal")).expect("a file");
+    let Ok(Record::Removed(key)) = postcard::from_bytes(&bytes[8..]) else {
+        panic!("no format at the start")
+    };
+    key - FORMAT_KEYS
 }
 
 #[test]
-fn a_queued_request_comes_back_as_it_was() {
+fn a_queued_request_is_unchanged_after_encoding_and_decoding() {
     let queued = QueuedRequest::new(job("a", 200), &rules());
-    let back = QueuedRequest::decode(&queued.encode()).expect("a request");
-    assert_eq!(back.job, job("a", 200));
-    assert_eq!(format!("{:?}", back.rules()), format!("{:?}", rules()));
-    assert!(!back.may_have_run());
+    let decoded = QueuedRequest::decode(&queued.encode()).expect("a request");
+    assert_eq!(decoded.job, job("a", 200));
+    assert_eq!(format!("{:?}", decoded.rules()), format!("{:?}", rules()));
+    assert!(!decoded.may_have_run());
 }
 
 #[test]
-fn payloads_that_are_no_request_are_told_apart() {
+fn a_payload_of_a_later_format_or_a_truncated_one_is_rejected() {
     let mut later = QueuedRequest::new(job("a", 3), &rules()).encode().to_vec();
     later[0] = PAYLOAD_FORMAT + 1;
     assert!(matches!(QueuedRequest::decode(&later), Err(UnreadableRequest::Format(2))));
@@ -51,7 +53,7 @@
     let key = journal.record_fetched(&queued, place(5)).expect("written").expect("room");
     journal.record_claim(key, claim(1)).expect("written");
     drop(journal);
-    // Once as it was appended, once as it was rewritten.
+    // First from the appended records, then from the file that the first open rewrote.
     for _ in 0..2 {
         let (_, open) = Journal::open(folder.path(), LIMIT).expect("it opens");
         assert_eq!((open.len(), open[0].place, open[0].tries), (1, Some(place(5)), 1));
@@ -61,7 +63,7 @@
 }
 
 #[test]
-fn attempts_go_along_in_both_directions() {
+fn claims_are_kept_when_a_request_is_put_back_and_fetched_again() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut journal = with_backlog(folder.path());
     let queued = QueuedRequest::new(job("a", 9), &rules());
@@ -72,7 +74,7 @@
     let (back, at) = journal.put_back_copy(key, &job("a", 9)).expect("open");
     assert_eq!((at, back.may_have_run()), (place(5), true));
     journal.remove_job(key).expect("written");
-    assert!(journal.put_back_copy(key, &job("a", 9)).is_none(), "it has ended here");
+    assert!(journal.put_back_copy(key, &job("a", 9)).is_none(), "the journal has removed it");
 
     let again = QueuedRequest::decode(&back.encode()).expect("a request");
     let key = journal.record_fetched(&again, place(5)).expect("written").expect("room");
@@ -83,15 +85,15 @@
 }
 
 #[test]
-fn a_request_from_a_client_is_never_put_back_without_a_place() {
+fn a_request_that_did_not_come_from_the_backlog_is_not_put_back() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut journal = with_backlog(folder.path());
-    let key = take(&mut journal, &job("a", 9));
+    let key = accept(&mut journal, &job("a", 9));
     assert!(journal.put_back_copy(key, &job("a", 9)).is_none());
 }
 
 #[test]
-fn a_full_journal_leaves_the_request_to_the_backlog() {
+fn a_full_journal_leaves_a_fetched_request_in_the_backlog() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut journal = with_backlog(folder.path());
     let queued = QueuedRequest::new(job("a", 60_000), &rules());
@@ -101,27 +103,27 @@
 }
 
 #[test]
-fn without_a_backlog_the_file_has_the_format_from_before() {
+fn a_journal_without_a_backlog_keeps_the_basic_format() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut journal, _) = Journal::open(folder.path(), LIMIT).expect("it opens");
     journal.record_job(&job("a", 9), &rules()).expect("written");
     drop(journal);
-    assert_eq!(format_of(folder.path()), PLAIN_FORMAT);
+    assert_eq!(format_of(folder.path()), BASIC_FORMAT);
     drop(with_backlog(folder.path()));
-    assert_eq!(format_of(folder.path()), FORMAT);
+    assert_eq!(format_of(folder.path()), LATEST_FORMAT);
 }
 
 #[test]
-fn a_fetched_request_keeps_the_newer_format_while_it_is_open() {
+fn the_newer_format_is_kept_while_a_fetched_request_is_open() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut journal = with_backlog(folder.path());
     let queued = QueuedRequest::new(job("a", 9), &rules());
     let key = journal.record_fetched(&queued, place(5)).expect("written").expect("room");
     drop(journal);
     let (mut journal, _) = Journal::open(folder.path(), LIMIT).expect("it opens");
-    assert_eq!(format_of(folder.path()), FORMAT, "its place must not be lost");
+    assert_eq!(format_of(folder.path()), LATEST_FORMAT, "its place must not be lost");
     journal.remove_job(key).expect("written");
     drop(journal);
     drop(Journal::open(folder.path(), LIMIT).expect("it opens"));
-    assert_eq!(format_of(folder.path()), PLAIN_FORMAT);
+    assert_eq!(format_of(folder.path()), BASIC_FORMAT);
 }
--- a/relay/src/journal/receipt.rs
+++ b/relay/src/journal/receipt.rs
@@ -1,10 +1,10 @@
-//! What the journal hands out for what it has: nobody is told that a message is taken on, or how it ended, without one.
+//! Receipts for recorded facts. A submitter is notified that a message is accepted, or how it ended, only with such a receipt.
 use onyxglade_backlog::message::Place;
 
 use super::Key;
 use crate::job::{Notice, NoticeEnd};
 
-/// A message that outlasts the process: its submitter may be told that it is taken on.
+/// Receipt for a message that outlasts the process: its submitter may be notified of its acceptance.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Acceptance(Option<Key>);
 
@@ -13,38 +13,38 @@
         Acceptance(Some(key))
     }
 
-    /// The backlog on disk has it at a place.
+    /// The backlog on disk has stored the message at a place.
     pub fn in_backlog(_stored: &Place) -> Self {
         Acceptance(None)
     }
 
-    /// Its number in the journal, if it is there.
+    /// The message's number in the journal, unless it is in the backlog.
     pub fn key(&self) -> Option<Key> {
         self.0
     }
 }
 
-/// An end that every later process comes to as well: it may be told.
+/// A notice that may be sent: every later process would come to the same end of the message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinalNotice(Notice);
 
 impl FinalNotice {
-    /// The journal has it.
+    /// The journal has recorded the notice.
     pub(super) fn recorded(notice: Notice) -> Self {
         FinalNotice(notice)
     }
 
-    /// The message's time is over: whoever finds it open fails it, by real time, without any record.
+    /// The message's deadline has passed. No record is needed, since any process that finds it open fails it by the clock.
     pub fn expired(id: &str) -> Self {
         FinalNotice(Notice { id: id.to_owned(), end: NoticeEnd::Failed { status: None } })
     }
 
-    /// It follows from what the backlog on disk has, which goes on having it until this is told.
+    /// The end follows from the message in the backlog on disk, which keeps it until the notice is delivered.
     pub fn from_backlog(notice: Notice) -> Self {
         FinalNotice(notice)
     }
 
-    /// How it ended.
+    /// The notice, with how the message ended.
     pub fn notice(&self) -> &Notice {
         &self.0
     }
--- a/relay/src/journal/record.rs
+++ b/relay/src/journal/record.rs
@@ -1,4 +1,4 @@
-//! The journal's records and their form: a record's length, its CRC-32, and its text in postcard.
+//! The journal's records and their encoding: the length of the payload, its CRC-32, and the payload (postcard).
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, SystemTime};
@@ -9,29 +9,29 @@
 use super::Key;
 use crate::job::{Job, Notice};
 
-/// A longer record is none: it is the torn end of the file.
-pub(super) const LONGEST: usize = 1024 * 1024;
-/// The format of the records that are written without a backlog.
-pub(super) const PLAIN_FORMAT: u64 = 1;
-/// The format with [`Record::Fetched`], the newest that is read.
-pub(super) const FORMAT: u64 = 2;
-/// The format stands first in the file, as the end of a job with a number from here on, which no job ever has: programs
-/// from before there was a format pass over it. It stands again behind all that was written anew, so that a job's first
-/// record at the file's very end is known to be half of what was to be appended.
-pub(super) const FORMATS: Key = u64::MAX - 0xffff;
+/// Longest payload of a record. A greater length is not that of a record: the file is torn or damaged there.
+pub(super) const MAX_RECORD_BYTES: usize = 1024 * 1024;
+/// The format written without a backlog.
+pub(super) const BASIC_FORMAT: u64 = 1;
+/// The format with [`Record::Fetched`], the latest that is read.
+pub(super) const LATEST_FORMAT: u64 = 2;
+/// The file's format is its first record: the removal of a job whose number is this plus the format. No job ever has such a
+/// number, so that versions of the program without formats ignore the record. It is repeated after the jobs of a rewritten file;
+/// thereby a file that has it twice and ends in a job's first record is known to lack the rest of that append.
+pub(super) const FORMAT_KEYS: Key = u64::MAX - 0xffff;
 
 /// A claim that may have run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordedClaim {
-    /// Just before its first byte.
+    /// Just before its first byte was sent.
     pub sent: SystemTime,
     pub node: String,
     pub zone: Option<String>,
 }
 
 impl RecordedClaim {
-    /// How long ago it was sent. By a clock that was set back it lies in the future: then nobody can say, and it
-    /// counts as longer ago than any memory lasts.
+    /// How long ago it was sent. If the clock was set back and `sent` is in the future, the age is unknown and counts as
+    /// longer than any partner remembers requests.
     pub fn age(&self, now: SystemTime) -> Duration {
         now.duration_since(self.sent).unwrap_or(Duration::MAX)
     }
@@ -43,17 +43,19 @@
     Claim(Key, RecordedClaim),
     /// The job's latest claim never ran.
     NeverRan(Key),
-    /// All that earlier records said of a job's claims.
-    Claims(Key, Claims),
-    Ending(Key, Notice),
-    End(Key),
-    /// The rules under which a job was taken on; stands right behind it.
-    Rules(Key, TakenUnder),
-    /// A job was fetched from the backlog, which had it at this place; stands right behind the rules.
+    /// Replaces all earlier records of a job's claims.
+    ClaimHistory(Key, ClaimHistory),
+    /// How the job ended; the notice may not have been delivered yet.
+    Notice(Key, Notice),
+    /// Nothing more is to be done for the job.
+    Removed(Key),
+    /// The rules under which a job was accepted; directly follows the job.
+    Rules(Key, RecordedRules),
+    /// The place in the backlog that a job was fetched from; directly follows the rules.
     Fetched(Key, RecordedPlace),
 }
 
-/// A place in the backlog, as it is written.
+/// A place in the backlog, as it is encoded.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct RecordedPlace {
     destination: u64,
@@ -75,9 +77,9 @@
     }
 }
 
-/// The rules of a class, as they are written.
+/// The rules of a class, as they are encoded.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) struct TakenUnder {
+pub(super) struct RecordedRules {
     effect: u8,
     group: u8,
     window: Option<u64>,
@@ -91,12 +93,12 @@
 const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Keyed, Effect::Unsafe];
 const GROUPS: [Group; 3] = [Group::All, Group::Zone, Group::Endpoint];
 
-impl From<&Class> for TakenUnder {
+impl From<&Class> for RecordedRules {
     fn from(class: &Class) -> Self {
-        let place = |found: Option<usize>| found.expect("all are listed") as u8;
-        TakenUnder {
-            effect: place(EFFECTS.iter().position(|effect| *effect == class.effect)),
-            group: place(GROUPS.iter().position(|group| *group == class.group)),
+        let index = |found: Option<usize>| found.expect("all variants are listed") as u8;
+        RecordedRules {
+            effect: index(EFFECTS.iter().position(|effect| *effect == class.effect)),
+            group: index(GROUPS.iter().position(|group| *group == class.group)),
             window: class.window,
             aim: class.aim,
             give_up: class.give_up,
@@ -107,8 +109,8 @@
     }
 }
 
-impl TakenUnder {
-    /// None if it has what this program does not know.
+impl RecordedRules {
+    /// The class; none if it has an effect or group that this version does not know.
     pub fn class(&self) -> Option<Class> {
         Some(Class {
             effect: *EFFECTS.get(usize::from(self.effect))?,
@@ -123,66 +125,68 @@
     }
 }
 
-/// What is known of a job's claims.
+/// The claims made for a job so far.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(super) struct Claims {
+pub(super) struct ClaimHistory {
     pub tries: u32,
-    /// The first that may have run.
+    /// The first claim that may have run.
     pub risk: Option<RecordedClaim>,
-    /// That first one is the latest, so that it may still turn out never to have run.
-    pub latest: bool,
+    /// Whether `risk` is the latest claim, which may still turn out never to have run.
+    pub risk_is_latest: bool,
 }
 
-impl Claims {
+impl ClaimHistory {
     pub fn add(&mut self, claim: RecordedClaim) {
         self.tries += 1;
-        self.latest = self.risk.is_none();
+        self.risk_is_latest = self.risk.is_none();
         self.risk.get_or_insert(claim);
     }
 
+    /// The latest claim never ran.
     pub fn never_ran(&mut self) {
-        if std::mem::take(&mut self.latest) {
+        if std::mem::take(&mut self.risk_is_latest) {
             self.risk = None;
         }
     }
 }
 
-/// A record with its frame.
+/// Encodes a record as a frame: length, checksum and payload.
 pub(super) fn encode(record: &Record) -> Vec<u8> {
-    let text = postcard::to_stdvec(record).expect("records have no unsized parts");
-    let mut frame = Vec::with_capacity(text.len() + 8);
-    frame.extend_from_slice(&(text.len() as u32).to_le_bytes());
-    frame.extend_from_slice(&crc32fast::hash(&text).to_le_bytes());
-    frame.extend_from_slice(&text);
+    let payload = postcard::to_stdvec(record).expect("records have no unsized parts");
+    let mut frame = Vec::with_capacity(payload.len() + 8);
+    frame.extend_from_slice(&(payload.len() as u32).to_le_bytes());
+    frame.extend_from_slice(&crc32fast::hash(&payload).to_le_bytes());
+    frame.extend_from_slice(&payload);
     frame
 }
 
-/// The record at `at`, with its frame, if it is whole.
-pub(super) fn next_record(text: &Bytes, at: usize) -> Option<(Bytes, Record)> {
-    let number = |from: usize| Some(u32::from_le_bytes(text.get(from..from + 4)?.try_into().ok()?));
+/// The record whose frame begins at `at`, with the frame, if it is whole and undamaged.
+pub(super) fn next_record(bytes: &Bytes, at: usize) -> Option<(Bytes, Record)> {
+    let number = |from: usize| Some(u32::from_le_bytes(bytes.get(from..from + 4)?.try_into().ok()?));
     let length = number(at)? as usize;
-    let sum = number(at + 4)?;
-    if length > LONGEST {
+    let checksum = number(at + 4)?;
+    if length > MAX_RECORD_BYTES {
         return None;
     }
-    let inner = text.get(at + 8..at + 8 + length)?;
-    if crc32fast::hash(inner) != sum {
+    let payload = bytes.get(at + 8..at + 8 + length)?;
+    if crc32fast::hash(payload) != checksum {
         return None;
     }
-    let record = postcard::from_bytes(inner).ok()?;
-    Some((text.slice(at..at + 8 + length), record))
+    let record = postcard::from_bytes(payload).ok()?;
+    Some((bytes.slice(at..at + 8 + length), record))
 }
 
-/// Where the next whole record begins behind one that is not whole: where that one says that it ends, else the first
-/// place from which two in a row can be read, or one up to the end. `None` if nothing follows: then it is the torn end.
-pub(super) fn behind_damage(text: &Bytes, at: usize) -> Option<usize> {
-    let length = text.get(at..at + 4).and_then(|four| four.try_into().ok()).map(u32::from_le_bytes);
-    let told = length.and_then(|length| at.checked_add(8 + length as usize));
-    let is_record = |at: usize| next_record(text, at).is_some();
-    // Guards against what a body holds, which may look like a record, being taken for one.
-    let leads_on = |at: usize| {
-        let next = next_record(text, at).map(|(frame, _)| at + frame.len());
-        next.is_some_and(|next| next == text.len() || is_record(next))
+/// Finds the next readable record after an unreadable one at `at`: at the end that its length field gives, or else at the
+/// first offset from which two records in a row can be read, or one that ends the file. `None` if there is none: then the
+/// record at `at` is the torn end of the file.
+pub(super) fn resync(bytes: &Bytes, at: usize) -> Option<usize> {
+    let length = bytes.get(at..at + 4).and_then(|four| four.try_into().ok()).map(u32::from_le_bytes);
+    let stated_end = length.and_then(|length| at.checked_add(8 + length as usize));
+    let is_record = |at: usize| next_record(bytes, at).is_some();
+    // A message body may contain bytes that look like a record; a second record after it makes that unlikely.
+    let is_followed = |at: usize| {
+        let next = next_record(bytes, at).map(|(frame, _)| at + frame.len());
+        next.is_some_and(|next| next == bytes.len() || is_record(next))
     };
-    told.filter(|at| is_record(*at)).or_else(|| (at + 1..text.len()).find(|at| leads_on(*at)))
+    stated_end.filter(|at| is_record(*at)).or_else(|| (at + 1..bytes.len()).find(|at| is_followed(*at)))
 }
--- a/relay/src/journal/storage.rs
+++ b/relay/src/journal/storage.rs
@@ -1,30 +1,30 @@
-//! The file below the journal, as a small trait, so that tests can have it fail.
+//! The journal's file, behind a small trait so that tests can inject faults.
 use rustix::io::Errno;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// The file's name in the folder that lasts.
+/// The file's name in the state folder.
 pub(super) const NAME: &str = "journal";
-const SPARE_NAME: &str = "journal.new";
+const REPLACEMENT_NAME: &str = "journal.new";
 
-/// Bytes that outlast the process.
+/// A sequence of bytes that outlasts the process.
 pub(super) trait Storage {
-    /// All of them; none where nothing was ever written.
+    /// Reads all bytes; there are none if nothing was ever written.
     fn read(&mut self) -> io::Result<Vec<u8>>;
-    /// Adds bytes at the end. Where that fails, some of them may have been added.
+    /// Adds bytes at the end. If that fails, some of them may have been added.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts off what is behind so many bytes.
+    /// Drops all bytes after the first `length`.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
-    /// Puts other bytes in place of all. Where that fails, the old ones stand.
+    /// Replaces all bytes. If that fails, the old ones are kept.
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()>;
 }
 
-/// Whether a fault of the folder may pass by itself: it is full, its disk or the system fails for a while. The others say that the
-/// folder is not one in which a journal can be kept.
+/// Whether an error of the folder may pass by itself: the folder is full, or its disk or the system fails for a while. Any other
+/// error means that the folder is unfit for a journal.
 pub fn is_transient(error: &io::Error) -> bool {
-    const PASSING: [Errno; 12] = [
+    const TRANSIENT: [Errno; 12] = [
         Errno::NOSPC,
         Errno::DQUOT,
         Errno::IO,
@@ -38,13 +38,13 @@
         Errno::TIMEDOUT,
         Errno::STALE,
     ];
-    Errno::from_io_error(error).is_some_and(|errno| PASSING.contains(&errno))
+    Errno::from_io_error(error).is_some_and(|errno| TRANSIENT.contains(&errno))
 }
 
-/// A file in a folder, replaced by renaming another onto it.
+/// A file in a folder, replaced atomically by renaming another file onto it.
 pub(super) struct FolderStorage {
     path: PathBuf,
-    spare: PathBuf,
+    replacement: PathBuf,
     file: File,
 }
 
@@ -53,14 +53,14 @@
         std::fs::create_dir_all(folder)?;
         let path = folder.join(NAME);
         let file = OpenOptions::new().read(true).append(true).create(true).open(&path)?;
-        Ok(FolderStorage { path, spare: folder.join(SPARE_NAME), file })
+        Ok(FolderStorage { path, replacement: folder.join(REPLACEMENT_NAME), file })
     }
 
-    /// Whether another file has the path by now.
+    /// Whether the path now names `file`.
     fn is_replaced_by(&self, file: &File) -> bool {
         let same = || {
-            let (there, here) = (std::fs::metadata(&self.path)?, file.metadata()?);
-            io::Result::Ok((there.dev(), there.ino()) == (here.dev(), here.ino()))
+            let (at_path, opened) = (std::fs::metadata(&self.path)?, file.metadata()?);
+            io::Result::Ok((at_path.dev(), at_path.ino()) == (opened.dev(), opened.ino()))
         };
         same().unwrap_or(false)
     }
@@ -82,11 +82,11 @@
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let mut file = OpenOptions::new().append(true).create(true).open(&self.spare)?;
+        let mut file = OpenOptions::new().append(true).create(true).open(&self.replacement)?;
         file.set_len(0)?;
         file.write_all(bytes)?;
-        if let Err(error) = std::fs::rename(&self.spare, &self.path)
-            // A renaming that failed may have been done: what is appended to the old file then is lost.
+        if let Err(error) = std::fs::rename(&self.replacement, &self.path)
+            // A rename may have taken effect although it returned an error; then appends to the old file would be lost.
             && !self.is_replaced_by(&file)
         {
             return Err(error);
--- a/relay/src/journal/storage_double.rs
+++ b/relay/src/journal/storage_double.rs
@@ -1,4 +1,4 @@
-//! A double of the journal's file for tests: in memory, with calls that fail as they are told to.
+//! A test double of the journal's file: in memory, with injected faults.
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io;
@@ -6,26 +6,26 @@
 
 use super::storage::Storage;
 
-/// What becomes of one call that changes the file.
+/// Result of one call that changes the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    Done,
-    /// Nothing is done.
-    Fails,
-    /// So many bytes of an append are written before it fails; other calls do nothing.
+pub enum CallResult {
+    Success,
+    /// The call fails without a change.
+    Failure,
+    /// An append fails after it has written this many bytes; other calls fail without a change.
     Torn(usize),
 }
 
-/// The file, which outlasts journals.
+/// The file, which outlasts the journals that use it.
 #[derive(Clone, Default)]
 pub struct Disk {
     bytes: Rc<RefCell<Vec<u8>>>,
-    /// Of the next calls; further ones are done.
-    fates: Rc<RefCell<VecDeque<Fate>>>,
+    /// Results of the next calls; later ones succeed.
+    results: Rc<RefCell<VecDeque<CallResult>>>,
 }
 
 impl Disk {
-    pub fn holding(bytes: Vec<u8>) -> Disk {
+    pub fn with_content(bytes: Vec<u8>) -> Disk {
         Disk { bytes: Rc::new(RefCell::new(bytes)), ..Disk::default() }
     }
 
@@ -33,17 +33,17 @@
         self.bytes.borrow().clone()
     }
 
-    /// What becomes of the next calls, and of no others.
-    pub fn fail(&self, fates: impl IntoIterator<Item = Fate>) {
-        *self.fates.borrow_mut() = fates.into_iter().collect();
+    /// Sets the results of the next calls, in place of any set before.
+    pub fn set_results(&self, results: impl IntoIterator<Item = CallResult>) {
+        *self.results.borrow_mut() = results.into_iter().collect();
     }
 
-    fn fate(&self) -> Fate {
-        self.fates.borrow_mut().pop_front().unwrap_or(Fate::Done)
+    fn next_result(&self) -> CallResult {
+        self.results.borrow_mut().pop_front().unwrap_or(CallResult::Success)
     }
 }
 
-fn full() -> io::Error {
+fn disk_full() -> io::Error {
     rustix::io::Errno::NOSPC.into()
 }
 
@@ -53,28 +53,28 @@
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let fate = self.fate();
-        let written = match fate {
-            Fate::Done => bytes.len(),
-            Fate::Fails => 0,
-            // One that fails lacks a byte at least.
-            Fate::Torn(most) => most.min(bytes.len().saturating_sub(1)),
+        let result = self.next_result();
+        let written = match result {
+            CallResult::Success => bytes.len(),
+            CallResult::Failure => 0,
+            // A failed append lacks at least one byte.
+            CallResult::Torn(max) => max.min(bytes.len().saturating_sub(1)),
         };
         self.bytes.borrow_mut().extend_from_slice(&bytes[..written]);
-        if fate == Fate::Done { Ok(()) } else { Err(full()) }
+        if result == CallResult::Success { Ok(()) } else { Err(disk_full()) }
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
-        if self.fate() != Fate::Done {
-            return Err(full());
+        if self.next_result() != CallResult::Success {
+            return Err(disk_full());
         }
         self.bytes.borrow_mut().truncate(length as usize);
         Ok(())
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if self.fate() != Fate::Done {
-            return Err(full());
+        if self.next_result() != CallResult::Success {
+            return Err(disk_full());
         }
         *self.bytes.borrow_mut() = bytes.to_vec();
         Ok(())
--- a/relay/src/journal/tests.rs
+++ b/relay/src/journal/tests.rs
@@ -19,8 +19,8 @@
     }
 }
 
-/// Takes a job on.
-pub(super) fn take(journal: &mut Journal, job: &Job) -> Key {
+/// Records a job and returns its number.
+pub(super) fn accept(journal: &mut Journal, job: &Job) -> Key {
     journal.record_job(job, &rules()).expect("written").expect("room").key().expect("journaled")
 }
 
@@ -45,10 +45,10 @@
 }
 
 #[test]
-fn what_is_open_comes_back_as_it_was() {
+fn open_jobs_are_recovered_unchanged() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut journal, _) = Journal::open(folder.path(), 100_000).expect("it opens");
-    let keys = ["a", "b", "c", "d"].map(|id| take(&mut journal, &job(id, 9)));
+    let keys = ["a", "b", "c", "d"].map(|id| accept(&mut journal, &job(id, 9)));
     journal.record_claim(keys[0], claim(1)).expect("written");
     journal.record_never_ran(keys[0]).expect("written");
     journal.record_claim(keys[0], claim(2)).expect("written");
@@ -57,7 +57,7 @@
     journal.remove_job(keys[1]).expect("written");
     let notice = Notice { id: "c".into(), end: NoticeEnd::Returned { after: None } };
     journal.record_notice(keys[2], &notice).expect("written");
-    // Once as it was appended, once as it was rewritten.
+    // First from the appended records, then from the file that the first open rewrote.
     for _ in 0..2 {
         let (_, open) = Journal::open(folder.path(), 100_000).expect("it opens");
         let ids: Vec<_> = open.iter().map(|o| o.job.id.as_str()).collect();
@@ -69,13 +69,13 @@
 }
 
 #[test]
-fn a_claim_from_the_future_is_remembered_by_nobody() {
+fn a_claim_with_a_time_in_the_future_counts_as_older_than_any_memory() {
     assert_eq!(claim(9).age(claim(7).sent), Duration::MAX);
     assert_eq!(claim(7).age(claim(9).sent), Duration::from_secs(2));
 }
 
 #[test]
-fn a_torn_tail_is_dropped_and_what_follows_is_kept() {
+fn a_torn_end_is_dropped_and_records_appended_afterwards_are_kept() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut journal, _) = Journal::open(folder.path(), 100_000).expect("it opens");
     for id in ["a", "b"] {
@@ -83,12 +83,12 @@
     }
     drop(journal);
     let file = folder.path().join("journal");
-    let text = std::fs::read(&file).expect("it is there");
-    let begins = records(&text);
-    // Up to the whole of the last one, and of the rules behind it: without these it was never answered.
-    let last = begins[begins.len() - 3];
-    for cut in 1..=text.len() - last {
-        std::fs::write(&file, &text[..text.len() - cut]).expect("written");
+    let bytes = std::fs::read(&file).expect("the file exists");
+    let starts = records(&bytes);
+    // Cuts up to all of the last job and of its rules: without the rules its submitter was never answered.
+    let last = starts[starts.len() - 3];
+    for cut in 1..=bytes.len() - last {
+        std::fs::write(&file, &bytes[..bytes.len() - cut]).expect("written");
         let (mut journal, open) = Journal::open(folder.path(), 100_000).expect("it opens");
         assert_eq!(open.len(), 1, "{cut} bytes are missing");
         journal.record_job(&job("z", 5), &rules()).expect("written");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn the_folder_never_holds_more_than_its_limit() {
+fn the_folder_never_exceeds_its_limit() {
     let folder = tempfile::tempdir().expect("a folder");
     let limit = 200_000;
     let (mut journal, _) = Journal::open(folder.path(), limit).expect("it opens");
@@ -107,7 +107,7 @@
     for round in 0..3000 {
         match journal.record_job(&job(&format!("j{round}"), (round * 37) % 3000), &rules()).expect("written")
         {
-            Some(taken_on) => open.push_back(taken_on.key().expect("journaled")),
+            Some(acceptance) => open.push_back(acceptance.key().expect("journaled")),
             None => refused += 1,
         }
         for key in &open {
@@ -116,7 +116,7 @@
         if round % 3 > 0 {
             open.pop_front().into_iter().for_each(|key| journal.remove_job(key).expect("written"));
         }
-        // The successor is there for a moment only: what both take is bounded by what is live.
+        // During a rewrite the replacement exists too: its size is bounded by `live_size`.
         assert!(disk_use(folder.path()) + journal.live_size <= limit, "round {round}");
     }
     assert!(refused > 0, "the folder was never full");
@@ -124,82 +124,82 @@
     assert_eq!(recovered.len(), open.len());
 }
 
-/// A journal with such jobs, the file that it is in, and its text.
+/// Writes a journal with these jobs; returns its folder, the file's path and the file's content.
 fn written(ids: &[&str], then: impl Fn(&mut Journal, &[Key])) -> (tempfile::TempDir, PathBuf, Vec<u8>) {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut journal, _) = Journal::open(folder.path(), 100_000).expect("it opens");
-    let keys: Vec<_> = ids.iter().map(|id| take(&mut journal, &job(id, 50))).collect();
+    let keys: Vec<_> = ids.iter().map(|id| accept(&mut journal, &job(id, 50))).collect();
     then(&mut journal, &keys);
     let file = folder.path().join("journal");
-    let text = std::fs::read(&file).expect("it is there");
-    (folder, file, text)
+    let bytes = std::fs::read(&file).expect("the file exists");
+    (folder, file, bytes)
 }
 
-/// What is open by such a text, without a file: a file for each damaged byte would take a minute.
-fn read(text: &[u8]) -> Vec<OpenJob> {
+/// The open jobs of a journal with this content. It is kept in memory: a file for each damaged byte would take a minute.
+fn read(bytes: &[u8]) -> Vec<OpenJob> {
     let folder = tempfile::tempdir().expect("a folder");
-    let clock = FolderClock::open(folder.path()).expect("it can be read");
-    let disk = storage_double::Disk::holding(text.to_vec());
-    Journal::over(Box::new(disk), clock, 100_000).expect("it can be read").1
+    let clock = FolderClock::open(folder.path()).expect("the record is readable");
+    let disk = storage_double::Disk::with_content(bytes.to_vec());
+    Journal::with_storage(Box::new(disk), clock, 100_000).expect("the journal is readable").1
 }
 
-/// Where each record begins.
-fn records(text: &[u8]) -> Vec<usize> {
-    let text = Bytes::copy_from_slice(text);
+/// The offset of each record, and of the end.
+fn records(bytes: &[u8]) -> Vec<usize> {
+    let bytes = Bytes::copy_from_slice(bytes);
     let mut at = vec![0];
-    while let Some((frame, _)) = next_record(&text, at[at.len() - 1]) {
+    while let Some((frame, _)) = next_record(&bytes, at[at.len() - 1]) {
         at.push(at[at.len() - 1] + frame.len());
     }
     at
 }
 
 #[test]
-fn damage_at_any_byte_hides_no_record_behind_it_and_leaves_no_claim_forgotten() {
-    let (_folder, _file, text) = written(&["a", "b", "c"], |journal, keys| {
+fn a_damaged_byte_neither_hides_later_records_nor_makes_a_job_count_as_never_sent() {
+    let (_folder, _file, bytes) = written(&["a", "b", "c"], |journal, keys| {
         journal.record_claim(keys[0], claim(1)).expect("written");
         journal.record_job(&job("d", 9), &rules()).expect("written");
     });
-    let at = records(&text);
-    // The format twice, three jobs with their rules, a claim, a fourth job with its own.
+    let at = records(&bytes);
+    // The format twice, three jobs with their rules, a claim, a fourth job with its rules.
     assert_eq!(at.len(), 12);
     let ids = ["a", "b", "c", "d"];
-    // By record from the first job on: whose it is, and whether the job itself stands there.
-    let whose = [(0, true), (0, false), (1, true), (1, false), (2, true), (2, false), (0, false), (3, true)];
-    for spoilt in at[2]..at[10] {
-        let mut damaged = text.clone();
-        damaged[spoilt] ^= 0x55;
+    // For each record from the first job on: the index of its job, and whether it is the job's own record.
+    let owners = [(0, true), (0, false), (1, true), (1, false), (2, true), (2, false), (0, false), (3, true)];
+    for byte in at[2]..at[10] {
+        let mut damaged = bytes.clone();
+        damaged[byte] ^= 0x55;
         let open = read(&damaged);
-        let record = at.iter().rposition(|begin| *begin <= spoilt).expect("one of them") - 2;
-        let (job, lost) = whose[record];
+        let record = at.iter().rposition(|start| *start <= byte).expect("one of them") - 2;
+        let (job, lost) = owners[record];
         let left: Vec<_> = (0..4).filter(|this| !lost || *this != job).map(|this| ids[this]).collect();
-        assert_eq!(open.iter().map(|open| open.job.id.as_str()).collect::<Vec<_>>(), left, "byte {spoilt}");
+        assert_eq!(open.iter().map(|open| open.job.id.as_str()).collect::<Vec<_>>(), left, "byte {byte}");
         for open in &open {
-            // Those from before the damage may have run, and nobody knows when; those behind it have not.
+            // Jobs recorded before the damage may have run at an unknown time; those after it have not.
             let this = ids.iter().position(|id| *id == open.job.id).expect("one of them");
-            let before = this < whose[..record].iter().filter(|(_, begins)| *begins).count();
+            let before = this < owners[..record].iter().filter(|(_, is_job)| *is_job).count();
             let claimed = this == 0 && record != 6 && record != 0;
-            assert_eq!(open.risk.is_some(), before || claimed, "byte {spoilt}, {}", open.job.id);
+            assert_eq!(open.risk.is_some(), before || claimed, "byte {byte}, {}", open.job.id);
             let unknown = open.risk.as_ref().is_some_and(|risk| risk.sent == SystemTime::UNIX_EPOCH);
-            // A claim that was read before the damage says when.
-            assert_eq!(unknown, before && !(this == 0 && record > 6), "byte {spoilt}, {}", open.job.id);
-            let ruled = open.rules == Some(rules());
-            assert_eq!(ruled, lost || this != job || record == 6, "byte {spoilt}, {}", open.job.id);
+            // A claim that was read before the damage keeps its time.
+            assert_eq!(unknown, before && !(this == 0 && record > 6), "byte {byte}, {}", open.job.id);
+            let has_rules = open.rules == Some(rules());
+            assert_eq!(has_rules, lost || this != job || record == 6, "byte {byte}, {}", open.job.id);
         }
     }
 }
 
 #[test]
-fn what_a_body_holds_is_taken_for_no_record() {
-    let forged = encode(&Record::End(1));
-    let mut holder = job("b", 0);
-    holder.body = Bytes::from([&[0; 40][..], &forged, &[0; 40]].concat());
-    let (folder, file, text) = written(&["a"], |journal, _| {
-        journal.record_job(&holder, &rules()).expect("written");
+fn a_record_inside_a_message_body_is_not_replayed_after_damage() {
+    let forged = encode(&Record::Removed(1));
+    let mut carrier = job("b", 0);
+    carrier.body = Bytes::from([&[0; 40][..], &forged, &[0; 40]].concat());
+    let (folder, file, bytes) = written(&["a"], |journal, _| {
+        journal.record_job(&carrier, &rules()).expect("written");
         journal.record_job(&job("c", 9), &rules()).expect("written");
     });
-    let mut damaged = text.clone();
-    // The length of the record that holds it.
-    damaged[records(&text)[4] + 3] = 0xff;
+    let mut damaged = bytes.clone();
+    // Damages the length of the record with the body.
+    damaged[records(&bytes)[4] + 3] = 0xff;
     std::fs::write(&file, &damaged).expect("written");
     let (_, open) = Journal::open(folder.path(), 100_000).expect("it opens");
     let ids: Vec<_> = open.iter().map(|open| open.job.id.as_str()).collect();
@@ -207,25 +207,26 @@
 }
 
 #[test]
-fn a_newer_format_is_refused_with_its_number_and_left_as_it_is() {
-    let (folder, file, text) = written(&["a"], |_, _| {});
-    let format = records(&text)[1];
-    let newer = [encode(&Record::End(FORMATS + FORMAT + 1)), text[format..].to_vec()].concat();
+fn a_newer_format_is_refused_with_its_number_and_the_file_is_left_unchanged() {
+    let (folder, file, bytes) = written(&["a"], |_, _| {});
+    let format = records(&bytes)[1];
+    let newer =
+        [encode(&Record::Removed(FORMAT_KEYS + LATEST_FORMAT + 1)), bytes[format..].to_vec()].concat();
     std::fs::write(&file, &newer).expect("written");
     let fault = Journal::open(folder.path(), 100_000).err().expect("refused").to_string();
-    assert_eq!(fault, "it has format 3, and this program reads up to 2");
-    assert_eq!(std::fs::read(&file).expect("it is there"), newer);
-    // From before there was a format, it is read.
-    std::fs::write(&file, &text[records(&text)[2]..]).expect("written");
+    assert_eq!(fault, "it has format 3; this version reads formats up to 2");
+    assert_eq!(std::fs::read(&file).expect("the file exists"), newer);
+    // A file of a version without formats is read.
+    std::fs::write(&file, &bytes[records(&bytes)[2]..]).expect("written");
     let (_, open) = Journal::open(folder.path(), 100_000).expect("it opens");
     assert_eq!(open.len(), 1);
 }
 
 #[test]
-fn a_process_killed_at_any_write_leaves_what_was_written_before() {
+fn a_process_killed_during_any_write_loses_no_earlier_record() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut journal, _) = Journal::open(folder.path(), 100_000).expect("it opens");
-    let key = take(&mut journal, &job("a", 9));
+    let key = accept(&mut journal, &job("a", 9));
     journal.record_claim(key, claim(1)).expect("written");
     journal.record_never_ran(key).expect("written");
     journal.record_claim(key, claim(2)).expect("written");
@@ -234,14 +235,14 @@
     let notice = Notice { id: "a".into(), end: NoticeEnd::Failed { status: None } };
     journal.record_notice(key, &notice).expect("written");
     journal.remove_job(key).expect("written");
-    let text = std::fs::read(folder.path().join("journal")).expect("it is there");
-    let at = records(&text);
-    // After each whole record: whether the job is open, its tries, when its first claim was sent that may have run,
-    // whether its end is decided.
+    let bytes = std::fs::read(folder.path().join("journal")).expect("the file exists");
+    let at = records(&bytes);
+    // After each whole record: whether the job is open, its number of claims, when its first claim that may have run was
+    // sent, and whether it has a pending notice.
     let after = [
         (false, 0, None, false), // the format
-        (false, 0, None, false), // once more
-        (false, 0, None, false), // it was never answered without its rules
+        (false, 0, None, false), // the format, repeated
+        (false, 0, None, false), // the job without its rules: its submitter was never answered
         (true, 0, None, false),
         (true, 1, Some(1), false),
         (true, 1, None, false),
@@ -252,9 +253,9 @@
         (false, 0, None, false),
     ];
     assert_eq!(at.len(), after.len() + 1);
-    for cut in at[1]..=text.len() {
+    for cut in at[1]..=bytes.len() {
         let whole = at.iter().filter(|end| **end <= cut).count() - 2;
-        let open = read(&text[..cut]);
+        let open = read(&bytes[..cut]);
         let found = open.first().map_or((false, 0, None, false), |open| {
             let sent = open.risk.as_ref().map(claim_time);
             (true, open.tries, sent, open.pending_notice.is_some())
@@ -264,5 +265,5 @@
 }
 
 fn claim_time(risk: &RecordedClaim) -> u64 {
-    risk.sent.duration_since(SystemTime::UNIX_EPOCH).expect("after it").as_secs()
+    risk.sent.duration_since(SystemTime::UNIX_EPOCH).expect("after the epoch").as_secs()
 }
--- a/relay/src/journal/tests_of_faults.rs
+++ b/relay/src/journal/tests_of_faults.rs
@@ -1,8 +1,8 @@
-//! Histories of writes that fail, are torn and succeed: what was told and what a restart believes never differ.
+//! Histories of writes that fail, are torn, or succeed: a restart never contradicts what submitters were notified of.
 use proptest::prelude::*;
 use std::time::SystemTime;
 
-use super::storage_double::{Disk, Fate};
+use super::storage_double::{CallResult, Disk};
 use super::tests::{job, rules};
 use super::*;
 use crate::job::NoticeEnd;
@@ -11,26 +11,26 @@
 
 fn open(disk: &Disk) -> (Journal, Vec<OpenJob>) {
     let folder = tempfile::tempdir().expect("a folder");
-    let clock = FolderClock::open(folder.path()).expect("it can be read");
-    // The clock's record is not what is tested here; its folder goes after it was written.
-    let (mut journal, open) = Journal::over(Box::new(disk.clone()), clock, LIMIT).expect("it opens");
+    let clock = FolderClock::open(folder.path()).expect("the record is readable");
+    // The clock's record is not under test; it is written at once, before the temporary folder is deleted.
+    let (mut journal, open) = Journal::with_storage(Box::new(disk.clone()), clock, LIMIT).expect("it opens");
     journal.clock.record().expect("written");
     (journal, open)
 }
 
-/// What a process that starts now would find.
+/// The jobs that a process that starts now would find open.
 fn found(disk: &Disk) -> Vec<OpenJob> {
-    open(&Disk::holding(disk.bytes())).1
+    open(&Disk::with_content(disk.bytes())).1
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    TakeOn { size: usize },
+    Accept { size: usize },
     Claim(usize),
     NeverRan(usize),
-    Ending(usize),
-    OutOfTime(usize),
-    End(usize),
+    Notice(usize),
+    Expire(usize),
+    Remove(usize),
     Retry,
     Restart,
 }
@@ -38,58 +38,62 @@
 fn step() -> impl Strategy<Value = Step> {
     let which = 0..6usize;
     prop_oneof![
-        3 => (0..3000usize).prop_map(|size| Step::TakeOn { size }),
+        3 => (0..3000usize).prop_map(|size| Step::Accept { size }),
         3 => which.clone().prop_map(Step::Claim),
         2 => which.clone().prop_map(Step::NeverRan),
-        2 => which.clone().prop_map(Step::Ending),
-        1 => which.clone().prop_map(Step::OutOfTime),
-        2 => which.prop_map(Step::End),
+        2 => which.clone().prop_map(Step::Notice),
+        1 => which.clone().prop_map(Step::Expire),
+        2 => which.prop_map(Step::Remove),
         1 => Just(Step::Retry),
         1 => Just(Step::Restart),
     ]
 }
 
-fn fates() -> impl Strategy<Value = Vec<Fate>> {
-    let fate = prop_oneof![
-        2 => Just(Fate::Done),
-        2 => Just(Fate::Fails),
-        2 => (0..400usize).prop_map(Fate::Torn),
+fn results() -> impl Strategy<Value = Vec<CallResult>> {
+    let result = prop_oneof![
+        2 => Just(CallResult::Success),
+        2 => Just(CallResult::Failure),
+        2 => (0..400usize).prop_map(CallResult::Torn),
     ];
-    prop_oneof![3 => Just(Vec::new()), 2 => prop::collection::vec(fate, 0..5)]
+    prop_oneof![3 => Just(Vec::new()), 2 => prop::collection::vec(result, 0..5)]
 }
 
-/// What others were told of a message.
+/// What was reported to others about an accepted message.
 #[derive(Clone, Debug, Default)]
-struct Told {
+struct Reported {
     key: Key,
     tries: u32,
-    /// The present process knows that an attempt may have run.
+    /// The present process knows that a claim may have run.
     may_have_run: bool,
     end: Option<Notice>,
-    /// Nothing more is owed for it; not recorded yet if the journal owes it to the file.
-    over: bool,
-    over_recorded: bool,
+    /// It was removed; `removal_recorded` is false while that record is deferred.
+    removed: bool,
+    removal_recorded: bool,
 }
 
-fn check(disk: &Disk, told: &BTreeMap<String, Told>, refused: &[String]) -> Result<(), TestCaseError> {
+fn check(
+    disk: &Disk,
+    accepted: &BTreeMap<String, Reported>,
+    refused: &[String],
+) -> Result<(), TestCaseError> {
     let found: BTreeMap<_, _> = found(disk).into_iter().map(|open| (open.job.id.clone(), open)).collect();
     for id in refused {
         prop_assert!(!found.contains_key(id), "{id} was refused");
     }
-    for (id, told) in told {
+    for (id, reported) in accepted {
         let Some(open) = found.get(id) else {
-            prop_assert!(told.over, "{id} was taken on and is gone");
+            prop_assert!(reported.removed, "{id} was accepted and is lost");
             continue;
         };
-        prop_assert!(!told.over_recorded, "{id} is over");
-        prop_assert_eq!(open.tries, told.tries, "{}", id);
-        prop_assert!(open.risk.is_some() || !told.may_have_run, "{id} may have run");
-        if told.end.is_some() {
-            prop_assert_eq!(&open.pending_notice, &told.end, "{}", id);
+        prop_assert!(!reported.removal_recorded, "{id} was removed and is open");
+        prop_assert_eq!(open.tries, reported.tries, "{}", id);
+        prop_assert!(open.risk.is_some() || !reported.may_have_run, "{id} may have run");
+        if reported.end.is_some() {
+            prop_assert_eq!(&open.pending_notice, &reported.end, "{}", id);
         }
         prop_assert_eq!(open.rules.as_ref(), Some(&rules()), "{}", id);
     }
-    prop_assert!(found.keys().all(|id| told.contains_key(id)), "nobody was told of what was found");
+    prop_assert!(found.keys().all(|id| accepted.contains_key(id)), "a job was found that was not accepted");
     Ok(())
 }
 
@@ -97,64 +101,65 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(400) })]
 
     #[test]
-    fn what_was_told_and_what_a_restart_believes_never_differ(
-        history in prop::collection::vec((step(), fates()), 1..60),
+    fn a_restart_after_any_write_faults_never_contradicts_what_was_reported(
+        history in prop::collection::vec((step(), results()), 1..60),
     ) {
         let disk = Disk::default();
         let (mut journal, _) = open(&disk);
-        let mut told = BTreeMap::<String, Told>::new();
+        let mut accepted = BTreeMap::<String, Reported>::new();
         let mut refused = Vec::new();
-        for (number, (step, fates)) in history.into_iter().enumerate() {
-            disk.fail(fates);
+        for (number, (step, results)) in history.into_iter().enumerate() {
+            disk.set_results(results);
             let chosen = |which: usize| {
-                let open: Vec<_> = told.iter().filter(|(_, told)| !told.over).map(|(id, _)| id.clone()).collect();
+                let open: Vec<_> =
+                    accepted.iter().filter(|(_, reported)| !reported.removed).map(|(id, _)| id.clone()).collect();
                 open.get(which).cloned()
             };
             match step {
-                Step::TakeOn { size } => {
+                Step::Accept { size } => {
                     let id = format!("j{number}");
                     match journal.record_job(&job(&id, size), &rules()) {
-                        Ok(Some(taken_on)) => {
-                            let key = taken_on.key().expect("journaled");
-                            told.insert(id, Told { key, ..Told::default() });
+                        Ok(Some(acceptance)) => {
+                            let key = acceptance.key().expect("journaled");
+                            accepted.insert(id, Reported { key, ..Reported::default() });
                         }
                         Ok(None) | Err(_) => refused.push(id),
                     }
                 }
                 Step::Claim(which) => {
-                    let Some(told) = chosen(which).and_then(|id| told.get_mut(&id)) else { continue };
+                    let Some(reported) = chosen(which).and_then(|id| accepted.get_mut(&id)) else { continue };
                     let claim = RecordedClaim { sent: SystemTime::now(), node: "n".into(), zone: None };
-                    if told.end.is_none() && journal.record_claim(told.key, claim).is_ok() {
-                        told.tries += 1;
-                        told.may_have_run = true;
+                    if reported.end.is_none() && journal.record_claim(reported.key, claim).is_ok() {
+                        reported.tries += 1;
+                        reported.may_have_run = true;
                     }
                 }
                 Step::NeverRan(which) => {
-                    let Some(told) = chosen(which).and_then(|id| told.get_mut(&id)) else { continue };
-                    let _ = journal.record_never_ran(told.key);
-                    told.may_have_run = journal.risk(told.key).is_some();
+                    let Some(reported) = chosen(which).and_then(|id| accepted.get_mut(&id)) else { continue };
+                    let _ = journal.record_never_ran(reported.key);
+                    reported.may_have_run = journal.risk(reported.key).is_some();
                 }
-                Step::Ending(which) => {
+                Step::Notice(which) => {
                     let Some(id) = chosen(which) else { continue };
-                    let told = told.get_mut(&id).expect("chosen from it");
+                    let reported = accepted.get_mut(&id).expect("chosen from the map");
                     let notice = Notice { id, end: NoticeEnd::Returned { after: None } };
-                    if told.end.is_none() && let Ok(end) = journal.record_notice(told.key, &notice) {
-                        told.end = Some(end.notice().clone());
+                    if reported.end.is_none() && let Ok(end) = journal.record_notice(reported.key, &notice) {
+                        reported.end = Some(end.notice().clone());
                     }
                 }
-                Step::OutOfTime(which) => {
+                Step::Expire(which) => {
                     let Some(id) = chosen(which) else { continue };
-                    let told = told.get_mut(&id).expect("chosen from it");
-                    if told.end.is_none() {
-                        let end = journal.expire_job(told.key, &job(&id, 0));
-                        // Until it is recorded, a later process comes to it by the time.
-                        told.end = (!journal.has_deferred_records()).then(|| end.notice().clone());
+                    let reported = accepted.get_mut(&id).expect("chosen from the map");
+                    if reported.end.is_none() {
+                        let end = journal.expire_job(reported.key, &job(&id, 0));
+                        // Until the end is recorded, a later process derives it from the deadline.
+                        reported.end = (!journal.has_deferred_records()).then(|| end.notice().clone());
                     }
                 }
-                Step::End(which) => {
-                    let Some(told) = chosen(which).and_then(|id| told.get_mut(&id)) else { continue };
-                    told.over_recorded = journal.remove_job(told.key).is_ok();
-                    told.over = true;
+                Step::Remove(which) => {
+                    let Some(reported) = chosen(which).and_then(|id| accepted.get_mut(&id)) else { continue };
+                    reported.removal_recorded = journal.remove_job(reported.key).is_ok();
+                    reported.removed = true;
                 }
                 Step::Retry => {
                     if journal.retry().is_ok() {
@@ -162,29 +167,29 @@
                     }
                 }
                 Step::Restart => {
-                    disk.fail([]);
+                    disk.set_results([]);
                     let (next, open) = open(&disk);
                     journal = next;
                     let open: BTreeMap<_, _> = open.into_iter().map(|open| (open.job.id.clone(), open)).collect();
-                    for (id, told) in &mut told {
-                        told.over = !open.contains_key(id);
-                        told.over_recorded = told.over;
+                    for (id, reported) in &mut accepted {
+                        reported.removed = !open.contains_key(id);
+                        reported.removal_recorded = reported.removed;
                         let Some(open) = open.get(id) else { continue };
-                        (told.may_have_run, told.end) = (open.risk.is_some(), open.pending_notice.clone());
+                        (reported.may_have_run, reported.end) = (open.risk.is_some(), open.pending_notice.clone());
                     }
                 }
             }
             if !journal.has_deferred_records() {
-                told.values_mut().for_each(|told| told.over_recorded = told.over);
+                accepted.values_mut().for_each(|reported| reported.removal_recorded = reported.removed);
             }
-            check(&disk, &told, &refused)?;
+            check(&disk, &accepted, &refused)?;
         }
     }
 }
 
-/// A write that failed and could not be cut off must leave nothing of what was refused.
+/// A failed write whose partial record could not be truncated either: the refused job must not be recovered.
 #[test]
-fn half_of_what_was_refused_is_not_taken_on_by_the_next_process() {
+fn a_partially_written_job_that_was_refused_is_not_recovered_by_the_next_process() {
     let whole = {
         let disk = Disk::default();
         open(&disk).0.record_job(&job("a", 9), &rules()).expect("written");
@@ -193,10 +198,10 @@
     for written in 0..whole {
         let disk = Disk::default();
         let (mut journal, _) = open(&disk);
-        disk.fail([Fate::Torn(written), Fate::Fails]);
+        disk.set_results([CallResult::Torn(written), CallResult::Failure]);
         journal.record_job(&job("a", 9), &rules()).expect_err("the disk is full");
         assert!(found(&disk).is_empty(), "{written} bytes");
-        // With room again it goes on behind a sound end.
+        // Once there is room again, records are appended to a clean end.
         let key = journal.record_job(&job("b", 9), &rules()).expect("written").expect("room").key();
         let open = found(&disk);
         assert_eq!((open.len(), Some(open[0].key)), (1, key), "{written} bytes");
@@ -204,11 +209,11 @@
 }
 
 #[test]
-fn a_journal_that_cannot_be_written_anew_as_it_opens_tells_what_is_open_and_is_written_later() {
+fn a_journal_that_cannot_be_rewritten_on_open_still_returns_its_jobs_and_is_written_later() {
     let disk = Disk::default();
     let (mut journal, _) = open(&disk);
     journal.record_job(&job("a", 9), &rules()).expect("written");
-    disk.fail([Fate::Fails]);
+    disk.set_results([CallResult::Failure]);
     let (mut journal, found) = open(&disk);
     assert_eq!(found.len(), 1);
     assert!(journal.health().is_failing());
