--- a/relay/src/backlog.rs
+++ b/relay/src/backlog.rs
@@ -1,7 +1,7 @@
-//! The backlog on disk as the relay uses it: the planner that decides, and the thread that owns the store.
+//! The relay's interface to the backlog on disk: the planner, which decides, and the thread that owns the store.
 //!
-//! Owns both, the clock that the planner is given, and the numbers of classes. It knows no requests in memory and no
-//! connections; [`crate::core`] carries out what the planner asks for. `docs/backlog.md` tells the whole.
+//! Owns both of them, the planner's clock and the class numbers. It has no access to requests in memory or to
+//! connections; [`crate::core`] carries out the planner's actions. The whole design is described in `docs/backlog.md`.
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::future::Future;
@@ -25,82 +25,82 @@
 use crate::figures::BacklogFigures;
 use crate::journal::OpenJob;
 
-/// Requests that may wait for the store's thread.
-const QUEUED_REQUESTS: usize = 4096;
-/// Part of the memory for the store's cache and write buffers; the windows of destinations have the rest.
-const STORE_MEMORY_SHARE: u64 = 4;
-/// Part of the requests that the settings allow in memory that the windows may have. The rest is for arrivals that are
-/// being decided on: a full relay would refuse them before the backlog is asked.
+/// Most operations that may be queued for the store's thread.
+const WORKER_QUEUE: usize = 4096;
+/// The store's cache and write buffers get one part in this many of the memory; the windows of destinations get the rest.
+const STORE_MEMORY_DIVISOR: u64 = 4;
+/// Fraction (numerator, denominator) of the requests allowed in memory that the windows may use. The remainder is for
+/// arrivals still being decided on: a full relay would refuse them before the backlog is asked.
 const WINDOWS_SHARE: (u64, u64) = (3, 4);
-/// How long another process may still have the folder: one that hands over, or one that was killed just now.
-const OPEN_PATIENCE: Duration = Duration::from_secs(3);
-/// Pause between two tries to open it.
-const OPEN_PAUSE: Duration = Duration::from_millis(10);
-/// The lane of the message that is written and removed to see whether the store takes messages again.
+/// How long to wait for another process to release the folder: one that hands over, or one that was just killed.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause between two attempts to open the folder.
+const OPEN_RETRY_PAUSE: Duration = Duration::from_millis(10);
+/// The lane of the message that is written and removed to test whether the store accepts messages again.
 const PROBE_LANE: Lane = Lane { destination: u64::MAX, class: ClassNumber(u16::MAX) };
 
-/// A class of requests as the backlog sees it.
+/// What the backlog needs to know of a class of requests.
 #[derive(Clone, Debug)]
 pub struct BacklogClass {
     /// Its name in the settings.
     pub name: String,
-    /// Its worth against that of others.
+    /// Its worth relative to other classes.
     pub worth: f64,
 }
 
 /// The planner and the store of a relay.
 pub struct Backlog {
-    /// None once another process has the folder.
+    /// None once the folder is released to another process.
     worker: RefCell<Option<Worker>>,
     planner: RefCell<Planner>,
     started: Instant,
     last_arrival: Cell<Arrival>,
     classes: HashMap<String, ClassNumber>,
-    /// Requests of each destination that are out in calls.
-    calls_out: RefCell<HashMap<u64, u32>>,
+    /// Number of requests in flight, by destination.
+    calls_in_flight: RefCell<HashMap<u64, u32>>,
     /// Requests in memory that came from the store, by destination.
     fetched: RefCell<HashMap<u64, BTreeSet<MsgId>>>,
-    /// Messages that were read and are about to be removed: for memory, or because their time is over. Who reads one a
-    /// second time meanwhile leaves it alone.
-    claimed: RefCell<HashSet<Place>>,
-    /// Ids of refused messages that the store may have all the same, until it says whether it does.
+    /// Messages that were read and are about to be removed, because they move to memory or their deadline has passed. They are
+    /// skipped if they are read again in the meantime.
+    reserved: RefCell<HashSet<Place>>,
+    /// IDs of refused messages that the store may nevertheless have, until that is known.
     in_doubt: RefCell<HashSet<String>>,
     quota: u64,
     watchdog: Watchdog,
-    /// Its counters and gauges.
+    /// The backlog's counters and gauges.
     pub figures: BacklogFigures,
-    /// Told after each event: the time of the next tick may be another.
+    /// Notified after each event, since the time of the next tick may have changed.
     changed: Notify,
 }
 
 impl Backlog {
-    /// Opens the folder and reads what waits in it. `journaled` is what the journal has: where a place is told, a crash may
-    /// have come before the store removed it. `most_in_memory` is how many requests the relay may hold there.
+    /// Opens the folder and reads which messages are in it. `journaled` are the journal's open jobs: those with a place may still
+    /// be in the store after a crash and are removed from it. `max_in_memory` is how many requests the relay may have in memory.
     ///
     /// # Errors
-    /// Those of the store; [`StoreError::InUse`] only after some seconds.
+    /// Errors of the store; [`StoreError::InUse`] only if another process still has the folder after some seconds.
     pub async fn open(
         settings: &config::Backlog,
         owner: &str,
         classes: &[BacklogClass],
-        most_in_memory: Option<u32>,
+        max_in_memory: Option<u32>,
         journaled: &[OpenJob],
         figures: BacklogFigures,
     ) -> Result<(Backlog, Vec<Action>), StoreError> {
         let worker = open_worker(settings, owner).await?;
         tracing::info!(folder = %settings.folder.display(), "backlog folder opened");
-        Backlog::with_worker(worker, settings, classes, most_in_memory, journaled, figures).await
+        Backlog::with_worker(worker, settings, classes, max_in_memory, journaled, figures).await
     }
 
-    /// The same over a store that is open already.
+    /// Like [`Backlog::open`], with a store that is already open.
     ///
     /// # Errors
-    /// Those of the store.
+    /// Errors of the store.
     pub async fn with_worker(
         worker: Worker,
         settings: &config::Backlog,
         classes: &[BacklogClass],
-        most_in_memory: Option<u32>,
+        max_in_memory: Option<u32>,
         journaled: &[OpenJob],
         figures: BacklogFigures,
     ) -> Result<(Backlog, Vec<Action>), StoreError> {
@@ -118,13 +118,13 @@
         let Overview { lanes, damages, .. } = ask(worker.overview()).await?;
         for damage in &damages {
             let (location, cause) = (&damage.location, &damage.cause);
-            tracing::error!(location, cause, "the backlog is damaged; what stood there is passed over");
+            tracing::error!(location, cause, "the backlog is damaged; the messages there are skipped");
         }
         let earliest = ask(worker.due(UnixMillis(u64::MAX), 1)).await?;
         let messages: u64 = lanes.iter().map(|lane| lane.messages).sum();
         tracing::info!(messages, lanes = lanes.len(), "backlog opened");
 
-        let mut planner = Planner::new(planner_settings(settings, most_in_memory, class_worth));
+        let mut planner = Planner::new(planner_settings(settings, max_in_memory, class_worth));
         for open in journaled {
             if let Some(&class) = numbers.get(&open.job.class) {
                 let lane = Lane { destination: open.job.dest, class };
@@ -142,9 +142,9 @@
             started: Instant::now(),
             last_arrival: Cell::new(0),
             classes: numbers,
-            calls_out: RefCell::default(),
+            calls_in_flight: RefCell::default(),
             fetched: RefCell::default(),
-            claimed: RefCell::default(),
+            reserved: RefCell::default(),
             in_doubt: RefCell::default(),
             quota: settings.disk_bytes,
             changed: Notify::new(),
@@ -152,37 +152,37 @@
         Ok((backlog, actions))
     }
 
-    /// Lets the folder go: another process may open it once what was asked for is done. Nothing is taken on any more.
+    /// Closes the store: another process may open the folder once the queued operations are done. No message is accepted any more.
     pub fn close(&self) {
         if let Some(worker) = self.worker.take() {
-            // The thread finishes its queue first, which must not hold up this one.
+            // Dropping the worker waits for its queue, which must not block this thread.
             let done = std::thread::Builder::new().name("backlog-close".into()).spawn(move || drop(worker));
             if let Err(error) = done {
-                tracing::error!(%error, "the backlog cannot be closed aside; it was closed at once");
+                tracing::error!(%error, "no thread to close the backlog could be started; it was closed on the calling thread");
             }
         }
     }
 
-    /// The lane of a request; none where its class is not in the settings.
+    /// The lane of a request; none if its class is not in the settings.
     pub fn lane(&self, destination: u64, class: &str) -> Option<Lane> {
         self.classes.get(class).map(|&class| Lane { destination, class })
     }
 
-    /// Takes in what happened, and gives what is to be done.
+    /// Passes an event to the planner, and returns the actions to carry out.
     pub fn handle(&self, event: Event) -> Vec<Action> {
         let actions = self.planner.borrow_mut().handle(self.now(), event);
         self.changed.notify_one();
         actions
     }
 
-    /// A request has arrived: its number, and what is to be done with it and with others.
+    /// Reports the arrival of a request. Returns its arrival number, and the actions for it and for others.
     pub fn arrived(&self, lane: Lane, time_left: Duration) -> (Arrival, Vec<Action>) {
         let arrival = self.last_arrival.get() + 1;
         self.last_arrival.set(arrival);
         (arrival, self.handle(Event::Arrived { arrival, lane, time_left }))
     }
 
-    /// A time as the planner has it.
+    /// Converts a time to the planner's clock.
     pub fn planner_time(&self, at: Instant) -> Duration {
         at.saturating_duration_since(self.started)
     }
@@ -191,7 +191,7 @@
         self.started.elapsed()
     }
 
-    /// Done when the planner is to be called with a tick.
+    /// Returns when the planner needs a tick.
     pub async fn tick(&self) {
         loop {
             let deadline = self.planner.borrow().next_deadline();
@@ -207,26 +207,26 @@
         }
     }
 
-    /// Whether messages of a destination wait on disk or are on their way there.
+    /// Whether messages of a destination are on disk or being written.
     pub fn has_queued(&self, destination: u64) -> bool {
         let figures = self.planner.borrow().figures(self.now(), destination);
         figures.is_some_and(|figures| figures.on_disk > 0)
     }
 
-    /// The slowest operation of the store so far, or the one that is running.
+    /// Duration of the slowest operation of the store so far, including one that is still running.
     pub fn slowest(&self) -> Duration {
         self.watchdog.slowest()
     }
 
-    /// Messages that wait on disk.
+    /// Number of messages on disk.
     pub fn on_disk(&self) -> u64 {
         self.planner.borrow().on_disk()
     }
 
-    /// Changes how many requests of a destination are out in calls, and gives what is to be done.
+    /// Counts a request that is sent to a destination, and returns the actions to carry out.
     pub fn call_began(&self, destination: u64) -> Vec<Action> {
         let count = {
-            let mut calls = self.calls_out.borrow_mut();
+            let mut calls = self.calls_in_flight.borrow_mut();
             let count = calls.entry(destination).or_default();
             *count += 1;
             *count
@@ -234,10 +234,10 @@
         self.handle(Event::CallsOut { destination, count })
     }
 
-    /// The reverse of [`Backlog::call_began`].
+    /// Reverses [`Backlog::call_began`].
     pub fn call_ended(&self, destination: u64) -> Vec<Action> {
         let count = {
-            let mut calls = self.calls_out.borrow_mut();
+            let mut calls = self.calls_in_flight.borrow_mut();
             let count = calls.get(&destination).map_or(0, |count| count.saturating_sub(1));
             if count == 0 {
                 calls.remove(&destination);
@@ -249,12 +249,12 @@
         self.handle(Event::CallsOut { destination, count })
     }
 
-    /// A request that was fetched has its place at the decision module.
+    /// Adds a fetched request that the decision module now has.
     pub fn add_fetched(&self, destination: u64, message: MsgId) {
         self.fetched.borrow_mut().entry(destination).or_default().insert(message);
     }
 
-    /// It has left that place.
+    /// Removes a fetched request that the decision module no longer has.
     pub fn remove_fetched(&self, destination: u64, message: MsgId) {
         let mut fetched = self.fetched.borrow_mut();
         if let Some(messages) = fetched.get_mut(&destination) {
@@ -265,28 +265,28 @@
         }
     }
 
-    /// Requests of a destination in memory that came from the store.
+    /// The requests of a destination in memory that came from the store.
     pub fn fetched(&self, destination: u64) -> Vec<MsgId> {
         self.fetched.borrow().get(&destination).into_iter().flatten().copied().collect()
     }
 
-    /// The request is in the store's queue when this returns, not only once the future is polled.
-    fn ask<T, R>(&self, request: R) -> impl Future<Output = Result<T, StoreError>> + use<T, R>
+    /// Queues an operation for the store's thread. It is in the queue when this returns, before the future is polled.
+    fn ask<T, R>(&self, operation: R) -> impl Future<Output = Result<T, StoreError>> + use<T, R>
     where
         R: FnOnce(&Worker) -> Result<Answer<T>, Busy>,
     {
         let answer = match &*self.worker.borrow() {
-            Some(worker) => request(worker).map_err(StoreError::from),
+            Some(worker) => operation(worker).map_err(StoreError::from),
             None => Err(StoreError::Closed),
         };
         async move { answer?.await? }
     }
 
-    /// Puts a message at the end of its lane. Where the store cannot say whether it did, it is asked: a message that is
-    /// there was taken on.
+    /// Appends a message to its lane. If the outcome of the write is unknown, the store is asked for the message: if it is
+    /// there, the append succeeded.
     ///
     /// # Errors
-    /// The message is not there, or nobody can say.
+    /// The message is not in the store, or the store cannot say.
     pub async fn append(&self, message: NewMessage) -> Result<Place, StoreError> {
         let id = message.id.clone();
         let appended = self.ask(|worker| worker.append(vec![message])).await;
@@ -298,13 +298,13 @@
         }
     }
 
-    /// Where the message with this id waits.
+    /// The place of the message with this ID.
     pub async fn find(&self, id: &str) -> Result<Option<Place>, StoreError> {
         self.ask(|worker| worker.find(id.into())).await
     }
 
-    /// The first messages of a lane that nobody else is about to remove, at most `most`; whether the lane has no more.
-    /// They are the caller's until it releases them.
+    /// Reserves the first messages of a lane that are not reserved yet, at most `most`; also returns whether the lane has no more.
+    /// The caller must release them.
     pub async fn reserve_first(
         &self,
         lane: Lane,
@@ -315,30 +315,30 @@
             let read = self.ask(|worker| worker.fetch(lane, after, most as usize)).await?;
             let exhausted = read.len() < most as usize;
             after = read.last().map(|message| message.place.sequence);
-            let claimed = self.claim(read);
-            if exhausted || !claimed.is_empty() {
-                return Ok((claimed, exhausted));
+            let reserved = self.reserve_all(read);
+            if exhausted || !reserved.is_empty() {
+                return Ok((reserved, exhausted));
             }
         }
     }
 
-    /// Messages whose time is over, the earliest deadlines first, at most `most`; whether there may be more. They are
-    /// the caller's until it releases them.
+    /// Reserves messages whose deadline has passed, the earliest first, at most `most`; also returns whether there may be more.
+    /// The caller must release them.
     pub async fn reserve_expired(&self, most: u32) -> Result<(Vec<StoredMessage>, bool), StoreError> {
         let now = unix_millis(clock::now());
         let read = self.ask(|worker| worker.due(now, most as usize)).await?;
         let more = read.len() == most as usize;
-        Ok((self.claim(read), more))
+        Ok((self.reserve_all(read), more))
     }
 
-    /// Answers come in the order of the store's operations, so one that is no longer claimed here was read after its
-    /// removal, or before it was claimed.
-    fn claim(&self, read: Vec<StoredMessage>) -> Vec<StoredMessage> {
-        let mut claimed = self.claimed.borrow_mut();
-        read.into_iter().filter(|message| claimed.insert(message.place)).collect()
+    /// Reserves the messages among those read that are not reserved yet. This suffices because answers come in the order of the
+    /// store's operations: a reservation is released only after the removal, and a later read does not return the message.
+    fn reserve_all(&self, read: Vec<StoredMessage>) -> Vec<StoredMessage> {
+        let mut reserved = self.reserved.borrow_mut();
+        read.into_iter().filter(|message| reserved.insert(message.place)).collect()
     }
 
-    /// The store may have a message that was refused, or has said by now whether it does.
+    /// Sets whether it is in doubt that the store has a refused message.
     pub fn set_in_doubt(&self, id: &str, doubt: bool) {
         let mut in_doubt = self.in_doubt.borrow_mut();
         if doubt {
@@ -348,39 +348,39 @@
         }
     }
 
-    /// Whether the store may have a message that was refused.
+    /// Whether it is in doubt that the store has a refused message.
     pub fn is_in_doubt(&self, id: &str) -> bool {
         self.in_doubt.borrow().contains(id)
     }
 
-    /// Claims a message by its place; false if somebody else is about to remove it.
+    /// Reserves a message by its place; false if it is already reserved.
     pub fn reserve(&self, place: Place) -> bool {
-        self.claimed.borrow_mut().insert(place)
+        self.reserved.borrow_mut().insert(place)
     }
 
-    /// Messages that were claimed are removed, or left where they are.
+    /// Releases reserved messages, after they were removed or when they stay in the store.
     pub fn release(&self, messages: impl IntoIterator<Item = Place>) {
-        let mut claimed = self.claimed.borrow_mut();
-        messages.into_iter().for_each(|place| _ = claimed.remove(&place));
+        let mut reserved = self.reserved.borrow_mut();
+        messages.into_iter().for_each(|place| _ = reserved.remove(&place));
     }
 
-    /// Removes messages, which may have been removed before.
+    /// Removes messages; those that are already removed are ignored.
     pub async fn remove(&self, places: Vec<Place>) -> Result<(), StoreError> {
         self.ask(|worker| worker.remove(places)).await
     }
 
-    /// Puts messages back where they stood.
+    /// Puts messages back at their former places.
     pub async fn put_back(&self, messages: Vec<StoredMessage>) -> Result<(), StoreError> {
         self.ask(|worker| worker.put_back(messages)).await
     }
 
-    /// Time until the earliest deadline.
+    /// Time until the earliest deadline of a message on disk.
     pub async fn earliest_end(&self) -> Result<Option<Duration>, StoreError> {
         let earliest = self.ask(|worker| worker.due(UnixMillis(u64::MAX), 1)).await?;
         Ok(earliest.first().map(|message| time_until(message.deadline)))
     }
 
-    /// Writes and removes a message of the store's own.
+    /// Tests the store by writing and removing a message of its own.
     pub async fn probe(&self) -> Result<(), StoreError> {
         let now = unix_millis(clock::now());
         let probe = NewMessage {
@@ -394,12 +394,12 @@
         self.remove(places).await
     }
 
-    /// What the store tells of itself.
+    /// The store's lanes, disk usage and damage.
     pub async fn overview(&self) -> Result<Overview, StoreError> {
         self.ask(Worker::overview).await
     }
 
-    /// The bytes in use, as the planner wants to know them.
+    /// The disk usage as an event for the planner; also updates the gauges.
     pub async fn usage(&self) -> Result<Event, StoreError> {
         let used = self.ask(Worker::usage).await?.disk_bytes;
         self.figures.set(self.on_disk(), used, self.slowest());
@@ -407,13 +407,13 @@
     }
 }
 
-/// How the planner sees a fault of the store.
+/// Converts an error of the store to the planner's fault.
 pub fn store_fault(error: &StoreError) -> StoreFault {
     if matches!(error, StoreError::Full { .. }) { StoreFault::Full } else { StoreFault::Failing }
 }
 
-async fn ask<T>(request: Result<Answer<T>, Busy>) -> Result<T, StoreError> {
-    request?.await?
+async fn ask<T>(operation: Result<Answer<T>, Busy>) -> Result<T, StoreError> {
+    operation?.await?
 }
 
 async fn open_worker(settings: &config::Backlog, owner: &str) -> Result<Worker, StoreError> {
@@ -424,7 +424,7 @@
         disk_bytes: settings.disk_bytes,
         sync: false,
     };
-    let until = Instant::now() + OPEN_PATIENCE;
+    let end = Instant::now() + OPEN_TIMEOUT;
     loop {
         let config = config.clone();
         let open = move || {
@@ -432,31 +432,31 @@
                 let store = LsmStore::open(config.clone())?;
                 Ok(Box::new(store) as Box<dyn BacklogStore>)
             };
-            Worker::start(Box::new(open), QUEUED_REQUESTS)
+            Worker::start(Box::new(open), WORKER_QUEUE)
         };
         match tokio::task::spawn_blocking(open).await.map_err(|_| StoreError::Closed)? {
-            Err(StoreError::InUse) if Instant::now() < until => sleep(OPEN_PAUSE).await,
+            Err(StoreError::InUse) if Instant::now() < end => sleep(OPEN_RETRY_PAUSE).await,
             opened => return opened,
         }
     }
 }
 
 fn store_memory(settings: &config::Backlog) -> u64 {
-    (settings.memory_bytes / STORE_MEMORY_SHARE).max(LEAST_MEMORY_BYTES)
+    (settings.memory_bytes / STORE_MEMORY_DIVISOR).max(LEAST_MEMORY_BYTES)
 }
 
 fn planner_settings(
     settings: &config::Backlog,
-    most_in_memory: Option<u32>,
+    max_in_memory: Option<u32>,
     class_worth: Vec<f64>,
 ) -> Settings {
     let left = settings.memory_bytes.saturating_sub(store_memory(settings));
-    let held = most_in_memory.map_or(u64::MAX, |most| u64::from(most) * WINDOWS_SHARE.0 / WINDOWS_SHARE.1);
-    let window_memory = left.min(held.saturating_mul(MESSAGE_MEMORY));
+    let messages = max_in_memory.map_or(u64::MAX, |max| u64::from(max) * WINDOWS_SHARE.0 / WINDOWS_SHARE.1);
+    let window_memory = left.min(messages.saturating_mul(MESSAGE_MEMORY));
     Settings { window_memory, class_worth, ..Settings::default() }
 }
 
-/// A time as the store has it.
+/// Converts a time to the store's format.
 pub fn unix_millis(at: SystemTime) -> UnixMillis {
     let since = at.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     UnixMillis(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
--- a/relay/src/backlog/report.rs
+++ b/relay/src/backlog/report.rs
@@ -1,4 +1,4 @@
-//! What those who run the relay are told of its backlog: the answer of the second address, and its table.
+//! The backlog report for operators: the response of the admin address, and its form as a table.
 use onyxglade_backlog::message::{LaneSummary, UnixMillis};
 use onyxglade_backlog::store::StoreError;
 use onyxglade_backlog::worker::Overview;
@@ -11,66 +11,66 @@
 use crate::admin_client;
 use crate::clock;
 
-/// Most destinations that are told at once, those with the most messages.
-const MOST_DESTINATIONS: usize = 100;
+/// Most destinations in a report; those with the most messages are kept.
+const MAX_DESTINATIONS: usize = 100;
 
-/// What waits on disk.
+/// The messages on disk, with the state of the store.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct BacklogReport {
-    /// Messages.
+    /// Number of messages on disk.
     pub messages: u64,
-    /// Bytes of their ids and payloads.
+    /// Bytes of their IDs and payloads.
     pub bytes: u64,
-    /// Bytes of the files, and how many there may be.
+    /// Bytes of the store's files.
     pub disk_bytes: u64,
-    /// The quota of the files.
+    /// The most bytes that the files may have.
     pub disk_quota: u64,
-    /// Messages in memory, or on their way there.
+    /// Number of messages in memory or being fetched.
     pub in_memory: u64,
-    /// Whether the store takes messages: `Healthy`, `Slow`, `Full` or `Failed`.
+    /// Whether the store accepts messages: `Healthy`, `Slow`, `Full` or `Failed`.
     pub health: String,
-    /// The slowest operation of the store so far, in milliseconds.
+    /// Duration of the slowest operation of the store so far, in milliseconds.
     pub slowest_ms: u64,
-    /// Places that could not be read since the start.
+    /// Number of places in the files found unreadable since the start.
     pub damaged: usize,
-    /// Milliseconds until the first message ends, if one waits.
+    /// Milliseconds until the earliest deadline, if there are messages.
     pub earliest_end_ms: Option<u64>,
-    /// By destination, those with the most messages first.
+    /// The destinations, those with the most messages first.
     pub destinations: Vec<DestinationReport>,
 }
 
-/// What waits for one destination.
+/// The messages of one destination.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct DestinationReport {
-    /// Its number.
+    /// The destination's number.
     pub destination: u64,
-    /// Messages on disk.
+    /// Number of messages on disk.
     pub messages: u64,
-    /// Bytes of their ids and payloads.
+    /// Bytes of their IDs and payloads.
     pub bytes: u64,
-    /// How long the oldest has waited, in milliseconds.
+    /// Age of the oldest message, in milliseconds.
     pub oldest_ms: u64,
-    /// Messages in memory, or on their way there.
+    /// Number of messages in memory or being fetched.
     pub in_memory: u32,
-    /// How many of its messages may be in memory.
+    /// The most of its messages that may be in memory.
     pub window: u32,
-    /// Deliveries a second, if they were measured.
+    /// Deliveries per second, if measured.
     pub delivered_per_s: Option<f64>,
-    /// When all that waits is delivered at that rate, in seconds.
+    /// Time to deliver all messages at that rate, in seconds.
     pub empty_in_s: Option<f64>,
 }
 
 impl Backlog {
-    /// What waits on disk, of all destinations or of one.
+    /// Reports on the messages on disk, of all destinations or of one.
     ///
     /// # Errors
-    /// When the store cannot tell.
+    /// Errors of the store.
     pub async fn report(&self, destination: Option<u64>) -> Result<BacklogReport, StoreError> {
         let overview = self.overview().await?;
         let earliest_end = self.earliest_end().await?;
         let mut destinations = self.by_destination(&overview, destination);
-        let count = MOST_DESTINATIONS.min(destinations.len());
-        destinations.sort_unstable_by_key(|told| std::cmp::Reverse(told.messages));
+        let count = MAX_DESTINATIONS.min(destinations.len());
+        destinations.sort_unstable_by_key(|report| std::cmp::Reverse(report.messages));
         destinations.truncate(count);
         let planner = self.planner.borrow();
         Ok(BacklogReport {
@@ -90,12 +90,12 @@
     fn by_destination(&self, overview: &Overview, only: Option<u64>) -> Vec<DestinationReport> {
         let now = unix_millis(clock::now());
         let mut reports = BTreeMap::<u64, DestinationReport>::new();
-        let wanted = |lane: &&LaneSummary| only.is_none_or(|only| only == lane.lane.destination);
-        for lane in overview.lanes.iter().filter(wanted) {
+        let selected = |lane: &&LaneSummary| only.is_none_or(|only| only == lane.lane.destination);
+        for lane in overview.lanes.iter().filter(selected) {
             let report = reports.entry(lane.lane.destination).or_default();
             report.messages += lane.messages;
             report.bytes += lane.bytes;
-            report.oldest_ms = report.oldest_ms.max(waited(now, lane.arrived_from));
+            report.oldest_ms = report.oldest_ms.max(age_ms(now, lane.arrived_from));
         }
         let planner = self.planner.borrow();
         let complete = |(destination, mut report): (u64, DestinationReport)| {
@@ -113,21 +113,21 @@
     }
 }
 
-fn waited(now: UnixMillis, arrived: UnixMillis) -> u64 {
+fn age_ms(now: UnixMillis, arrived: UnixMillis) -> u64 {
     now.0.saturating_sub(arrived.0)
 }
 
-/// Asks a running relay for its backlog.
+/// Fetches the report from a running relay.
 ///
 /// # Errors
-/// A text that says what the relay answered, or why it did not.
+/// A description of the relay's error response, or of why there was none.
 pub async fn fetch(address: SocketAddr, destination: Option<u64>) -> Result<BacklogReport, String> {
     let path = destination.map_or("/-/backlog".to_owned(), |number| format!("/-/backlog/{number}"));
     let body = admin_client::get(address, &path).await?;
-    serde_json::from_slice(&body).map_err(|e| format!("its answer cannot be read: {e}"))
+    serde_json::from_slice(&body).map_err(|e| format!("the relay's response cannot be decoded: {e}"))
 }
 
-/// The report as a table.
+/// Formats the report as a table.
 pub fn table(report: &BacklogReport) -> String {
     let BacklogReport { messages, bytes, disk_bytes, disk_quota, in_memory, health, .. } = report;
     let mut table = format!(
@@ -136,17 +136,17 @@
     );
     let header = ["destination", "messages", "bytes", "oldest_s", "memory", "window", "rate", "empty_in_s"];
     row(&mut table, header.map(str::to_owned));
-    for told in &report.destinations {
+    for destination in &report.destinations {
         let rounded = |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.1}"));
         let cells = [
-            told.destination.to_string(),
-            told.messages.to_string(),
-            told.bytes.to_string(),
-            (told.oldest_ms / 1000).to_string(),
-            told.in_memory.to_string(),
-            told.window.to_string(),
-            rounded(told.delivered_per_s),
-            rounded(told.empty_in_s),
+            destination.destination.to_string(),
+            destination.messages.to_string(),
+            destination.bytes.to_string(),
+            (destination.oldest_ms / 1000).to_string(),
+            destination.in_memory.to_string(),
+            destination.window.to_string(),
+            rounded(destination.delivered_per_s),
+            rounded(destination.empty_in_s),
         ];
         row(&mut table, cells);
     }
@@ -156,5 +156,5 @@
 fn row(table: &mut String, cells: [String; 8]) {
     let [destination, rest @ ..] = cells;
     let rest = rest.map(|cell| format!(" {cell:>12}")).concat();
-    writeln!(table, "{destination:<12}{rest}").expect("a string takes all");
+    writeln!(table, "{destination:<12}{rest}").expect("writing to a string never fails");
 }
