--- a/relay/src/backlog.rs
+++ b/relay/src/backlog.rs
@@ -286,7 +286,7 @@
     /// there, the append succeeded.
     ///
     /// # Errors
-    /// The message is not in the store, or the store cannot say.
+    /// The message is not in the store, or that cannot be determined.
     pub async fn append(&self, message: NewMessage) -> Result<Place, StoreError> {
         let id = message.id.clone();
         let appended = self.ask(|worker| worker.append(vec![message])).await;
@@ -303,17 +303,17 @@
         self.ask(|worker| worker.find(id.into())).await
     }
 
-    /// Reserves the first messages of a lane that are not reserved yet, at most `most`; also returns whether the lane has no more.
+    /// Reserves the first messages of a lane that are not reserved yet, at most `max`; also returns whether the lane has no more.
     /// The caller must release them.
     pub async fn reserve_first(
         &self,
         lane: Lane,
-        most: u32,
+        max: u32,
     ) -> Result<(Vec<StoredMessage>, bool), StoreError> {
         let mut after = None;
         loop {
-            let read = self.ask(|worker| worker.fetch(lane, after, most as usize)).await?;
-            let exhausted = read.len() < most as usize;
+            let read = self.ask(|worker| worker.fetch(lane, after, max as usize)).await?;
+            let exhausted = read.len() < max as usize;
             after = read.last().map(|message| message.place.sequence);
             let reserved = self.reserve_all(read);
             if exhausted || !reserved.is_empty() {
@@ -322,12 +322,12 @@
         }
     }
 
-    /// Reserves messages whose deadline has passed, the earliest first, at most `most`; also returns whether there may be more.
+    /// Reserves messages whose deadline has passed, the earliest first, at most `max`; also returns whether there may be more.
     /// The caller must release them.
-    pub async fn reserve_expired(&self, most: u32) -> Result<(Vec<StoredMessage>, bool), StoreError> {
+    pub async fn reserve_expired(&self, max: u32) -> Result<(Vec<StoredMessage>, bool), StoreError> {
         let now = unix_millis(clock::now());
-        let read = self.ask(|worker| worker.due(now, most as usize)).await?;
-        let more = read.len() == most as usize;
+        let read = self.ask(|worker| worker.due(now, max as usize)).await?;
+        let more = read.len() == max as usize;
         Ok((self.reserve_all(read), more))
     }
 
--- a/relay/src/handover/mod.rs
+++ b/relay/src/handover/mod.rs
@@ -1,7 +1,7 @@
 //! Upgrades: a second process, the successor, takes the relay over from the running one, its predecessor. The whole
 //! protocol is described in `docs/handover.md`.
 //!
-//! This module has the lock on the journal, the socket between the two processes, and the exchange of frames over it.
+//! This module owns the lock on the journal, the socket between the two processes, and the exchange of frames over it.
 //! [`owners`] decides which process owns the relay, and the core runs the jobs; this module does only the I/O.
 mod frame;
 mod owners;
