--- a/relay/src/admin/mod.rs
+++ b/relay/src/admin/mod.rs
@@ -15,13 +15,13 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use crate::availability::Word;
+use crate::availability::AvailabilityEvent;
 use crate::backlog::Backlog;
 use crate::connection_limiter::{self, ConnectionPolicy, ConnectionState, Places, TrackedStream, Yields};
-use crate::core::NotOut;
-use crate::disabled::Refused;
-use crate::figures::{Census, Figures};
+use crate::core::SetDisabledError;
+use crate::disabled::DisableError;
 use crate::instances::Instances;
+use crate::metrics::{GaugeValues, Metrics};
 use call::{Call, Unfit};
 
 /// A call is short: one that is not whole within this time is none.
@@ -39,9 +39,9 @@
 
 /// A front as those who run the relay see it.
 pub trait Front {
-    fn census(&self) -> Census;
+    fn census(&self) -> GaugeValues;
     /// Leaves an endpoint out, or takes it back.
-    fn set_out(&self, id: &str, out: bool) -> Result<(), NotOut>;
+    fn set_out(&self, id: &str, out: bool) -> Result<(), SetDisabledError>;
     /// What waits on disk, if anything may.
     fn backlog(&self) -> Option<Rc<Backlog>>;
 }
@@ -49,11 +49,11 @@
 /// The process, as far as it is theirs to send clients away.
 pub trait Process {
     /// False if that can't be had any more.
-    fn turn(&self, word: Word) -> bool;
+    fn turn(&self, word: AvailabilityEvent) -> bool;
 }
 
 pub struct Admin {
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     /// None until the relay is this process's.
     fronts: RefCell<Vec<Rc<dyn Front>>>,
     opened: Notify,
@@ -65,7 +65,7 @@
 }
 
 impl Admin {
-    pub fn new(figures: Rc<Figures>, process: Rc<dyn Process>) -> Rc<Self> {
+    pub fn new(figures: Rc<Metrics>, process: Rc<dyn Process>) -> Rc<Self> {
         Rc::new(Admin {
             figures,
             fronts: RefCell::default(),
@@ -122,7 +122,7 @@
             Ok(Call::Ready) => said(StatusCode::OK, "ready"),
             Ok(Call::Figures) => {
                 let census = self.fronts.borrow().iter().map(|front| front.census()).sum();
-                let text = Response::with_body(StatusCode::OK, self.figures.text(census));
+                let text = Response::with_body(StatusCode::OK, self.figures.render(census));
                 of_type(text, prometheus::TEXT_FORMAT)
             }
             Ok(Call::Instances) => match &*self.instances.borrow() {
@@ -139,8 +139,8 @@
             }
             Ok(Call::Backlog { destination }) => self.backlog(destination).await,
             Ok(Call::Endpoint { id, out }) => self.set_out(&id, out),
-            Ok(Call::Drain) => self.turn(Word::Drain, "clients are sent away"),
-            Ok(Call::Resume) => self.turn(Word::Resume, "clients are taken"),
+            Ok(Call::Drain) => self.turn(AvailabilityEvent::Drain, "clients are sent away"),
+            Ok(Call::Resume) => self.turn(AvailabilityEvent::Resume, "clients are taken"),
             Err(Unfit::NoSuchPath) => said(StatusCode::NOT_FOUND, "there is no such call"),
             Err(Unfit::Destination) => said(StatusCode::BAD_REQUEST, "the destination is no number"),
             Err(Unfit::Id(why)) => said(StatusCode::BAD_REQUEST, &format!("the id of the endpoint: {why}")),
@@ -180,17 +180,17 @@
         for front in self.fronts.borrow().iter() {
             match front.set_out(id, out) {
                 Ok(()) => answer = said(StatusCode::OK, if out { "out by hand" } else { "not out by hand" }),
-                Err(NotOut::Unknown) => {}
-                Err(NotOut::Handed) => {
+                Err(SetDisabledError::Unknown) => {}
+                Err(SetDisabledError::HandedOver) => {
                     return said(StatusCode::SERVICE_UNAVAILABLE, "its successor has the relay: ask there");
                 }
-                Err(NotOut::Unkept(Refused::Full)) => {
+                Err(SetDisabledError::NotStored(DisableError::Full)) => {
                     return said(
                         StatusCode::INSUFFICIENT_STORAGE,
                         "too many are out by hand: take some back",
                     );
                 }
-                Err(NotOut::Unkept(Refused::Unwritten(fault))) => {
+                Err(SetDisabledError::NotStored(DisableError::Io(fault))) => {
                     tracing::error!(%fault, id, "cannot write which nodes are out by hand");
                     return said(
                         StatusCode::INTERNAL_SERVER_ERROR,
@@ -202,7 +202,7 @@
         answer
     }
 
-    fn turn(&self, word: Word, done: &str) -> Response<String> {
+    fn turn(&self, word: AvailabilityEvent, done: &str) -> Response<String> {
         match self.process.turn(word) {
             true => said(StatusCode::OK, done),
             false => said(StatusCode::CONFLICT, "the process has been told to end"),
--- a/relay/src/availability.rs
+++ b/relay/src/availability.rs
@@ -21,7 +21,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum AvailabilityEvent {
     /// It can serve.
     Started,
     Drain,
@@ -31,18 +31,18 @@
 
 impl Availability {
     /// What it is after a word; `None` if that can't be had any more.
-    pub fn after(self, word: Word) -> Option<Availability> {
+    pub fn after(self, word: AvailabilityEvent) -> Option<Availability> {
         let Availability { phase, drained } = self;
         let phase = match (phase, word) {
-            (Phase::Leaving, Word::Resume) => return None,
-            (_, Word::Terminate) => Phase::Leaving,
-            (Phase::Starting, Word::Started) => Phase::Serving,
+            (Phase::Leaving, AvailabilityEvent::Resume) => return None,
+            (_, AvailabilityEvent::Terminate) => Phase::Leaving,
+            (Phase::Starting, AvailabilityEvent::Started) => Phase::Serving,
             (phase, _) => phase,
         };
         let drained = match word {
-            Word::Drain => true,
-            Word::Resume => false,
-            Word::Started | Word::Terminate => drained,
+            AvailabilityEvent::Drain => true,
+            AvailabilityEvent::Resume => false,
+            AvailabilityEvent::Started | AvailabilityEvent::Terminate => drained,
         };
         Some(Availability { phase, drained })
     }
@@ -54,7 +54,7 @@
     }
 
     /// Connections are closed between requests.
-    pub fn sends_away(self) -> bool {
+    pub fn closes_connections(self) -> bool {
         self.drained || self.phase == Phase::Leaving
     }
 
--- a/relay/src/availability/tests.rs
+++ b/relay/src/availability/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
+use AvailabilityEvent::*;
 use Phase::*;
-use Word::*;
 
 #[test]
 fn every_word_in_every_state_has_one_meaning() {
@@ -21,7 +21,7 @@
             assert_eq!(before.after(word), after, "{before:?} {word:?}");
         }
     }
-    let answers = table.map(|(state, _)| (state.is_ready(), state.sends_away()));
+    let answers = table.map(|(state, _)| (state.is_ready(), state.closes_connections()));
     let no = (false, false);
     assert_eq!(answers, [no, (false, true), (true, false), (false, true), (true, true), (false, true)]);
 }
--- a/relay/src/backlog.rs
+++ b/relay/src/backlog.rs
@@ -22,8 +22,8 @@
 
 use crate::clock;
 use crate::config;
-use crate::figures::BacklogFigures;
 use crate::journal::Open;
+use crate::metrics::BacklogMetrics;
 
 /// Requests that may wait for the store's thread.
 const QUEUED_REQUESTS: usize = 4096;
@@ -68,7 +68,7 @@
     quota: u64,
     watchdog: Watchdog,
     /// Its counters and gauges.
-    pub figures: BacklogFigures,
+    pub figures: BacklogMetrics,
     /// Told after each event: the time of the next tick may be another.
     changed: Notify,
 }
@@ -85,7 +85,7 @@
         classes: &[BacklogClass],
         most_in_memory: Option<u32>,
         journaled: &[Open],
-        figures: BacklogFigures,
+        figures: BacklogMetrics,
     ) -> Result<(Backlog, Vec<Action>), StoreError> {
         let worker = open_worker(settings, owner).await?;
         tracing::info!(folder = %settings.folder.display(), "backlog folder opened");
@@ -102,7 +102,7 @@
         classes: &[BacklogClass],
         most_in_memory: Option<u32>,
         journaled: &[Open],
-        figures: BacklogFigures,
+        figures: BacklogMetrics,
     ) -> Result<(Backlog, Vec<Action>), StoreError> {
         let mut numbers = HashMap::new();
         let mut class_worth = Vec::new();
--- a/relay/src/config/platform_file.rs
+++ b/relay/src/config/platform_file.rs
@@ -105,7 +105,7 @@
 
 /// The list of execute nodes that the file says is known, if it has one.
 fn known_nodes(known: Option<&RawValue>) -> Result<Option<NodeList>, String> {
-    known.map(|known| NodeList::read(ListText::from(known.get().as_bytes().to_vec()))).transpose()
+    known.map(|known| NodeList::parse(ListText::from(known.get().as_bytes().to_vec()))).transpose()
 }
 
 /// What the file sets up, in a line.
--- a/relay/src/config/push/upstreams.rs
+++ b/relay/src/config/push/upstreams.rs
@@ -61,7 +61,7 @@
             }
         }
     }
-    (NodeList::of(nodes), names)
+    (NodeList::from_entries(nodes), names)
 }
 
 impl UpstreamTable {
--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -17,12 +17,12 @@
 use super::decision::{Decision, Refusal};
 use super::life::Course;
 use super::rounds::{Order, order};
-use super::{Carrier, Core};
+use super::{Core, Transport};
 use crate::backlog::{Backlog, fault_of, unix_millis};
 use crate::clock;
-use crate::figures::{BacklogRefusal, Ended};
 use crate::job::{Answer, Job, Notice, NoticeEnd};
 use crate::journal::{Key, QueuedRequest, SettledEnd, TakenOn};
+use crate::metrics::{BacklogRefusal, MessageResult};
 
 /// Pause between two tries of what has to be done in the end.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
@@ -49,7 +49,7 @@
 }
 
 /// A place in memory, of which the planner has to know. It is given back when this is dropped.
-pub(super) struct MemorySlot<C: Carrier> {
+pub(super) struct MemorySlot<C: Transport> {
     core: Rc<Core<C>>,
     backlog: Rc<Backlog>,
     destination: u64,
@@ -58,7 +58,7 @@
     left: Cell<Option<Left>>,
 }
 
-impl<C: Carrier> MemorySlot<C> {
+impl<C: Transport> MemorySlot<C> {
     /// How the request left, unless by its end.
     pub fn left_as(&self, left: Left) {
         self.left.set(Some(left));
@@ -70,7 +70,7 @@
     }
 }
 
-impl<C: Carrier> Drop for MemorySlot<C> {
+impl<C: Transport> Drop for MemorySlot<C> {
     fn drop(&mut self) {
         if let Some(message) = self.message {
             self.backlog.left(self.destination, message);
@@ -82,7 +82,7 @@
     }
 }
 
-impl<C: Carrier> Core<C> {
+impl<C: Transport> Core<C> {
     /// From now on requests that cannot go soon wait on disk. `actions` are those of opening it.
     ///
     /// # Errors
@@ -295,7 +295,7 @@
                 self.count(|tally| tally.taken += 1);
                 backlog.figures.stored.inc();
                 match answer.send(Decision::Taken(TakenOn::in_backlog(&place))) {
-                    Ok(()) => self.release_id(&id, Some(Answer::Taken)),
+                    Ok(()) => self.release_id(&id, Some(Answer::Accepted)),
                     // A client that is gone was not told: it hands the message in again.
                     Err(_) => self.withdraw(&backlog, &id, place).await,
                 }
@@ -506,7 +506,10 @@
         let returns =
             request.as_ref().is_ok_and(|request| !request.may_have_run() || request.rules().may_come_again());
         if let Ok(request) = &request {
-            self.figures.ended(&request.job.class, if returns { Ended::TurnedBack } else { Ended::Failed });
+            self.figures.ended(
+                &request.job.class,
+                if returns { MessageResult::Refused } else { MessageResult::Failed },
+            );
         }
         self.count(|tally| if returns { tally.returned += 1 } else { tally.failed += 1 });
         let id = message.id.to_string();
@@ -520,7 +523,7 @@
     /// Tells an end, however long it takes.
     async fn tell_in_the_end(self: Rc<Self>, notice: Notice) {
         let end = SettledEnd::of_backlog(notice);
-        while self.carrier.notify(&end).await.is_err() && !self.is_handed() {
+        while self.transport.notify(&end).await.is_err() && !self.is_handed() {
             sleep(RETRY_PAUSE).await;
         }
     }
--- a/relay/src/core/backlog/tests.rs
+++ b/relay/src/core/backlog/tests.rs
@@ -3,12 +3,12 @@
 use crate::backlog::BacklogClass;
 use crate::clock;
 use crate::config::{self, Rules};
-use crate::core::{Node, Ticket};
-use crate::disabled::Disabled;
-use crate::figures::{BacklogFigures, Figures};
+use crate::core::{Node, SendPermit};
+use crate::disabled::DisabledNodes;
 use crate::job::Outcome;
 use crate::journal::Journal;
 use crate::list::{Lifecycle, NodeList};
+use crate::metrics::{BacklogMetrics, Metrics};
 use bytes::Bytes;
 use onyxglade_backlog::memory_store::{Fault, MemoryDisk};
 use onyxglade_backlog::store::BacklogStore;
@@ -84,22 +84,22 @@
     }
 }
 
-impl Carrier for Partner {
-    async fn claim(&self, job: &Job, _: &Node, _: Duration, ticket: &Rc<Ticket>) -> Outcome {
+impl Transport for Partner {
+    async fn claim(&self, job: &Job, _: &Node, _: Duration, permit: &Rc<SendPermit>) -> Outcome {
         let control = &self.control;
         if control.mode.get() == Mode::Down {
             return Outcome::Unconnected;
         }
-        if !ticket.begin() {
+        if !permit.begin() {
             return Outcome::NotSent;
         }
-        ticket.mark_sent();
+        permit.mark_sent();
         control.calls.set(control.calls.get() + 1);
         while control.mode.get() == Mode::Silent {
             control.changed.notified().await;
         }
         self.world.lock().expect("whole").delivered.push(job.id.clone());
-        ticket.mark_delivered();
+        permit.mark_delivered();
         control.deliveries_left.set(control.deliveries_left.get().saturating_sub(1));
         if control.deliveries_left.get() == 0 {
             control.mode.set(Mode::Silent);
@@ -115,7 +115,7 @@
 
     fn close_idle(&self, _: &Node) {}
 
-    fn forget(&self, _: &Node) {}
+    fn node_removed(&self, _: &Node) {}
 }
 
 fn rules(classes: &[&str]) -> Rules {
@@ -251,9 +251,9 @@
         let control = Rc::new(control);
         let partner = Partner { world: site.world.clone(), control: control.clone() };
         let (journal, open) = Journal::open(site.folder.path(), site.journal_bytes).expect("it opens");
-        let figures = Figures::new(&[]);
-        let backlog_figures = BacklogFigures::register(&figures);
-        let disabled = Disabled::open(site.folder.path());
+        let figures = Metrics::new(&[]);
+        let backlog_figures = BacklogMetrics::register(&figures);
+        let disabled = DisabledNodes::open(site.folder.path());
         let core = Core::new(partner, rules(classes), None, 1, journal, disabled, figures);
         let settings =
             config::Backlog { folder: "unused".into(), memory_bytes: 32 << 20, disk_bytes: 1 << 30 };
@@ -270,11 +270,11 @@
         core.attach_backlog(backlog, actions).expect("written");
         open.into_iter().for_each(|open| core.recover(open));
         let node = entry(DESTINATION as usize, 1, Lifecycle::Serving);
-        let mut list = NodeList::of(vec![node]);
+        let mut list = NodeList::from_entries(vec![node]);
         list.reset = true;
-        core.take_list(&list).await;
+        core.apply_list(&list).await;
         let rounds = core.clone();
-        actix_rt::spawn(async move { rounds.rounds().await });
+        actix_rt::spawn(async move { rounds.run_rounds().await });
         let backlog = core.backlog().expect("attached");
         Process { core, backlog, world: site.world.clone(), control }
     }
@@ -295,7 +295,7 @@
 
     async fn admit(&self, id: &str, life: Duration) -> Answer {
         let answer = self.core.admit(self.job(id, CLASS, life)).await;
-        if answer == Answer::Taken {
+        if answer == Answer::Accepted {
             self.world.lock().expect("whole").taken.push(id.to_owned());
         }
         answer
@@ -304,7 +304,7 @@
     async fn admit_all(&self, name: &str, count: usize, life: Duration) {
         for number in 0..count {
             let answer = self.admit(&format!("{name}{number}"), life).await;
-            assert_eq!(answer, Answer::Taken, "{name}{number}");
+            assert_eq!(answer, Answer::Accepted, "{name}{number}");
         }
     }
 
@@ -393,7 +393,7 @@
         let gone = process.core.admit(process.job("gone", CLASS, LONG_LIFE));
         assert!(tokio::time::timeout(Duration::from_millis(20), gone).await.is_err());
         let again = tokio::time::timeout(PATIENCE, process.admit("gone", LONG_LIFE)).await;
-        assert_eq!(again.expect("an answer"), Answer::Taken);
+        assert_eq!(again.expect("an answer"), Answer::Accepted);
         let copies = site.disk.messages().iter().filter(|message| &*message.id == "gone").count();
         assert_eq!(copies, 1);
     });
@@ -424,12 +424,12 @@
     let site = Site::new();
     site.run(false, async |process| {
         with_backlog(process).await;
-        process.core.settle(rules(&[CLASS]), 1);
+        process.core.apply_rules(rules(&[CLASS]), 1);
         let waiting = site.disk.messages();
         let lane = waiting[0].place.lane;
         process.core.clone().fetch(process.backlog.clone(), lane, 512).await;
         assert_eq!(site.disk.messages(), waiting);
-        process.core.settle(rules(&[CLASS]), JOURNAL_BYTES);
+        process.core.apply_rules(rules(&[CLASS]), JOURNAL_BYTES);
         process.control.set(Mode::Up, usize::MAX);
         process.until("all ends", || process.all_ended()).await;
     });
--- a/relay/src/core/bundle.rs
+++ b/relay/src/core/bundle.rs
@@ -10,16 +10,16 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, oneshot};
 
-use super::{Carrier, Node, Ticket};
+use super::{Node, SendPermit, Transport};
 use crate::job::{Job, Outcome};
 
 /// One of the messages of a call.
 #[derive(Clone)]
-pub struct Part {
+pub struct BundledMessage {
     pub id: String,
     pub fields: Vec<(String, Bytes)>,
     pub body: Bytes,
-    pub ticket: Rc<Ticket>,
+    pub permit: Rc<SendPermit>,
 }
 
 /// What one round sends to one node.
@@ -29,7 +29,7 @@
     /// Claims that have not joined yet, and may.
     awaited: Cell<usize>,
     size: Cell<usize>,
-    joined: RefCell<Vec<(Part, oneshot::Sender<Outcome>)>>,
+    joined: RefCell<Vec<(BundledMessage, oneshot::Sender<Outcome>)>>,
     gathered: Notify,
 }
 
@@ -76,25 +76,25 @@
     }
 
     /// Takes the claim out together with the others, and gives its own outcome.
-    pub async fn claim<C: Carrier>(
+    pub async fn claim<C: Transport>(
         self,
-        carrier: &C,
+        transport: &C,
         job: &Job,
         node: &Node,
         limit: Duration,
-        ticket: &Rc<Ticket>,
+        permit: &Rc<SendPermit>,
     ) -> Outcome {
         if self.0.size() == 1 {
-            return carrier.claim(job, node, limit, ticket).await;
+            return transport.claim(job, node, limit, permit).await;
         }
         let bundle = self.0.clone();
         let leads = bundle.joined.borrow().is_empty();
         let (tell, told) = oneshot::channel();
-        let part = Part {
+        let part = BundledMessage {
             id: job.id.clone(),
             fields: job.fields.clone(),
             body: job.body.clone(),
-            ticket: ticket.clone(),
+            permit: permit.clone(),
         };
         bundle.joined.borrow_mut().push((part, tell));
         let begun = Instant::now();
@@ -103,7 +103,7 @@
             return match told.await {
                 Ok(outcome) => outcome,
                 // Its connection is gone with the one that gave up.
-                Err(_) if !ticket.is_sent() => Outcome::NotSent,
+                Err(_) if !permit.is_sent() => Outcome::NotSent,
                 Err(_) if begun.elapsed() + NEARLY >= limit => Outcome::TimedOut,
                 Err(_) => Outcome::Reset,
             };
@@ -112,16 +112,16 @@
         bundle.gathered.notified().await;
         let mut joined = bundle.joined.take();
         if joined.len() == 1 {
-            return carrier.claim(job, node, limit, ticket).await;
+            return transport.claim(job, node, limit, permit).await;
         }
         let parts: Vec<_> = joined.iter().map(|(part, _)| part.clone()).collect();
         let outcomes = {
             let others = joined.iter_mut().skip(1).map(|(_, tell)| Box::pin(tell.closed()));
             tokio::select! {
                 biased;
-                outcomes = carrier.claim_together(&parts, node, limit) => outcomes,
+                outcomes = transport.claim_bundle(&parts, node, limit) => outcomes,
                 _ = select_all(others) => {
-                    let cut = |part: &Part| if part.ticket.is_sent() { Outcome::Reset } else { Outcome::NotSent };
+                    let cut = |part: &BundledMessage| if part.permit.is_sent() { Outcome::Reset } else { Outcome::NotSent };
                     parts.iter().map(cut).collect()
                 }
             }
--- a/relay/src/core/decision.rs
+++ b/relay/src/core/decision.rs
@@ -36,7 +36,7 @@
     /// What the submitter hears of it.
     pub fn told(&self) -> Answer {
         match self {
-            Decision::Taken(_) => Answer::Taken,
+            Decision::Taken(_) => Answer::Accepted,
             Decision::Refused(refusal) => (*refusal).into(),
             Decision::ByAnother(answer) => *answer,
         }
--- a/relay/src/core/ends.rs
+++ b/relay/src/core/ends.rs
@@ -3,10 +3,10 @@
 use tokio::time::sleep;
 
 use super::life::Course;
-use super::{Carrier, Core};
-use crate::figures::Ended;
+use super::{Core, Transport};
 use crate::job::{Answer, Job, Notice, NoticeEnd};
 use crate::journal::{Key, SettledEnd};
+use crate::metrics::MessageResult;
 
 /// Shortest and longest time between two tries to tell an end.
 const NOTICE_FIRST_PAUSE: Duration = Duration::from_millis(50);
@@ -14,7 +14,7 @@
 /// Pause between two tries whether the journal can be written again.
 const JOURNAL_PAUSE: Duration = Duration::from_millis(20);
 
-impl<C: Carrier> Core<C> {
+impl<C: Transport> Core<C> {
     /// Tells the end of a job, if it has one to tell, and forgets it.
     pub(super) async fn finish(&self, job: &Job, course: &Course, notice: Option<Notice>) {
         if let Some(notice) = notice {
@@ -25,7 +25,7 @@
             }
         }
         if !self.is_handed() {
-            self.forget(job, course, Some(Answer::Taken));
+            self.forget(job, course, Some(Answer::Accepted));
         }
     }
 
@@ -60,7 +60,7 @@
             NoticeEnd::Replaced => tally.replaced += 1,
         });
         let failed = matches!(notice.end, NoticeEnd::Failed { .. });
-        self.figures.ended(&job.class, if failed { Ended::Failed } else { Ended::TurnedBack });
+        self.figures.ended(&job.class, if failed { MessageResult::Failed } else { MessageResult::Refused });
         let label = job.label.as_deref().unwrap_or("");
         tracing::debug!(id = job.id, dest = job.dest, end = ?notice.end, label, "ended undelivered");
     }
@@ -69,7 +69,7 @@
     async fn tell_end(&self, job: &Job, end: &SettledEnd) -> bool {
         let begun = Instant::now();
         let mut pause = NOTICE_FIRST_PAUSE;
-        while let Err(e) = self.carrier.notify(end).await {
+        while let Err(e) = self.transport.notify(end).await {
             // Its room in the journal is kept: should nobody listen for long, new jobs are refused.
             if pause == NOTICE_FIRST_PAUSE {
                 tracing::warn!(id = job.id, error = e, "an end could not be told; trying on");
@@ -100,7 +100,7 @@
     }
 
     /// Tries a journal that cannot be written until it can. Has no end.
-    pub async fn keep_journal(&self) {
+    pub async fn retry_journal(&self) {
         loop {
             self.journal_health.failed().await;
             // What waits for a place is not sent before that.
--- a/relay/src/core/life.rs
+++ b/relay/src/core/life.rs
@@ -11,12 +11,12 @@
 use super::bundle::Share;
 use super::decision::{Decision, Refusal};
 use super::rounds::{ORDERS, Order};
-use super::{Carrier, Core, DEFAULT_BACKOFF, FAR_OFF, Node, Ticket};
+use super::{Core, DEFAULT_BACKOFF, FAR_OFF, Node, SendPermit, Transport};
 use crate::clock;
 use crate::estate::Home;
-use crate::figures::Ended;
 use crate::job::{Job, Notice, Outcome, nanos};
 use crate::journal::{Key, MayHaveRun, Open, QueuedRequest, TakenOn};
+use crate::metrics::MessageResult;
 
 /// Before a claim is reported that a fault of this machine kept back.
 const LOCAL_FAULT_PAUSE: Duration = Duration::from_millis(20);
@@ -78,7 +78,7 @@
     }
 }
 
-impl<C: Carrier> Core<C> {
+impl<C: Transport> Core<C> {
     /// The whole life of a job: admitted, journaled, answered, claimed as the module orders, ended.
     pub(super) async fn life(
         self: Rc<Self>,
@@ -157,7 +157,7 @@
         }
 
         // It takes the place of an earlier one that still waits.
-        let replaces = self.carrier.replaces(&job);
+        let replaces = self.transport.replacement_key(&job);
         if let Some(key) = &replaces {
             let mut state = self.state.borrow_mut();
             let earlier = state.replaceable.insert(key.clone(), seat.msg);
@@ -195,7 +195,7 @@
                     }
                     match outcome {
                         Outcome::Delivered => {
-                            self.figures.ended(&job.class, Ended::Delivered);
+                            self.figures.ended(&job.class, MessageResult::Delivered);
                             slot.iter().for_each(|slot| slot.left_as(Left::Delivered));
                             break None;
                         }
@@ -257,32 +257,32 @@
         let limit = share.as_ref().map_or(limit, Share::limit);
         let limit = course.cut.map_or(limit, |cut| limit.min(cut.saturating_duration_since(sent)));
         let not_after = course.risk.as_ref().and_then(|risk| memory_ends(&course.rules, risk));
-        let ticket = self.ticket(course.key, node, not_after);
-        self.state.borrow_mut().out.insert(course.key, ticket.clone());
+        let permit = self.permit(course.key, node, not_after);
+        self.state.borrow_mut().out.insert(course.key, permit.clone());
         self.count_call(job.dest, true);
         let outcome = tokio::select! {
             biased;
-            outcome = self.call(job, node, limit, &ticket, share) => outcome,
-            () = sleep(limit) => if ticket.is_sent() { Outcome::TimedOut } else { Outcome::Unconnected },
+            outcome = self.call(job, node, limit, &permit, share) => outcome,
+            () = sleep(limit) => if permit.is_sent() { Outcome::TimedOut } else { Outcome::Unconnected },
             () = seat.cancelled(attempt) => {
-                if ticket.is_sent() { Outcome::Cancelled } else { Outcome::NotSent }
+                if permit.is_sent() { Outcome::Cancelled } else { Outcome::NotSent }
             }
             // What is not out yet is its new owner's to send, or not: a drain may be told there.
-            () = self.handed_unsent(&ticket) => Outcome::NotSent,
-            never = self.hear_wait(node, &ticket) => never,
-            () = self.ended.cancelled() => if ticket.is_sent() { Outcome::Cancelled } else { Outcome::NotSent },
+            () = self.handed_unsent(&permit) => Outcome::NotSent,
+            never = self.hear_wait(node, &permit) => never,
+            () = self.ended.cancelled() => if permit.is_sent() { Outcome::Cancelled } else { Outcome::NotSent },
         };
         self.state.borrow_mut().out.remove(&course.key);
         self.count_call(job.dest, false);
         // Guards against a time-out or a cancellation between the node's word and the end of its answer.
-        let outcome = if ticket.is_delivered() { Outcome::Delivered } else { outcome };
+        let outcome = if permit.is_delivered() { Outcome::Delivered } else { outcome };
         // What our own machine did not let out is no try.
-        let held_back = outcome.never_ran() && !outcome.ends_job() && ticket.met_local_fault();
+        let held_back = outcome.never_ran() && !outcome.ends_job() && permit.had_local_fault();
         let outcome = if held_back { Outcome::LocalFault } else { outcome };
         let label = job.label.as_deref().unwrap_or("");
         let (took, dest) = (sent.elapsed(), job.dest);
-        let told = ticket.report().limit;
-        let first_byte = ticket.begun();
+        let told = permit.report().limit;
+        let first_byte = permit.begun();
         let first_byte_after = first_byte.map(|(at, _)| at - sent);
         let list_age = first_byte.and_then(|(_, age)| age);
         let node_name = &*node.name;
@@ -302,14 +302,14 @@
         if let Some(successor) = &*self.successor.borrow() {
             // A process of another version knows no faults of this machine.
             let told = if outcome == Outcome::LocalFault { Outcome::NotSent } else { outcome };
-            successor.home(Home { key: course.key, outcome: told, node: node.name.to_string() });
+            successor.claim_ended(Home { key: course.key, outcome: told, node: node.name.to_string() });
             return outcome;
         }
         if outcome == Outcome::LocalFault && !self.journal_health.is_failing() {
             // Guards against trying at once and again what a connection cannot be made for.
             sleep(LOCAL_FAULT_PAUSE).await;
         }
-        match ticket.recorded() {
+        match permit.recorded() {
             Some(_) if outcome.never_ran() => {
                 self.record_never_ran(course.key, &job.id);
             }
@@ -319,7 +319,7 @@
         }
         if let Outcome::Full { wait: Some(wait) } = outcome {
             self.begin_wait(node, wait);
-        } else if let Some(wait) = ticket.take_told_wait() {
+        } else if let Some(wait) = permit.take_told_wait() {
             // With an answer that was not of itself one, or was spoilt behind its head.
             self.heard_wait(&node.name, wait);
         }
@@ -333,7 +333,7 @@
             tally.claims += 1;
             tally.delivered += u32::from(outcome == Outcome::Delivered);
         });
-        seat.report_closed(attempt, node, outcome, sent.elapsed(), ticket.report());
+        seat.report_closed(attempt, node, outcome, sent.elapsed(), permit.report());
         outcome
     }
 
@@ -343,26 +343,26 @@
         job: &Job,
         node: &Node,
         limit: Duration,
-        ticket: &Rc<Ticket>,
+        permit: &Rc<SendPermit>,
         share: Option<Share>,
     ) -> Outcome {
         match share {
-            Some(share) => share.claim(&self.carrier, job, node, limit, ticket).await,
-            None => self.carrier.claim(job, node, limit, ticket).await,
+            Some(share) => share.claim(&self.transport, job, node, limit, permit).await,
+            None => self.transport.claim(job, node, limit, permit).await,
         }
     }
 
     /// Takes up a wait as soon as the head of the answer tells it. Guards against rounds that send there while the rest
     /// of the answer is waited for, which would use up the tries of what they send. Has no end of its own.
-    async fn hear_wait(&self, node: &Node, ticket: &Ticket) -> Outcome {
-        ticket.wait_is_told().await;
-        ticket.take_told_wait().into_iter().for_each(|wait| self.heard_wait(&node.name, wait));
+    async fn hear_wait(&self, node: &Node, permit: &SendPermit) -> Outcome {
+        permit.wait_is_told().await;
+        permit.take_told_wait().into_iter().for_each(|wait| self.heard_wait(&node.name, wait));
         std::future::pending().await
     }
 
-    async fn handed_unsent(&self, ticket: &Ticket) {
+    async fn handed_unsent(&self, permit: &SendPermit) {
         self.handed.cancelled().await;
-        if ticket.is_sent() {
+        if permit.is_sent() {
             std::future::pending().await
         }
     }
@@ -383,7 +383,7 @@
     fn turn_away(&self, job: &Job, answer: Option<oneshot::Sender<Decision>>, refusal: Refusal) {
         self.count(|tally| tally.turned_away += 1);
         let failed = refusal == Refusal::Failed;
-        self.figures.ended(&job.class, if failed { Ended::Failed } else { Ended::TurnedBack });
+        self.figures.ended(&job.class, if failed { MessageResult::Failed } else { MessageResult::Refused });
         tracing::debug!(id = job.id, dest = job.dest, ?refusal, "turned away");
         self.decided(&job.id, Some(refusal.into()));
         if let Some(answer) = answer {
--- a/relay/src/core/list_confirmation.rs
+++ b/relay/src/core/list_confirmation.rs
@@ -4,7 +4,7 @@
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
 
-use super::{CLOCK_START, Carrier, Core};
+use super::{CLOCK_START, Core, Transport};
 use crate::job::nanos;
 use crate::lease_record::{Confirmed, LeaseRecord};
 
@@ -19,11 +19,11 @@
 
 /// An answer of discovery, as far as its time goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Answered {
+pub struct AnswerTimes {
     /// When its call was begun.
     pub begun: Instant,
     /// When its first byte came.
-    pub first: Instant,
+    pub first_byte: Instant,
 }
 
 impl ListClock {
@@ -69,10 +69,15 @@
     }
 }
 
-impl<C: Carrier> Core<C> {
+impl<C: Transport> Core<C> {
     /// Binds the list to a lease from now on, since it is asked for: `before` is what a process before knew of the list of this version
     /// or an older one, and `first_start` that there was none. Then what the configuration says is taken as confirmed just now.
-    pub fn bind_list(&self, record: Option<LeaseRecord>, before: Option<Confirmed>, first_start: bool) {
+    pub fn start_list_lease(
+        &self,
+        record: Option<LeaseRecord>,
+        before: Option<Confirmed>,
+        first_start: bool,
+    ) {
         let now = self.module_time(Instant::now());
         let mut lease = ListLease::asked_for(nanos(self.rules().must_ask_in()));
         match before {
@@ -87,15 +92,15 @@
     }
 
     /// The first byte of an answer with a list has come.
-    pub fn list_answer_begins(&self, first: Instant) {
+    pub fn list_answer_started(&self, first: Instant) {
         let first = self.module_time(first);
         self.list_clock.change(|lease| lease.answer_begins(first));
         self.wake.notify_one();
     }
 
     /// An answer of discovery has been taken in.
-    pub fn list_confirmed(&self, answered: Answered) {
-        let (begun, first) = (self.module_time(answered.begun), self.module_time(answered.first));
+    pub fn list_confirmed(&self, answered: AnswerTimes) {
+        let (begun, first) = (self.module_time(answered.begun), self.module_time(answered.first_byte));
         self.list_clock.change(|lease| lease.confirm(begun, first));
         self.record_lease();
         self.wake.notify_one();
--- a/relay/src/core/mod.rs
+++ b/relay/src/core/mod.rs
@@ -1,5 +1,5 @@
 //! Jobs, claims and outcomes, and the drive of the decision module. No wire is known here: a front hands
-//! jobs in, and a [`Carrier`] takes claims to execute nodes and notices to their readers.
+//! jobs in, and a [`Transport`] takes claims to execute nodes and notices to their readers.
 mod backlog;
 mod bundle;
 mod decision;
@@ -21,40 +21,40 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-pub use bundle::Part;
-pub use list_confirmation::{Answered, ListClock};
+pub use bundle::BundledMessage;
+pub use list_confirmation::{AnswerTimes, ListClock};
 use nodes::Nodes;
 #[cfg(test)]
 pub(crate) use nodes::tests;
-pub use nodes::{Node, NotOut, Ticket};
+pub use nodes::{Node, SendPermit, SetDisabledError};
 pub use succession::Successor;
 
 use crate::backlog::Backlog;
 use crate::config::Rules;
-use crate::disabled::Disabled;
-use crate::figures::{Census, Ended, Figures};
+use crate::disabled::DisabledNodes;
 use crate::hook::Hooks;
 use crate::job::{Answer, Job, Outcome, nanos};
 use crate::journal::{Health, Journal, Key, Open, SettledEnd};
+use crate::metrics::{GaugeValues, MessageResult, Metrics};
 use decision::Decision;
 use life::Course;
 use rounds::Order;
 
 /// A front's way out.
-pub trait Carrier: 'static {
+pub trait Transport: 'static {
     /// Takes a claim to a node. Dropping the future must give the claim up at once.
     fn claim(
         &self,
         job: &Job,
         node: &Node,
         limit: Duration,
-        ticket: &Rc<Ticket>,
+        permit: &Rc<SendPermit>,
     ) -> impl Future<Output = Outcome>;
     /// Takes several claims to a node in one call; gives their outcomes in the same order. Dropping the future must
     /// give all of them up at once.
-    fn claim_together(
+    fn claim_bundle(
         &self,
-        parts: &[Part],
+        parts: &[BundledMessage],
         _node: &Node,
         _limit: Duration,
     ) -> impl Future<Output = Vec<Outcome>> {
@@ -64,13 +64,13 @@
     /// Tells how a job ended; done once it is certain to have been heard.
     fn notify(&self, end: &SettledEnd) -> impl Future<Output = Result<(), String>>;
     /// Under what a job that waits is replaced by a later one under the same, if by any.
-    fn replaces(&self, _job: &Job) -> Option<String> {
+    fn replacement_key(&self, _job: &Job) -> Option<String> {
         None
     }
     /// Closes idle connections to a node.
     fn close_idle(&self, node: &Node);
     /// The node is gone, or has another address.
-    fn forget(&self, node: &Node);
+    fn node_removed(&self, node: &Node);
 }
 
 struct State {
@@ -90,7 +90,7 @@
     /// Open jobs that a later one may replace.
     replaceable: HashMap<String, MsgId>,
     /// Jobs whose claims are out.
-    out: BTreeMap<Key, Rc<Ticket>>,
+    out: BTreeMap<Key, Rc<SendPermit>>,
 }
 
 /// Answers given a moment ago, by id.
@@ -134,18 +134,18 @@
 }
 
 pub struct Core<C> {
-    pub carrier: C,
+    pub transport: C,
     rules: RefCell<Rc<Rules>>,
     hooks: Option<Hooks>,
     state: RefCell<State>,
     journal: Rc<RefCell<Journal>>,
     journal_health: Rc<Health>,
-    disabled: RefCell<Disabled>,
+    disabled: RefCell<DisabledNodes>,
     /// Among how many relays limits are divided, where that follows who is there.
     divided: Cell<Option<u32>>,
     /// Requests that wait on disk; none where it is off, and once another process has it.
     backlog: RefCell<Option<Rc<Backlog>>>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     /// Held while a list is taken in: lists are taken in in their order.
     listing: tokio::sync::Mutex<()>,
     wake: Notify,
@@ -180,15 +180,15 @@
 /// When nothing else is due.
 const FAR_OFF: Duration = Duration::from_secs(3600);
 
-impl<C: Carrier> Core<C> {
+impl<C: Transport> Core<C> {
     pub fn new(
-        carrier: C,
+        transport: C,
         rules: Rules,
         hooks: Option<Hooks>,
         seed: u64,
         journal: Journal,
-        disabled: Disabled,
-        figures: Rc<Figures>,
+        disabled: DisabledNodes,
+        figures: Rc<Metrics>,
     ) -> Rc<Self> {
         let state = State {
             courier: Courier::new(rules.settings.clone(), seed),
@@ -206,7 +206,7 @@
         };
         let start = Instant::now();
         Rc::new(Core {
-            carrier,
+            transport,
             rules: RefCell::new(Rc::new(rules)),
             hooks,
             state: RefCell::new(state),
@@ -244,7 +244,7 @@
 
     /// Takes up new rules without a job's notice; `disk` is what the journal may fill. Classes, kinds and zones
     /// are known to open jobs and nodes by their places in the settings, so these can't change under them.
-    pub fn settle(&self, mut rules: Rules, disk: u64) {
+    pub fn apply_rules(&self, mut rules: Rules, disk: u64) {
         // What follows who is there is not for the settings to tell.
         rules.settings.couriers = self.divided.get().or(rules.settings.couriers);
         rules.settings.list_shared = self.rules().settings.list_shared;
@@ -286,13 +286,13 @@
         if full || winding_down || !self.knows(job.dest) {
             tracing::debug!(id = job.id, dest = job.dest, full, winding_down, "turned away at the door");
             self.count(|tally| tally.turned_away += 1);
-            self.figures.ended(&job.class, Ended::TurnedBack);
+            self.figures.ended(&job.class, MessageResult::Refused);
             return Answer::Refused { after: Some(DEFAULT_BACKOFF) };
         }
         loop {
             // The same message once more, after a close that crossed it, is in hand already or about to be.
             match self.state.borrow().ids.get(&job.id) {
-                Some(true) => return Answer::Taken,
+                Some(true) => return Answer::Accepted,
                 Some(false) => {}
                 None => break,
             }
@@ -319,15 +319,15 @@
     }
 
     /// The process's figures.
-    pub fn figures(&self) -> &Figures {
+    pub fn metrics(&self) -> &Metrics {
         &self.figures
     }
 
     /// What there is just now, for the figures.
-    pub fn census(&self) -> Census {
+    pub fn gauge_values(&self) -> GaugeValues {
         if self.is_handed() {
             // Its successor tells them.
-            return Census::default();
+            return GaugeValues::default();
         }
         let state = self.state.borrow();
         let on_disk = self.backlog().map_or(0, |backlog| backlog.on_disk() as usize);
@@ -335,7 +335,13 @@
         let (known, closed) = state.nodes.count();
         let list_age = self.list_clock.age(Instant::now());
         let unwritten_records = self.journal_health.unwritten();
-        Census { in_progress, known, skipped: closed + state.courier.avoided(), list_age, unwritten_records }
+        GaugeValues {
+            in_progress,
+            known,
+            skipped: closed + state.courier.avoided(),
+            list_age,
+            unwritten_records,
+        }
     }
 
     /// Whether a job has no end yet.
@@ -368,7 +374,7 @@
     }
 
     /// Tells what has become of jobs and claims, every so often if there was anything.
-    pub async fn tell_tally(&self, front: &'static str) {
+    pub async fn log_tally(&self, front: &'static str) {
         loop {
             sleep(TALLY_PAUSE).await;
             let tally = self.tally.take();
@@ -406,7 +412,7 @@
     }
 
     /// Done when the module wants the list to be followed.
-    pub async fn asked_to_follow(&self) {
+    pub async fn list_requested(&self) {
         self.follow.notified().await;
     }
 
@@ -415,7 +421,7 @@
         self.winding_down.set(true);
         self.closing.notify_waiters();
         let end = Instant::now() + most;
-        while !self.all_home() && Instant::now() < end {
+        while !self.no_claims_in_flight() && Instant::now() < end {
             sleep(Duration::from_millis(10)).await;
         }
         let state = self.state.borrow();
--- a/relay/src/core/nodes.rs
+++ b/relay/src/core/nodes.rs
@@ -12,10 +12,10 @@
 use tokio::sync::Notify;
 use tokio::task::yield_now;
 
-use super::{Carrier, Core, ListClock, State};
+use super::{Core, ListClock, State, Transport};
 use crate::clock;
 use crate::config::Rules;
-use crate::disabled::Refused;
+use crate::disabled::DisableError;
 use crate::estate::ListedNode;
 use crate::job::nanos;
 use crate::journal::{Journal, Key, MayHaveRun};
@@ -56,12 +56,12 @@
 
 /// Why a node is not out by hand, or not taken back.
 #[derive(Debug)]
-pub enum NotOut {
+pub enum SetDisabledError {
     /// Nobody has that name.
     Unknown,
-    Unkept(Refused),
+    NotStored(DisableError),
     /// Another process has the relay.
-    Handed,
+    HandedOver,
 }
 
 fn unix_ms(at: SystemTime) -> u64 {
@@ -200,7 +200,7 @@
 }
 
 /// The leave to send one claim, asked for right before its first byte.
-pub struct Ticket {
+pub struct SendPermit {
     node: Rc<Node>,
     /// End of the wait told by its destination.
     wait: Rc<Cell<Instant>>,
@@ -221,17 +221,17 @@
     tries: IntCounter,
 }
 
-impl Ticket {
+impl SendPermit {
     /// Guards against claims that were decided on, waited for their connection, and would be sent to a
     /// node that drains by now or may by a list that is no longer confirmed, into a wait told by now, or past the memory of an earlier
     /// claim.
     pub fn may_begin(&self) -> bool {
-        self.node.is_open() && self.list.allows(Instant::now()) && self.may_go_on()
+        self.node.is_open() && self.list.allows(Instant::now()) && self.may_continue()
     }
 
     /// Whether the rest of what has begun may be written. Guards against a last byte that a full socket holds back into
     /// a told wait or past the memory of an earlier claim; a claim counts from that byte. For drains its first counts.
-    pub fn may_go_on(&self) -> bool {
+    pub fn may_continue(&self) -> bool {
         let now = Instant::now();
         now >= self.wait.get() && self.not_after.is_none_or(|end| now < end)
     }
@@ -287,7 +287,7 @@
         self.local_fault.set(true);
     }
 
-    pub fn met_local_fault(&self) -> bool {
+    pub fn had_local_fault(&self) -> bool {
         self.local_fault.get()
     }
 
@@ -296,12 +296,12 @@
         self.delivered.set(true);
     }
 
-    pub fn tell_report(&self, report: Report) {
+    pub fn set_report(&self, report: Report) {
         self.report.set(report);
     }
 
     /// To be called as soon as an answer's head tells of a wait, whatever follows it: others are not sent from then on.
-    pub fn tell_wait(&self, wait: Duration) {
+    pub fn set_wait(&self, wait: Duration) {
         self.told.set(Some(wait));
         self.tells.notify_one();
         self.wait.set(self.wait.get().max(Instant::now() + wait));
@@ -326,19 +326,19 @@
     }
 }
 
-impl<C: Carrier> Core<C> {
+impl<C: Transport> Core<C> {
     /// Takes in news of the list of execute nodes, one list after the other. Its cost for the module follows what
     /// changed, not what is listed; a long list is taken in by parts, between which jobs go on. What closes nodes is
     /// taken in before what opens others.
-    pub async fn take_list(&self, list: &NodeList) {
+    pub async fn apply_list(&self, list: &NodeList) {
         let _turn = self.listing.lock().await;
         let number = if list.reset { self.state.borrow_mut().nodes.next_list() } else { 0 };
         let mut news = Vec::new();
-        for part in 0..list.parts() {
+        for part in 0..list.chunk_count() {
             if part > 0 {
                 yield_now().await;
             }
-            news.push(self.close(&list.part(part), number));
+            news.push(self.close(&list.chunk(part), number));
         }
         if list.reset {
             let gone = self.not_seen(number);
@@ -348,11 +348,11 @@
                 yield_now().await;
             }
         }
-        for part in (0..list.parts()).filter(|part| news[*part]) {
+        for part in (0..list.chunk_count()).filter(|part| news[*part]) {
             if part > 0 {
                 yield_now().await;
             }
-            let entries = list.part(part);
+            let entries = list.chunk(part);
             let rules = self.rules();
             self.change(|state| {
                 let taken = entries.iter().flat_map(|entry| self.take_entry(state, &rules, entry, number));
@@ -379,7 +379,7 @@
     }
 
     /// Done once no list is being taken in.
-    pub async fn lists_taken(&self) {
+    pub async fn lists_applied(&self) {
         drop(self.listing.lock().await);
     }
 
@@ -475,7 +475,7 @@
     /// Lets a node go; gives what the module is to hear of it.
     fn drop_node(&self, state: &mut State, node: &Rc<Node>) -> Endpoint {
         node.serving.set(false);
-        self.carrier.forget(node);
+        self.transport.node_removed(node);
         state.nodes.remove(node);
         state.waits.remove(&(node.dest, Some(node.id)));
         self.endpoint(node, Condition::Left)
@@ -507,16 +507,16 @@
 
     /// Leaves a node out whatever the list says of it, or takes it back. To the module it drains meanwhile, and
     /// returns as one that has just started: operators restart what they take out.
-    pub fn set_out(&self, name: &str, out: bool) -> Result<(), NotOut> {
+    pub fn set_disabled(&self, name: &str, out: bool) -> Result<(), SetDisabledError> {
         if self.is_handed() {
-            return Err(NotOut::Handed);
+            return Err(SetDisabledError::HandedOver);
         }
         let was = self.disabled.borrow().contains(name);
         let node = self.state.borrow().nodes.named(name).cloned();
         if !was && node.is_none() {
-            return Err(NotOut::Unknown);
+            return Err(SetDisabledError::Unknown);
         }
-        self.disabled.borrow_mut().set(name, out).map_err(NotOut::Unkept)?;
+        self.disabled.borrow_mut().set(name, out).map_err(SetDisabledError::NotStored)?;
         if was != out {
             tracing::info!(node = name, out, "an execute node is out by hand, or back");
         }
@@ -530,19 +530,19 @@
     }
 
     /// The list could not be had.
-    pub fn list_broken(&self, how: ListScope) {
+    pub fn list_unavailable(&self, how: ListScope) {
         self.list_call_failed(how);
         self.state.borrow_mut().inbox.push(Event::List { scope: how, entries: Vec::new() });
         self.wake.notify_one();
     }
 
     /// How long an answer of discovery is waited for that is no watch's renewal; `held` says whether it is to bring changes to a list.
-    pub fn list_patience(&self, held: bool) -> Duration {
+    pub fn list_call_timeout(&self, held: bool) -> Duration {
         Duration::from_nanos(self.state.borrow().courier.list_patience(held))
     }
 
     /// The leave of a job's claim to be sent to a node, before that time if one is given.
-    pub(super) fn ticket(&self, key: Key, node: &Rc<Node>, not_after: Option<Instant>) -> Rc<Ticket> {
+    pub(super) fn permit(&self, key: Key, node: &Rc<Node>, not_after: Option<Instant>) -> Rc<SendPermit> {
         let record = ClaimRecord {
             journal: self.journal.clone(),
             key,
@@ -550,7 +550,7 @@
             zone: self.rules().names.zones.get(node.zone().0).cloned(),
             written: RefCell::default(),
         };
-        Rc::new(Ticket {
+        Rc::new(SendPermit {
             node: node.clone(),
             wait: self.wait_of(node),
             list: self.list_clock.clone(),
--- a/relay/src/core/nodes/tests.rs
+++ b/relay/src/core/nodes/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::disabled::Disabled;
-use crate::figures::Figures;
+use crate::disabled::DisabledNodes;
 use crate::job::{Job, Outcome};
 use crate::journal::SettledEnd;
+use crate::metrics::Metrics;
 
 /// A node that is open or not.
 pub(crate) fn node(address: SocketAddr, open: bool) -> Node {
@@ -21,10 +21,10 @@
     }
 }
 
-/// A ticket for a node of its own.
-pub(crate) fn ticket(open: bool, wait: Duration, memory: Option<Duration>) -> Rc<Ticket> {
+/// A permit for a node of its own.
+pub(crate) fn permit(open: bool, wait: Duration, memory: Option<Duration>) -> Rc<SendPermit> {
     let now = Instant::now();
-    Rc::new(Ticket {
+    Rc::new(SendPermit {
         node: Rc::new(node(SocketAddr::from(([127, 0, 0, 1], 1)), open)),
         wait: Rc::new(Cell::new(now + wait)),
         list: Rc::new(ListClock::new(now)),
@@ -37,24 +37,24 @@
         report: Cell::default(),
         told: Cell::default(),
         tells: Notify::new(),
-        tries: Figures::new(&[]).tries(),
+        tries: Metrics::new(&[]).tries(),
     })
 }
 
 #[test]
 fn no_claim_begins_at_a_draining_node_in_a_wait_or_past_a_memory() {
     let (none, long) = (Duration::ZERO, Duration::from_secs(9));
-    assert!(ticket(true, none, None).may_begin());
-    assert!(ticket(true, none, Some(long)).may_begin());
-    assert!(!ticket(false, none, None).may_begin());
-    assert!(!ticket(true, long, None).may_begin());
-    assert!(!ticket(true, none, Some(none)).may_begin());
+    assert!(permit(true, none, None).may_begin());
+    assert!(permit(true, none, Some(long)).may_begin());
+    assert!(!permit(false, none, None).may_begin());
+    assert!(!permit(true, long, None).may_begin());
+    assert!(!permit(true, none, Some(none)).may_begin());
 }
 
 struct Nowhere;
 
-impl Carrier for Nowhere {
-    async fn claim(&self, _: &Job, _: &Node, _: Duration, _: &Rc<Ticket>) -> Outcome {
+impl Transport for Nowhere {
+    async fn claim(&self, _: &Job, _: &Node, _: Duration, _: &Rc<SendPermit>) -> Outcome {
         Outcome::NotSent
     }
 
@@ -64,13 +64,13 @@
 
     fn close_idle(&self, _: &Node) {}
 
-    fn forget(&self, _: &Node) {}
+    fn node_removed(&self, _: &Node) {}
 }
 
 fn core(folder: &std::path::Path) -> Rc<Core<Nowhere>> {
     let (journal, _) = Journal::open(folder, 1_000_000).expect("it opens");
     let rules = Rules { settings: slatethread::Settings::default(), names: Default::default() };
-    Core::new(Nowhere, rules, None, 1, journal, Disabled::open(folder), Figures::new(&[]))
+    Core::new(Nowhere, rules, None, 1, journal, DisabledNodes::open(folder), Metrics::new(&[]))
 }
 
 pub(crate) fn entry(name: usize, port: u16, lifecycle: Lifecycle) -> NodeEntry<'static> {
@@ -88,9 +88,9 @@
 
 /// Takes a list in; gives what the module hears: numbers and conditions, in their order.
 async fn take(core: &Core<Nowhere>, reset: bool, entries: Vec<NodeEntry<'static>>) -> Vec<(u32, Condition)> {
-    let mut list = NodeList::of(entries);
+    let mut list = NodeList::from_entries(entries);
     list.reset = reset;
-    core.take_list(&list).await;
+    core.apply_list(&list).await;
     let events = std::mem::take(&mut core.state.borrow_mut().inbox);
     let heard = events.into_iter().flat_map(|event| match event {
         Event::List { scope: ListScope::Patch, entries } => entries,
@@ -105,12 +105,12 @@
     let folder = tempfile::tempdir().expect("a folder");
     for class in [None, Some("another")] {
         let core = core(folder.path());
-        core.bind_list(None, None, true);
+        core.start_list_lease(None, None, true);
         let left = || core.list_clock.end().expect("it ends") - Instant::now();
         assert!(left() > Duration::from_secs(5));
         let mut rules = (*core.rules()).clone();
         rules.names.classes.extend(class.map(str::to_owned));
-        core.settle(rules, 1_000_000);
+        core.apply_rules(rules, 1_000_000);
         assert!(left() < Duration::from_secs(5), "{class:?}");
     }
 }
@@ -161,10 +161,10 @@
             });
             entries.map(|e| (e.id.0, e.condition, e.started > 0)).collect::<Vec<_>>()
         };
-        assert!(matches!(core.set_out("n9", true), Err(NotOut::Unknown)));
-        assert!(matches!(core.set_out("n9", false), Err(NotOut::Unknown)));
-        core.set_out("n1", true).expect("listed");
-        core.set_out("n1", true).expect("listed");
+        assert!(matches!(core.set_disabled("n9", true), Err(SetDisabledError::Unknown)));
+        assert!(matches!(core.set_disabled("n9", false), Err(SetDisabledError::Unknown)));
+        core.set_disabled("n1", true).expect("listed");
+        core.set_disabled("n1", true).expect("listed");
         assert_eq!(heard(), [(1, Leaving, false)]);
         // Through lists, its leaving and its coming again, and a restart of this process.
         assert_eq!(take(&core, true, list(Serving)).await, []);
@@ -173,9 +173,9 @@
         assert_eq!(take(&core, false, list(Serving)).await, [(3, Leaving)]);
         let after = self::core(folder.path());
         assert_eq!(take(&after, true, list(Serving)).await, [(1, Leaving), (2, Active)]);
-        core.set_out("n1", false).expect("out");
-        core.set_out("n1", false).expect("listed");
-        core.set_out("n2", false).expect("listed");
+        core.set_disabled("n1", false).expect("out");
+        core.set_disabled("n1", false).expect("listed");
+        core.set_disabled("n2", false).expect("listed");
         assert_eq!(heard(), [(3, Active, true)]);
     });
 }
--- a/relay/src/core/rounds.rs
+++ b/relay/src/core/rounds.rs
@@ -9,7 +9,7 @@
 
 use super::backlog::Parked;
 use super::bundle::{Bundle, Share};
-use super::{Carrier, Core, FAR_OFF, Node, State};
+use super::{Core, FAR_OFF, Node, State, Transport};
 
 /// What the module orders for one job.
 pub(super) enum Order {
@@ -42,9 +42,9 @@
 /// Orders that can be waiting for one job: held, a claim, its cancellation, an end, another in its place.
 pub(super) const ORDERS: usize = 8;
 
-impl<C: Carrier> Core<C> {
+impl<C: Transport> Core<C> {
     /// Plays rounds, no closer than the settings' step, until the relay winds down.
-    pub async fn rounds(&self) {
+    pub async fn run_rounds(&self) {
         let mut last = Instant::now();
         while !self.winding_down.get() {
             let timer = self.state.borrow().timers.peek().map(|t| t.0.0);
@@ -139,7 +139,7 @@
             }
             Action::Close { endpoint } => {
                 if let Some(node) = state.nodes.get(endpoint) {
-                    self.carrier.close_idle(node);
+                    self.transport.close_idle(node);
                 }
             }
             Action::Log { line } => tracing::info!("module: {}", named(state, &line)),
--- a/relay/src/core/succession.rs
+++ b/relay/src/core/succession.rs
@@ -12,33 +12,33 @@
 
 use super::backlog::MemorySlot;
 use super::life::Course;
-use super::{Carrier, Core};
+use super::{Core, Transport};
 use crate::estate::{Estate, Home, LearnedNode, LearnedUnit, ToldWait};
-use crate::figures::Ended;
 use crate::job::{Answer, Job, Outcome, nanos};
 use crate::journal::{Key, Open};
 use crate::list::{Lifecycle, NodeEntry, NodeList};
+use crate::metrics::MessageResult;
 
 /// The process that has taken over.
 pub trait Successor {
     /// Takes a job from a submitter who is still connected here.
     fn admit(&self, job: Job) -> LocalBoxFuture<'_, Answer>;
     /// A claim has come home.
-    fn home(&self, home: Home);
+    fn claim_ended(&self, home: Home);
 }
 
 fn span(nanos: u64) -> Duration {
     Duration::from_nanos(nanos)
 }
 
-impl<C: Carrier> Core<C> {
+impl<C: Transport> Core<C> {
     /// Stops deciding and lets the journal go, at once and between two rounds: from the return of this on the jobs are
     /// another process's. Claims that are out come home to `successor`; those not yet sent never are.
     pub fn hand_over(&self, successor: Rc<dyn Successor>) -> Estate {
         self.winding_down.set(true);
         let estate = self.estate();
         // The newcomer hears of each claim that is out what became of it, also of those that have not begun.
-        self.state.borrow().out.values().for_each(|ticket| ticket.record_unsent());
+        self.state.borrow().out.values().for_each(|permit| permit.record_unsent());
         *self.successor.borrow_mut() = Some(successor);
         self.journal.borrow_mut().close();
         self.hand_over_backlog();
@@ -105,18 +105,18 @@
     }
 
     /// Calls off what is still out: it may have run.
-    pub fn call_off(&self) {
+    pub fn cancel_claims(&self) {
         self.ended.cancel();
     }
 
     /// Whether no claim is out any more.
-    pub fn all_home(&self) -> bool {
+    pub fn no_claims_in_flight(&self) -> bool {
         self.state.borrow().out.is_empty()
     }
 
     /// Takes on what another process had: its list, what it was told and learned, its jobs. Gives, for each job whose
     /// claim is still out there, where its outcome is to be told; a claim that is never told of may have run.
-    pub async fn inherit(
+    pub async fn take_over(
         self: &Rc<Self>,
         estate: &Estate,
         open: Vec<Open>,
@@ -131,9 +131,9 @@
             weight: node.weight,
             started_at_ms: node.started_ms,
         });
-        let mut list = NodeList::of(entries.collect());
+        let mut list = NodeList::from_entries(entries.collect());
         list.generation = estate.generation.unwrap_or(0);
-        self.take_list(&list).await;
+        self.apply_list(&list).await;
         for node in &estate.nodes {
             self.set_back(&node.name, node.back_ms);
         }
@@ -226,7 +226,7 @@
         }
         match outcome {
             Outcome::Delivered => {
-                self.figures.ended(&job.class, Ended::Delivered);
+                self.figures.ended(&job.class, MessageResult::Delivered);
                 slot.iter().for_each(|slot| slot.left_as(Left::Delivered));
                 self.finish(&job, &course, None).await;
             }
--- a/relay/src/disabled.rs
+++ b/relay/src/disabled.rs
@@ -21,22 +21,22 @@
     out: BTreeSet<String>,
 }
 
-pub struct Disabled {
+pub struct DisabledNodes {
     path: PathBuf,
     names: BTreeSet<String>,
 }
 
 /// Why nothing was changed.
 #[derive(Debug)]
-pub enum Refused {
+pub enum DisableError {
     /// No more names fit.
     Full,
-    Unwritten(io::Error),
+    Io(io::Error),
 }
 
-impl Disabled {
+impl DisabledNodes {
     /// Those that an earlier process left in the folder.
-    pub fn open(folder: &Path) -> Disabled {
+    pub fn open(folder: &Path) -> DisabledNodes {
         let path = folder.join("out-by-hand");
         let names = match read(&path) {
             Ok(names) => names,
@@ -46,7 +46,7 @@
                 BTreeSet::new()
             }
         };
-        Disabled { path, names }
+        DisabledNodes { path, names }
     }
 
     pub fn contains(&self, name: &str) -> bool {
@@ -54,7 +54,7 @@
     }
 
     /// Notes that a node is out, or not any more. What is said twice is said once.
-    pub fn set(&mut self, name: &str, out: bool) -> Result<(), Refused> {
+    pub fn set(&mut self, name: &str, out: bool) -> Result<(), DisableError> {
         let changed = if out { self.names.insert(name.into()) } else { self.names.remove(name) };
         if !changed {
             return Ok(());
@@ -71,16 +71,16 @@
         written
     }
 
-    fn write(&self) -> Result<(), Refused> {
+    fn write(&self) -> Result<(), DisableError> {
         let file = File { version: VERSION, out: self.names.clone() };
         let text = serde_json::to_vec(&file).expect("strings and a number");
         if text.len() > LARGEST {
-            return Err(Refused::Full);
+            return Err(DisableError::Full);
         }
         let spare = self.path.with_extension("new");
         std::fs::write(&spare, text)
             .and_then(|()| std::fs::rename(&spare, &self.path))
-            .map_err(Refused::Unwritten)
+            .map_err(DisableError::Io)
     }
 }
 
--- a/relay/src/discovery.rs
+++ b/relay/src/discovery.rs
@@ -11,10 +11,10 @@
 use tokio::task::spawn_blocking;
 use tokio::time::{sleep, timeout};
 
-use crate::core::{Answered, Carrier, Core};
-use crate::figures::Heard;
+use crate::core::{AnswerTimes, Core, Transport};
 use crate::instances::Sharing;
 use crate::list::{ListText, NodeList};
+use crate::metrics::DiscoveryResult;
 
 /// How long a watch is held where nothing changes, as a part of the time in which the settings want the list
 /// asked for. Guards against a discovery that goes silent: only the end of a wait shows that.
@@ -49,7 +49,7 @@
 /// Follows the list whenever the module asks for it, for as long as that goes well, and from its first word on
 /// wherever discovery has moved to. `held` is the generation of the list that is known already. Where lists pass between instances
 /// (`sharing`), only while it is this one's turn, and what comes is theirs before it is taken in.
-pub async fn follow<C: Carrier>(
+pub async fn follow<C: Transport>(
     core: Rc<Core<C>>,
     mut place: watch::Receiver<Place>,
     mut held: Option<u64>,
@@ -62,7 +62,7 @@
     loop {
         if !moved && !std::mem::take(&mut pushed) {
             tokio::select! {
-                () = core.asked_to_follow() => {}
+                () = core.list_requested() => {}
                 Ok(()) = place.changed() => moved = true,
             }
         }
@@ -92,7 +92,7 @@
                 if let Some(sharing) = &sharing {
                     sharing.failed(how == ListScope::Torn);
                 }
-                core.list_broken(how);
+                core.list_unavailable(how);
             }
         }
     }
@@ -122,12 +122,12 @@
     }
 
     /// The same for the figures.
-    fn heard(&self) -> Heard {
+    fn heard(&self) -> DiscoveryResult {
         match self.how {
-            ListScope::Broken => Heard::Refused,
-            ListScope::Busy => Heard::TurnedAway,
-            ListScope::Torn => Heard::BrokeOff,
-            _ => Heard::Silent,
+            ListScope::Broken => DiscoveryResult::ConnectFailed,
+            ListScope::Busy => DiscoveryResult::ErrorStatus,
+            ListScope::Torn => DiscoveryResult::Truncated,
+            _ => DiscoveryResult::TimedOut,
         }
     }
 
@@ -149,7 +149,7 @@
 /// only if it is renewed at once; but no more than one at a time. Where a list is held, what it lacks is asked for and
 /// no more, first by a call that does not wait: its answer is the smallest that confirms the list. Guards against a fleet that starts, or
 /// whose discovery has moved, having the whole list written to every relay first. What counts otherwise tells a lower generation.
-async fn session<C: Carrier>(
+async fn session<C: Transport>(
     core: &Rc<Core<C>>,
     place: &Place,
     held: &mut Option<u64>,
@@ -165,20 +165,22 @@
         let longest = core.rules().must_ask_in() / if shared.is_some() { SHARED_PART } else { WAIT_PART };
         let longest = longest.min(LONGEST_WAIT);
         let wait = if goes_on || shared.is_some() { longest } else { FIRST_WAIT };
-        let patience = if goes_on { wait + PATIENCE } else { wait + core.list_patience(index.is_some()) };
+        let patience = if goes_on { wait + PATIENCE } else { wait + core.list_call_timeout(index.is_some()) };
         tracing::debug!(held = ?index, ?wait, "discovery is asked");
         let begun = Instant::now();
         let answer = fetch(core, place, index.map(|index| (index, wait)), patience).await;
         let waited = begun.elapsed();
         if !goes_on {
-            core.figures()
-                .discovery_called(answer.as_ref().map_or_else(Fault::heard, |_| Heard::Answered), waited);
+            core.metrics().discovery_call_ended(
+                answer.as_ref().map_or_else(Fault::heard, |_| DiscoveryResult::Answered),
+                waited,
+            );
         }
         let (list, first_byte) = match answer {
             Ok(answer) => answer,
             Err(fault) => return Fault { waited, ..fault },
         };
-        let answered = Answered { begun, first: first_byte };
+        let answered = AnswerTimes { begun, first_byte };
         *doubts = 0;
         goes_on = index.is_some();
         let (generation, changes, whole) = (list.generation, list.len(), list.reset);
@@ -188,7 +190,7 @@
             sharing.answered(begun, &list);
             if std::mem::take(&mut first) {
                 // The module hears that the list can be had; what is in it comes by way of the others' one.
-                take(core, NodeList::made(generation, false, Vec::new()), answered);
+                take(core, NodeList::new(generation, false, Vec::new()), answered);
             }
             continue;
         }
@@ -209,7 +211,7 @@
         }
         // The first is taken in even if nothing changed: the module hears that the list can be had.
         if std::mem::take(&mut first) || whole || changes > 0 {
-            core.lists_taken().await;
+            core.lists_applied().await;
             if lower {
                 take_unconfirmed(core, list);
             } else {
@@ -225,31 +227,31 @@
 }
 
 /// Takes a list in; from then on it is confirmed.
-fn take<C: Carrier>(core: &Rc<Core<C>>, list: NodeList, answered: Answered) {
+fn take<C: Transport>(core: &Rc<Core<C>>, list: NodeList, answered: AnswerTimes) {
     let core = core.clone();
     actix_rt::spawn(async move {
-        core.take_list(&list).await;
+        core.apply_list(&list).await;
         core.list_confirmed(answered);
     });
 }
 
 /// Takes in changes that do not lead to the whole list.
-fn take_unconfirmed<C: Carrier>(core: &Rc<Core<C>>, list: NodeList) {
+fn take_unconfirmed<C: Transport>(core: &Rc<Core<C>>, list: NodeList) {
     let core = core.clone();
-    actix_rt::spawn(async move { core.take_list(&list).await });
+    actix_rt::spawn(async move { core.apply_list(&list).await });
 }
 
 /// Nothing has changed: the list is confirmed once what came before is taken in.
-fn confirm<C: Carrier>(core: &Rc<Core<C>>, answered: Answered) {
+fn confirm<C: Transport>(core: &Rc<Core<C>>, answered: AnswerTimes) {
     let core = core.clone();
     actix_rt::spawn(async move {
-        core.lists_taken().await;
+        core.lists_applied().await;
         core.list_confirmed(answered);
     });
 }
 
 /// One call: for what changed since an index, waiting so long for it, or for the whole list. Gives the list, and when its first byte came.
-async fn fetch<C: Carrier>(
+async fn fetch<C: Transport>(
     core: &Rc<Core<C>>,
     place: &Place,
     watch: Option<(u64, Duration)>,
@@ -270,21 +272,21 @@
             return Err(Fault::new(ListScope::Busy, text));
         }
         let first = Instant::now();
-        core.list_answer_begins(first);
+        core.list_answer_started(first);
         let mut text = ListText::default();
         while let Some(part) = response.next().await {
             let part = part.map_err(Fault::torn)?;
-            if !text.add(&part, place.list_limit).map_err(Fault::torn)? {
+            if !text.append(&part, place.list_limit).map_err(Fault::torn)? {
                 let limit = place.list_limit;
                 let what = format!("the list is longer than idle.list_limit_mb allows ({limit} bytes)");
                 return Err(Fault::torn(what));
             }
         }
-        if !text.is_long() {
-            return Ok((NodeList::read(text).map_err(Fault::torn)?, first));
+        if !text.is_mapped() {
+            return Ok((NodeList::parse(text).map_err(Fault::torn)?, first));
         }
         // On another thread, so that jobs go on meanwhile.
-        let read = spawn_blocking(move || NodeList::read(text)).await;
+        let read = spawn_blocking(move || NodeList::parse(text)).await;
         Ok((read.map_err(Fault::torn)?.map_err(Fault::torn)?, first))
     };
     timeout(patience, call).await.unwrap_or_else(|_| Err(Fault::new(ListScope::Silent, "no answer")))
--- a/relay/src/handover/mod.rs
+++ b/relay/src/handover/mod.rs
@@ -20,7 +20,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-use crate::core::{Carrier, Core, Successor};
+use crate::core::{Core, Successor, Transport};
 use crate::estate::{Estate, Home};
 use crate::job::{Answer, Job};
 use crate::journal::Key;
@@ -135,7 +135,7 @@
 impl Legacy {
     /// Hears what becomes of claims that are out at the process before, and takes jobs from submitters who are still
     /// connected there, until it ends. Claims of which nothing was told by then may have run.
-    pub async fn follow<C: Carrier>(
+    pub async fn follow<C: Transport>(
         self,
         core: Rc<Core<C>>,
         homes: Vec<(Key, oneshot::Sender<Home>)>,
@@ -262,7 +262,7 @@
     }
 
     /// The process is told to end. True if the relay is its successor's from now on.
-    pub fn terminate<C: Carrier>(&self, core: &Core<C>, drained: bool) -> bool {
+    pub fn terminate<C: Transport>(&self, core: &Core<C>, drained: bool) -> bool {
         let heir = self.heir.borrow().clone();
         let (Does::HandOver, Some(heir)) = (self.turn(Happens::Terminate), heir) else { return false };
         let mut estate = core.hand_over(heir.clone());
@@ -291,7 +291,7 @@
         })
     }
 
-    fn home(&self, home: Home) {
+    fn claim_ended(&self, home: Home) {
         // Should the successor be gone, the journal says that the claim may have run.
         drop(self.say.send(Frame::Home(home)));
     }
--- a/relay/src/hook.rs
+++ b/relay/src/hook.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::config::HookTable;
-use crate::job::{Job, Outcome, told_wait};
+use crate::job::{Job, Outcome, cap_wait};
 
 /// What a script says of a job.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -129,7 +129,7 @@
     let millis = |key: &str, value: &Dynamic| {
         let value = value.as_int().ok().and_then(|ms| u64::try_from(ms).ok());
         value
-            .map(|ms| told_wait(Duration::from_millis(ms)))
+            .map(|ms| cap_wait(Duration::from_millis(ms)))
             .ok_or(format!("{key} must be a whole number of milliseconds"))
     };
     for (key, value) in &map {
--- a/relay/src/import/tests.rs
+++ b/relay/src/import/tests.rs
@@ -35,7 +35,7 @@
     let paths: Vec<_> =
         push.locations.iter().map(|l| (l.path.as_str(), l.target.as_str(), l.exact)).collect();
     assert_eq!(paths, [("/push/", "/p/", false), ("/one", "/one", true)]);
-    let nodes = push.gateways.part(0);
+    let nodes = push.gateways.chunk(0);
     let nodes: Vec<_> = nodes.iter().map(|n| (&*n.host_port, n.lifecycle)).collect();
     use crate::list::Lifecycle::*;
     assert_eq!(
--- a/relay/src/instances/lists.rs
+++ b/relay/src/instances/lists.rs
@@ -14,7 +14,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{Instances, link};
-use crate::core::{Carrier, Core};
+use crate::core::{Core, Transport};
 use crate::list::{NodeEntry, NodeList};
 
 /// Words that wait on a link: one whose far side does not take them is given up.
@@ -223,7 +223,7 @@
     /// It answered a call that began at a time.
     pub fn answered(&self, began: Instant, list: &NodeList) {
         let began = began.saturating_duration_since(self.shared.begun);
-        let (generation, whole, entries) = (list.generation, list.reset, list.texts());
+        let (generation, whole, entries) = (list.generation, list.reset, list.entry_texts());
         self.shared.handle(&self.instances, Heard::Answered { began, generation, whole, entries });
     }
 
@@ -234,7 +234,7 @@
 }
 
 /// Takes in what is held, whenever that is another list; for want of any, what was known before the start.
-pub async fn take<C: Carrier>(core: Rc<Core<C>>, sharing: Sharing, known: NodeList) {
+pub async fn take<C: Transport>(core: Rc<Core<C>>, sharing: Sharing, known: NodeList) {
     let shared = sharing.shared;
     let mut taken = None;
     let mut known = (!known.is_empty()).then_some(known);
@@ -247,16 +247,16 @@
                 let known = known.take().unwrap_or_default();
                 let (generation, nodes) = (known.generation, known.len());
                 tracing::info!(generation, nodes, "the list that was known before the start is used");
-                core.take_list(&known).await;
+                core.apply_list(&known).await;
                 continue;
             }
         }
         let told = shared.lists.borrow().as_ref().and_then(|lists| Some((lists.held()?, lists.since(taken))));
         let Some((held, difference)) = told else { continue };
         let read = |(name, text): (String, Option<String>)| match text {
-            None => Some(NodeEntry::gone(name)),
+            None => Some(NodeEntry::deleted(name)),
             Some(text) => {
-                let read = NodeEntry::read(&text);
+                let read = NodeEntry::parse(&text);
                 read.map_err(|fault| tracing::warn!(name, fault, "an entry of the list; left out")).ok()
             }
         };
@@ -269,6 +269,6 @@
             tracing::info!(generation, changes, whole, %origin, hops = held.hops, "list of execute nodes changed");
         }
         taken = Some(difference.edition);
-        core.take_list(&NodeList::made(generation, whole, entries)).await;
+        core.apply_list(&NodeList::new(generation, whole, entries)).await;
     }
 }
--- a/relay/src/instances/shares.rs
+++ b/relay/src/instances/shares.rs
@@ -5,13 +5,13 @@
 use tokio::time::sleep_until;
 
 use super::Instances;
-use crate::core::{Carrier, Core};
+use crate::core::{Core, Transport};
 
 /// When nobody is counted who is not there.
 const FAR_OFF: Duration = Duration::from_secs(3600);
 
 /// Divides what a front sends among those that are there, as they come and go. At first as many are counted as the settings tell.
-pub async fn divide<C: Carrier>(core: Rc<Core<C>>, instances: Rc<Instances>) {
+pub async fn divide<C: Transport>(core: Rc<Core<C>>, instances: Rc<Instances>) {
     let mut members = instances.members.subscribe();
     let told = core.rules().settings.couriers.unwrap_or(1);
     let mut count = Count::new(told, instances.begun.elapsed());
--- a/relay/src/job.rs
+++ b/relay/src/job.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
     /// From now on the relay owes the job its end.
-    Taken,
+    Accepted,
     /// Handing it in again is harmless, after that time if one is told.
     Refused {
         after: Option<Duration>,
@@ -135,12 +135,12 @@
 const LONGEST_WAIT: Duration = Duration::from_secs(24 * 3600);
 
 /// A told wait, as it is kept to. Guards against figures past the end of the clock.
-pub fn told_wait(wait: Duration) -> Duration {
+pub fn cap_wait(wait: Duration) -> Duration {
     wait.min(LONGEST_WAIT)
 }
 
 /// A wait told in seconds, with or without decimals.
-pub fn told_seconds(text: &str) -> Option<Duration> {
+pub fn parse_wait_seconds(text: &str) -> Option<Duration> {
     let seconds: f64 = text.trim().parse().ok().filter(|s: &f64| *s > 0.0)?;
-    Some(told_wait(Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_WAIT)))
+    Some(cap_wait(Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_WAIT)))
 }
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -1,7 +1,7 @@
 //! A relay that hands messages on to partner systems; `slatethread` decides, this program acts.
 //!
 //! The rooms, each importing only those before it: plain values ([`clock`], [`job`]), what is read and written ([`config`],
-//! [`list`], [`tls`], [`journal`], [`notice`], [`import`], [`figures`], [`disabled`]), plug-ins ([`hook`]), what waits on disk ([`backlog`]), jobs' lives ([`core`]), what fronts
+//! [`list`], [`tls`], [`journal`], [`notice`], [`import`], [`metrics`], [`disabled`]), plug-ins ([`hook`]), what waits on disk ([`backlog`]), jobs' lives ([`core`]), what fronts
 //! share ([`availability`], [`connection_limiter`], [`discovery`]), the fronts ([`platform`], [`push`]), the second address ([`admin`]; `admin_client` calls it), and the program that
 //! wires them ([`run`]).
 #![forbid(unsafe_code)]
@@ -17,7 +17,6 @@
 pub mod disabled;
 pub mod discovery;
 pub mod estate;
-pub mod figures;
 pub mod handover;
 pub mod hook;
 pub mod idle_pool;
@@ -30,6 +29,7 @@
 pub mod lease_record;
 pub mod list;
 mod listener;
+pub mod metrics;
 pub mod notice;
 pub mod platform;
 pub mod push;
--- a/relay/src/list.rs
+++ b/relay/src/list.rs
@@ -69,7 +69,7 @@
 
 impl ListText {
     /// Adds what came, up to `limit` bytes in all; false if it does not fit.
-    pub fn add(&mut self, bytes: &[u8], limit: usize) -> io::Result<bool> {
+    pub fn append(&mut self, bytes: &[u8], limit: usize) -> io::Result<bool> {
         let length = self.length + bytes.len();
         if length > limit {
             return Ok(false);
@@ -88,7 +88,7 @@
         Ok(true)
     }
 
-    pub fn is_long(&self) -> bool {
+    pub fn is_mapped(&self) -> bool {
         self.long.is_some()
     }
 
@@ -119,24 +119,24 @@
 
 impl Default for NodeList {
     fn default() -> Self {
-        NodeList::of(Vec::new())
+        NodeList::from_entries(Vec::new())
     }
 }
 
 impl NodeList {
     /// A whole list that was not read.
-    pub fn of(entries: Vec<NodeEntry<'static>>) -> Self {
+    pub fn from_entries(entries: Vec<NodeEntry<'static>>) -> Self {
         NodeList { generation: 0, reset: true, entries: Entries::Made(entries) }
     }
 
     /// A list, or changes, that were read one by one.
-    pub fn made(generation: u64, reset: bool, entries: Vec<NodeEntry<'static>>) -> Self {
+    pub fn new(generation: u64, reset: bool, entries: Vec<NodeEntry<'static>>) -> Self {
         NodeList { generation, reset, entries: Entries::Made(entries) }
     }
 
     /// Each entry by its name and as a text, none for one that is gone: the same for all who were told the same.
-    pub fn texts(&self) -> Vec<(String, Option<String>)> {
-        let entries = (0..self.parts()).flat_map(|part| self.part(part));
+    pub fn entry_texts(&self) -> Vec<(String, Option<String>)> {
+        let entries = (0..self.chunk_count()).flat_map(|part| self.chunk(part));
         let text = |entry: NodeEntry| {
             let name = entry.instance_id.clone().into_owned();
             let listed = entry.lifecycle != Lifecycle::Deleted;
@@ -146,7 +146,7 @@
     }
 
     /// Checks a text whole; a fault names its path.
-    pub fn read(text: ListText) -> Result<NodeList, String> {
+    pub fn parse(text: ListText) -> Result<NodeList, String> {
         let told: Told = decode(text.bytes())?;
         if let Some(fault) = told.instances.fault {
             return Err(fault);
@@ -170,12 +170,12 @@
     }
 
     /// How many parts there are.
-    pub fn parts(&self) -> usize {
+    pub fn chunk_count(&self) -> usize {
         self.len().div_ceil(PART)
     }
 
     /// The entries of a part.
-    pub fn part(&self, number: usize) -> Vec<NodeEntry<'_>> {
+    pub fn chunk(&self, number: usize) -> Vec<NodeEntry<'_>> {
         match &self.entries {
             Entries::Made(entries) => entries.iter().skip(number * PART).take(PART).cloned().collect(),
             Entries::Read { text, parts, .. } => {
@@ -249,7 +249,7 @@
 
 impl NodeEntry<'static> {
     /// An entry from its text.
-    pub fn read(text: &str) -> Result<Self, String> {
+    pub fn parse(text: &str) -> Result<Self, String> {
         let told: NodeEntry = decode(text.as_bytes())?;
         let own = |text: Cow<str>| Cow::Owned(text.into_owned());
         let NodeEntry { cell, lifecycle, weight, started_at_ms, .. } = told;
@@ -259,7 +259,7 @@
     }
 
     /// One that is gone.
-    pub fn gone(name: String) -> Self {
+    pub fn deleted(name: String) -> Self {
         let none = Cow::Borrowed("");
         let (host_port, zone, machine_type) = (none.clone(), none.clone(), none);
         let lifecycle = Lifecycle::Deleted;
--- a/relay/src/list/tests.rs
+++ b/relay/src/list/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn read(text: &str) -> Result<NodeList, String> {
-    NodeList::read(text.as_bytes().to_vec().into())
+    NodeList::parse(text.as_bytes().to_vec().into())
 }
 
 #[test]
@@ -14,13 +14,13 @@
         )
     };
     let plain = read(&text("", "1.5")).expect("sound");
-    let texts = plain.texts();
-    assert_eq!(texts, read(&text("\n  ", "1.50")).expect("sound").texts());
-    let passed = NodeEntry::read(texts[0].1.as_deref().expect("listed")).expect("its own form");
-    assert_eq!(passed, plain.part(0)[0]);
+    let texts = plain.entry_texts();
+    assert_eq!(texts, read(&text("\n  ", "1.50")).expect("sound").entry_texts());
+    let passed = NodeEntry::parse(texts[0].1.as_deref().expect("listed")).expect("its own form");
+    assert_eq!(passed, plain.chunk(0)[0]);
     assert_eq!(texts[1], ("g".to_owned(), None));
-    assert_eq!(NodeEntry::gone("g".into()).lifecycle, Lifecycle::Deleted);
-    assert!(NodeEntry::read("{}").is_err());
+    assert_eq!(NodeEntry::deleted("g".into()).lifecycle, Lifecycle::Deleted);
+    assert!(NodeEntry::parse("{}").is_err());
 }
 
 fn text(count: usize) -> String {
@@ -53,7 +53,7 @@
     for count in [0, 1, PART - 1, PART, PART + 1, 2 * PART + 5] {
         let list = read(&text(count)).expect("sound");
         assert_eq!((list.len(), list.generation, list.reset), (count, 2, false));
-        let all: Vec<_> = (0..list.parts()).flat_map(|part| list.part(part)).collect();
+        let all: Vec<_> = (0..list.chunk_count()).flat_map(|part| list.chunk(part)).collect();
         assert_eq!(all.iter().map(|e| e.cell).collect::<Vec<_>>(), (0..count as u64).collect::<Vec<_>>());
         assert!(all.iter().all(|e| e.instance_id == format!("ab{}", e.cell) && e.started_at_ms == 0));
         assert!(all.iter().all(|e| e.lifecycle == Lifecycle::Other && matches!(e.zone, Cow::Borrowed("z"))));
@@ -65,8 +65,8 @@
     let all = text(3000);
     let mut long = ListText::default();
     for part in all.as_bytes().chunks(5000) {
-        assert!(long.add(part, all.len()).expect("mapped"));
+        assert!(long.append(part, all.len()).expect("mapped"));
     }
-    assert!(long.is_long() && !long.add(b" ", all.len()).expect("mapped"));
-    assert_eq!(NodeList::read(long).expect("sound").part(2).len(), PART);
+    assert!(long.is_mapped() && !long.append(b" ", all.len()).expect("mapped"));
+    assert_eq!(NodeList::parse(long).expect("sound").chunk(2).len(), PART);
 }
--- a/relay/src/figures.rs
+++ b/relay/src/metrics.rs
@@ -12,64 +12,69 @@
 
 mod backlog;
 
-pub use backlog::{BacklogFigures, BacklogRefusal};
+pub use backlog::{BacklogMetrics, BacklogRefusal};
 
 /// What all names begin with.
 const PREFIX: &str = "edge_balancer";
 
 /// How a message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum MessageResult {
     Delivered,
     /// Refused at the door, or taken on and handed back.
-    TurnedBack,
+    Refused,
     Failed,
 }
 
-impl Ended {
-    const ALL: [Ended; 3] = [Ended::Delivered, Ended::TurnedBack, Ended::Failed];
+impl MessageResult {
+    const ALL: [MessageResult; 3] = [MessageResult::Delivered, MessageResult::Refused, MessageResult::Failed];
 
     fn label(self) -> &'static str {
         match self {
-            Ended::Delivered => "passed",
-            Ended::TurnedBack => "dropped",
-            Ended::Failed => "bad_gateway",
+            MessageResult::Delivered => "passed",
+            MessageResult::Refused => "dropped",
+            MessageResult::Failed => "bad_gateway",
         }
     }
 }
 
 /// What was heard of a call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum DiscoveryResult {
     Answered,
     /// Another status than 200.
-    TurnedAway,
+    ErrorStatus,
     /// No connection was had.
-    Refused,
+    ConnectFailed,
     /// The answer broke off.
-    BrokeOff,
+    Truncated,
     /// Nothing in time.
-    Silent,
+    TimedOut,
 }
 
-impl Heard {
-    const ALL: [Heard; 5] =
-        [Heard::Answered, Heard::TurnedAway, Heard::Refused, Heard::BrokeOff, Heard::Silent];
+impl DiscoveryResult {
+    const ALL: [DiscoveryResult; 5] = [
+        DiscoveryResult::Answered,
+        DiscoveryResult::ErrorStatus,
+        DiscoveryResult::ConnectFailed,
+        DiscoveryResult::Truncated,
+        DiscoveryResult::TimedOut,
+    ];
 
     fn label(self) -> &'static str {
         match self {
-            Heard::Answered => "answered",
-            Heard::TurnedAway => "turned_away",
-            Heard::Refused => "refused",
-            Heard::BrokeOff => "broke_off",
-            Heard::Silent => "silent",
+            DiscoveryResult::Answered => "answered",
+            DiscoveryResult::ErrorStatus => "turned_away",
+            DiscoveryResult::ConnectFailed => "refused",
+            DiscoveryResult::Truncated => "broke_off",
+            DiscoveryResult::TimedOut => "silent",
         }
     }
 }
 
 /// What a front has just now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Census {
+pub struct GaugeValues {
     /// Messages taken on and not ended.
     pub in_progress: usize,
     /// Endpoints in the list.
@@ -82,7 +87,7 @@
     pub unwritten_records: u64,
 }
 
-pub struct Figures {
+pub struct Metrics {
     registry: Registry,
     /// By class. Guards against a series for whatever text somebody calls a class.
     classes: HashMap<String, [IntCounter; 3]>,
@@ -101,7 +106,7 @@
     load_errors: IntCounter,
 }
 
-impl Figures {
+impl Metrics {
     /// All of them, at zero, for messages of these classes.
     pub fn new<'a>(classes: impl IntoIterator<Item = &'a String>) -> Rc<Self> {
         let registry = Registry::new();
@@ -121,8 +126,9 @@
             "Time for which these calls were out, by what was heard of them.",
         );
         let discovery_seconds = put(&registry, CounterVec::new(discovery_seconds, &["heard"]));
-        let series = |class: &str| Ended::ALL.map(|ended| handled.with_label_values(&[class, ended.label()]));
-        Rc::new(Figures {
+        let series =
+            |class: &str| MessageResult::ALL.map(|ended| handled.with_label_values(&[class, ended.label()]));
+        Rc::new(Metrics {
             classes: classes.into_iter().map(|class| (class.clone(), series(class))).collect(),
             tries: counter("upstream_tries_total", "Messages written whole to endpoints."),
             in_progress: gauge("in_progress", "Messages taken on and not ended."),
@@ -131,8 +137,10 @@
                 "skipped_endpoints",
                 "Listed endpoints that are avoided now, by hand or by choice.",
             ),
-            discovery_calls: Heard::ALL.map(|heard| discovery_calls.with_label_values(&[heard.label()])),
-            discovery_seconds: Heard::ALL.map(|heard| discovery_seconds.with_label_values(&[heard.label()])),
+            discovery_calls: DiscoveryResult::ALL
+                .map(|heard| discovery_calls.with_label_values(&[heard.label()])),
+            discovery_seconds: DiscoveryResult::ALL
+                .map(|heard| discovery_seconds.with_label_values(&[heard.label()])),
             list_age: put(
                 &registry,
                 Gauge::with_opts(opts(
@@ -162,7 +170,7 @@
     }
 
     /// A message of a class has ended.
-    pub fn ended(&self, class: &str, ended: Ended) {
+    pub fn ended(&self, class: &str, ended: MessageResult) {
         if let Some(series) = self.classes.get(class) {
             series[ended as usize].inc();
         }
@@ -174,7 +182,7 @@
     }
 
     /// A call to discovery that was no watch's renewal is over.
-    pub fn discovery_called(&self, heard: Heard, took: Duration) {
+    pub fn discovery_call_ended(&self, heard: DiscoveryResult, took: Duration) {
         self.discovery_calls[heard as usize].inc();
         self.discovery_seconds[heard as usize].inc_by(took.as_secs_f64());
     }
@@ -190,12 +198,12 @@
     }
 
     /// A configuration was read.
-    pub fn loaded(&self, taken_up: bool) {
+    pub fn config_loaded(&self, taken_up: bool) {
         if taken_up { self.loads.inc() } else { self.load_errors.inc() }
     }
 
     /// All figures as they are read.
-    pub fn text(&self, now: Census) -> String {
+    pub fn render(&self, now: GaugeValues) -> String {
         let whole = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         self.in_progress.set(whole(now.in_progress));
         self.known.set(whole(now.known));
@@ -219,9 +227,9 @@
     made
 }
 
-impl std::iter::Sum for Census {
-    fn sum<I: Iterator<Item = Census>>(parts: I) -> Census {
-        parts.fold(Census::default(), |sum, part| Census {
+impl std::iter::Sum for GaugeValues {
+    fn sum<I: Iterator<Item = GaugeValues>>(parts: I) -> GaugeValues {
+        parts.fold(GaugeValues::default(), |sum, part| GaugeValues {
             in_progress: sum.in_progress + part.in_progress,
             known: sum.known + part.known,
             skipped: sum.skipped + part.skipped,
--- a/relay/src/figures/backlog.rs
+++ b/relay/src/metrics/backlog.rs
@@ -2,7 +2,7 @@
 use prometheus::{Gauge, IntCounter, IntCounterVec, IntGauge, Opts};
 use std::time::Duration;
 
-use super::{Figures, PREFIX, put};
+use super::{Metrics, PREFIX, put};
 
 /// Why the backlog did not take a message, as the label of a series.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 }
 
 /// Counters and gauges of a backlog.
-pub struct BacklogFigures {
+pub struct BacklogMetrics {
     /// Messages that went to disk on arrival.
     pub stored: IntCounter,
     /// Messages that came back into memory.
@@ -43,16 +43,16 @@
     slowest: Gauge,
 }
 
-impl BacklogFigures {
+impl BacklogMetrics {
     /// Registers the series, at zero. To be called once for a process.
-    pub fn register(figures: &Figures) -> Self {
+    pub fn register(figures: &Metrics) -> Self {
         let opts = |name, help| Opts::new(name, help).namespace(PREFIX).subsystem("backlog");
         let counter = |name, help| put(&figures.registry, IntCounter::with_opts(opts(name, help)));
         let gauge = |name, help| put(&figures.registry, IntGauge::with_opts(opts(name, help)));
         let refused = opts("refused_total", "Messages that the backlog did not take, by reason.");
         let refused = put(&figures.registry, IntCounterVec::new(refused, &["reason"]));
         let slowest = opts("slowest_operation_seconds", "The slowest operation of the store so far.");
-        BacklogFigures {
+        BacklogMetrics {
             stored: counter("stored_total", "Messages that went to disk on arrival."),
             fetched: counter("fetched_total", "Messages that came from disk into memory."),
             put_back: counter("put_back_total", "Messages in memory that were put back on disk."),
--- a/relay/src/figures/tests.rs
+++ b/relay/src/metrics/tests.rs
@@ -2,17 +2,17 @@
 
 #[test]
 fn all_names_are_there_from_the_start_and_no_class_is_made_up() {
-    let figures = Figures::new(&["order".to_owned(), "notice".to_owned()]);
-    figures.ended("order", Ended::Delivered);
-    figures.ended("nobody's", Ended::Failed);
+    let figures = Metrics::new(&["order".to_owned(), "notice".to_owned()]);
+    figures.ended("order", MessageResult::Delivered);
+    figures.ended("nobody's", MessageResult::Failed);
     figures.tries().inc();
-    figures.loaded(true);
-    figures.loaded(false);
-    figures.discovery_called(Heard::TurnedAway, Duration::from_millis(2500));
+    figures.config_loaded(true);
+    figures.config_loaded(false);
+    figures.discovery_call_ended(DiscoveryResult::ErrorStatus, Duration::from_millis(2500));
     figures.list_lapsed();
     figures.round_was_late(Duration::from_millis(250));
     figures.round_was_late(Duration::from_millis(50));
-    let text = figures.text(Census {
+    let text = figures.render(GaugeValues {
         in_progress: 3,
         known: 9,
         skipped: 2,
--- a/relay/src/notice.rs
+++ b/relay/src/notice.rs
@@ -15,7 +15,7 @@
 }
 
 /// Encodes a notice, once.
-pub fn line(notice: &Notice) -> Vec<u8> {
+pub fn encode(notice: &Notice) -> Vec<u8> {
     let (state, after, status) = match notice.end {
         NoticeEnd::Failed { status } => ("failed", None, status),
         NoticeEnd::Returned { after } => ("returned", after, None),
--- a/relay/src/platform/batch.rs
+++ b/relay/src/platform/batch.rs
@@ -1,5 +1,5 @@
 //! The form of a call with several messages, and of its answer. Knows bytes only.
-use crate::core::Part;
+use crate::core::BundledMessage;
 use crate::job::Outcome;
 use bytes::{BufMut, Bytes, BytesMut};
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
 const LONGEST: usize = 64 * 1024;
 
 /// The body, and how many of the messages are in it: those that fit, from the first on.
-pub fn encode(parts: &[Part]) -> (Bytes, usize) {
+pub fn encode(parts: &[BundledMessage]) -> (Bytes, usize) {
     let mut body = BytesMut::new();
     for (count, part) in parts.iter().enumerate() {
         let key = part.fields.iter().find(|(name, _)| name == KEY).map_or(&b"-"[..], |(_, key)| key.as_ref());
@@ -30,7 +30,7 @@
 
 /// What became of each message, of an answer that said 200. One that does not name each of them, in a word that is one,
 /// was cut off, and counts for nothing: whatever it says, a message is delivered only by a whole answer.
-pub fn decode(answer: &[u8], parts: &[Part], wait: Option<Duration>) -> Vec<Outcome> {
+pub fn decode(answer: &[u8], parts: &[BundledMessage], wait: Option<Duration>) -> Vec<Outcome> {
     let text = String::from_utf8_lossy(answer);
     let mut ends = HashMap::new();
     for (id, end) in text.lines().filter_map(|line| line.trim_end().split_once(' ')) {
@@ -38,7 +38,7 @@
         let told = ends.entry(id).or_insert(end);
         *told = if *told == end { end } else { "error" };
     }
-    let of = |part: &Part| {
+    let of = |part: &BundledMessage| {
         Some(match *ends.get(part.id.as_str())? {
             "ok" => Outcome::Delivered,
             "error" => Outcome::Error,
--- a/relay/src/platform/batch/tests.rs
+++ b/relay/src/platform/batch/tests.rs
@@ -1,10 +1,15 @@
 use super::*;
-use crate::core::tests::ticket;
+use crate::core::tests::permit;
 
-fn part(id: &str, key: Option<&str>, size: usize) -> Part {
+fn part(id: &str, key: Option<&str>, size: usize) -> BundledMessage {
     let fields = key.map(|key| (KEY.to_owned(), Bytes::copy_from_slice(key.as_bytes())));
-    let ticket = ticket(true, Duration::ZERO, None);
-    Part { id: id.into(), fields: fields.into_iter().collect(), body: vec![b'x'; size].into(), ticket }
+    let permit = permit(true, Duration::ZERO, None);
+    BundledMessage {
+        id: id.into(),
+        fields: fields.into_iter().collect(),
+        body: vec![b'x'; size].into(),
+        permit,
+    }
 }
 
 #[test]
--- a/relay/src/platform/carrier.rs
+++ b/relay/src/platform/carrier.rs
@@ -23,9 +23,9 @@
 
 use super::line::{Body, CLAIM, Lines, Rack, Trace};
 use crate::config::Rules;
-use crate::core::{Carrier, Core, Node, Part, Ticket};
+use crate::core::{BundledMessage, Core, Node, SendPermit, Transport};
 use crate::discovery::Place;
-use crate::job::{Job, Outcome, told_seconds};
+use crate::job::{Job, Outcome, parse_wait_seconds};
 use crate::journal::SettledEnd;
 
 /// How long a connection may be used; a machine that serves for a year must not tire of them.
@@ -191,7 +191,7 @@
             };
             let header = |name: &str| response.headers().get(name).and_then(|v| v.to_str().ok());
             let outcome = outcome(response.status(), header);
-            let wait = header("retry-after").and_then(told_seconds);
+            let wait = header("retry-after").and_then(parse_wait_seconds);
             // Told by the head, whatever becomes of the rest: others are not sent while that is waited for.
             let tells = matches!(outcome, Outcome::Full { wait: Some(_) })
                 || several && outcome == Outcome::Delivered;
@@ -322,7 +322,7 @@
 fn outcome<'a>(status: StatusCode, header: impl Fn(&str) -> Option<&'a str>) -> Outcome {
     match status.as_u16() {
         200 => Outcome::Delivered,
-        429 => Outcome::Full { wait: header("retry-after").and_then(told_seconds) },
+        429 => Outcome::Full { wait: header("retry-after").and_then(parse_wait_seconds) },
         503 if header("x-no-slot").is_some_and(|v| v.trim() == "1") => Outcome::NotSent,
         503 => Outcome::Full { wait: None },
         504 => Outcome::NotSent,
@@ -366,13 +366,13 @@
     Errno::from_io_error(error).is_some_and(|errno| LOCAL.contains(&errno))
 }
 
-impl Carrier for ToNodes {
-    async fn claim(&self, job: &Job, node: &Node, limit: Duration, ticket: &Rc<Ticket>) -> Outcome {
+impl Transport for ToNodes {
+    async fn claim(&self, job: &Job, node: &Node, limit: Duration, permit: &Rc<SendPermit>) -> Outcome {
         // Guards against a way out for a node that is gone by now, which nobody would take away again.
-        if !ticket.may_begin() {
+        if !permit.may_begin() {
             return Outcome::NotSent;
         }
-        let trace = Trace::new(vec![ticket.clone()]);
+        let trace = Trace::new(vec![permit.clone()]);
         let mut headers = vec![("x-request-id".to_owned(), Bytes::from(job.id.clone())), waits(limit)];
         headers.extend(job.fields.iter().cloned());
         let call = Call { path: "/v1/messages", headers, body: job.body.clone() };
@@ -396,12 +396,12 @@
         }
     }
 
-    async fn claim_together(&self, parts: &[Part], node: &Node, limit: Duration) -> Vec<Outcome> {
+    async fn claim_bundle(&self, parts: &[BundledMessage], node: &Node, limit: Duration) -> Vec<Outcome> {
         let (body, count) = super::batch::encode(parts);
         let (within, beyond) = parts.split_at(count);
-        let tickets: Vec<_> = within.iter().map(|part| part.ticket.clone()).collect();
-        let mut outcomes = if tickets.iter().all(|ticket| ticket.may_begin()) && count > 0 {
-            let trace = Trace::new(tickets);
+        let permits: Vec<_> = within.iter().map(|part| part.permit.clone()).collect();
+        let mut outcomes = if permits.iter().all(|permit| permit.may_begin()) && count > 0 {
+            let trace = Trace::new(permits);
             let call = Call { path: SEVERAL, headers: vec![waits(limit)], body };
             let answered = CLAIM.scope(trace.clone(), self.call(node, call, trace.clone())).await;
             match answered {
@@ -431,7 +431,7 @@
     async fn notify(&self, end: &SettledEnd) -> Result<(), String> {
         let notice = end.notice();
         let (told, mut hear) = oneshot::channel();
-        self.outbox.borrow_mut().push_back((crate::notice::line(notice), told));
+        self.outbox.borrow_mut().push_back((crate::notice::encode(notice), told));
         // Guards against as many connections as notices, after a restart above all: a few posts are under way
         // at once, and each takes what waits by then.
         let post = self.posts.acquire().await.map_err(|e| e.to_string())?;
@@ -457,7 +457,7 @@
         }
     }
 
-    fn forget(&self, node: &Node) {
+    fn node_removed(&self, node: &Node) {
         self.exits.borrow_mut().remove(&node.id);
     }
 }
@@ -471,7 +471,7 @@
 
 /// Closes connections that stood idle, now and then.
 pub async fn close_idle(core: Rc<Core<ToNodes>>) {
-    let to_nodes = &core.carrier;
+    let to_nodes = &core.transport;
     loop {
         tokio::time::sleep(IDLE_LOOK).await;
         to_nodes.exits.borrow_mut().retain(|_, exit| {
--- a/relay/src/platform/carrier/tests.rs
+++ b/relay/src/platform/carrier/tests.rs
@@ -1,6 +1,6 @@
 //! An endpoint's close in the moment of a call on a connection that rested: what counts as never run.
 use super::*;
-use crate::core::tests::{node, ticket};
+use crate::core::tests::{node, permit};
 use std::time::SystemTime;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -93,8 +93,8 @@
     }
 
     async fn call(&self, job: &Job) -> Outcome {
-        let ticket = ticket(true, Duration::ZERO, None);
-        self.to_nodes.claim(job, &self.node, Duration::from_secs(20), &ticket).await
+        let permit = permit(true, Duration::ZERO, None);
+        self.to_nodes.claim(job, &self.node, Duration::from_secs(20), &permit).await
     }
 }
 
--- a/relay/src/platform/line.rs
+++ b/relay/src/platform/line.rs
@@ -2,7 +2,7 @@
 //!
 //! awc hides whether a call's bytes were written, takes a 1xx answer for the answer, loses what stands in the
 //! first line of an answer it cannot read, and uses a connection again whatever was on it. So awc gets a
-//! [`Line`] for one call only. It asks the claim's ticket before the first byte, marks it after the last one,
+//! [`Line`] for one call only. It asks the claim's permit before the first byte, marks it after the last one,
 //! and watches the answer; the socket goes back to [`Lines`] only if the answer was all that came on it.
 use actix_rt::net::{ActixStream, Ready, TcpStream};
 use slatethread::{EndpointId, Report};
@@ -21,7 +21,7 @@
 use tokio::sync::Notify;
 
 use super::chunks::Chunks;
-use crate::core::Ticket;
+use crate::core::SendPermit;
 use crate::idle_pool::{IdlePool, Number};
 
 /// A connection rests for so long after an answer. Guards against surplus that the node writes right behind an
@@ -38,16 +38,16 @@
 /// What the socket tells of one claim.
 pub struct Trace {
     /// Of all messages of the call.
-    tickets: Vec<Rc<Ticket>>,
+    permits: Vec<Rc<SendPermit>>,
     socket: RefCell<Option<Rc<Socket>>>,
     refused: Cell<bool>,
     confirmed: Notify,
 }
 
 impl Trace {
-    pub fn new(tickets: Vec<Rc<Ticket>>) -> Rc<Self> {
+    pub fn new(permits: Vec<Rc<SendPermit>>) -> Rc<Self> {
         Rc::new(Trace {
-            tickets,
+            permits,
             socket: RefCell::new(None),
             refused: Cell::new(false),
             confirmed: Notify::new(),
@@ -56,29 +56,29 @@
 
     /// The call may run from here on.
     pub fn is_sent(&self) -> bool {
-        self.tickets.iter().any(|ticket| ticket.is_sent())
+        self.permits.iter().any(|permit| permit.is_sent())
     }
 
     /// Its one message is delivered.
     pub fn is_delivered(&self) -> bool {
-        self.tickets.iter().any(|ticket| ticket.is_delivered())
+        self.permits.iter().any(|permit| permit.is_delivered())
     }
 
     /// The answer tells of the node's limit.
     pub fn tell_report(&self, report: Report) {
-        self.tickets.iter().for_each(|ticket| ticket.tell_report(report));
+        self.permits.iter().for_each(|permit| permit.set_report(report));
     }
 
     /// A wait told by the answer's head.
     pub fn tell_wait(&self, wait: Duration) {
-        self.tickets.iter().for_each(|ticket| ticket.tell_wait(wait));
+        self.permits.iter().for_each(|permit| permit.set_wait(wait));
     }
 
-    /// Whether the call may go out now; its tickets are put down if so.
+    /// Whether the call may go out now; its permits are put down if so.
     fn begin(&self) -> bool {
-        let begins = self.tickets.iter().all(|ticket| ticket.may_begin())
-            && self.tickets.iter().all(|ticket| ticket.begin());
-        if !begins && self.tickets.iter().any(|ticket| ticket.met_local_fault()) {
+        let begins = self.permits.iter().all(|permit| permit.may_begin())
+            && self.permits.iter().all(|permit| permit.begin());
+        if !begins && self.permits.iter().any(|permit| permit.had_local_fault()) {
             self.mark_local_fault();
         }
         begins
@@ -86,14 +86,14 @@
 
     /// A fault of this machine keeps all of them from being sent.
     pub fn mark_local_fault(&self) {
-        self.tickets.iter().for_each(|ticket| ticket.mark_local_fault());
+        self.permits.iter().for_each(|permit| permit.mark_local_fault());
     }
 
     fn may_go_on(&self) -> bool {
-        self.is_sent() || self.tickets.iter().all(|ticket| ticket.may_go_on())
+        self.is_sent() || self.permits.iter().all(|permit| permit.may_continue())
     }
 
-    /// The ticket gave no leave to send.
+    /// The permit gave no leave to send.
     pub fn refused(&self) -> bool {
         self.refused.get()
     }
@@ -322,9 +322,9 @@
             if answer.status == Some(200)
                 && let Ok(trace) = CLAIM.try_with(Rc::clone)
                 // Of several, the whole answer says which.
-                && let [ticket] = &trace.tickets[..]
+                && let [permit] = &trace.permits[..]
             {
-                ticket.mark_delivered();
+                permit.mark_delivered();
                 trace.confirmed.notify_one();
             }
             if ended && answer.prelude.is_empty() {
@@ -353,7 +353,7 @@
         if let (Some(trace), Poll::Ready(Ok(n))) = (trace, &written)
             && *n == buf.len()
         {
-            trace.tickets.iter().for_each(|ticket| ticket.mark_sent());
+            trace.permits.iter().for_each(|permit| permit.mark_sent());
         }
         written
     }
--- a/relay/src/platform/line/tests.rs
+++ b/relay/src/platform/line/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::tests::ticket;
+use crate::core::tests::permit;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket};
 
@@ -43,8 +43,8 @@
         let stream = socket.connect(listener.local_addr().expect("an address")).await.expect("connected");
         let mut other = listener.accept().await.expect("accepted").0;
         let mut line = Line::new(stream, home(), home().rack.place());
-        let ticket = ticket(true, Duration::ZERO, None);
-        let trace = Trace::new(vec![ticket.clone()]);
+        let permit = permit(true, Duration::ZERO, None);
+        let trace = Trace::new(vec![permit.clone()]);
         let text = vec![0; 16 * 1024 * 1024];
         let part = CLAIM.scope(trace.clone(), line.write(&text)).await.expect("a part of it");
         assert!(part < text.len());
@@ -52,7 +52,7 @@
         other.read_exact(&mut room[..part]).await.expect("it came");
         let more = CLAIM.scope(trace.clone(), line.write(&text[part..])).await.expect("room again");
         other.read_exact(&mut room[..more]).await.expect("it came");
-        ticket.tell_wait(Duration::from_secs(9));
+        permit.set_wait(Duration::from_secs(9));
         CLAIM.scope(trace.clone(), line.write(&text[part + more..])).await.expect_err("it waits");
         assert!(trace.refused() && !trace.is_sent(), "it never ran");
     });
@@ -65,7 +65,7 @@
     socket.set_send_buffer_size(4096).expect("a small buffer");
     let stream = socket.connect(listener.local_addr().expect("an address")).await.expect("connected");
     let mut line = Line::new(stream, home(), home().rack.place());
-    let trace = Trace::new(vec![ticket(open, Duration::ZERO, None)]);
+    let trace = Trace::new(vec![permit(open, Duration::ZERO, None)]);
     let written = CLAIM.scope(trace.clone(), line.write(&vec![0; size])).await.unwrap_or(0);
     (trace, written)
 }
@@ -95,7 +95,7 @@
     let address = listener.local_addr().expect("an address");
     let mut line = lines.clone().lease(address).await.expect("connected");
     let mut other = listener.accept().await.expect("accepted").0;
-    let trace = Trace::new(vec![ticket(true, Duration::ZERO, None)]);
+    let trace = Trace::new(vec![permit(true, Duration::ZERO, None)]);
     let text = CLAIM.scope(trace.clone(), async {
         line.write_all(b"call").await.expect("written");
         let mut text = Vec::new();
@@ -155,7 +155,7 @@
             let address = listener.local_addr().expect("an address");
             let mut line = home().lease(address).await.expect("connected");
             let mut other = listener.accept().await.expect("accepted").0;
-            let trace = Trace::new(vec![ticket(true, Duration::ZERO, None)]);
+            let trace = Trace::new(vec![permit(true, Duration::ZERO, None)]);
             let text = CLAIM.scope(trace.clone(), async {
                 line.write_all(b"call").await.expect("written");
                 other.read_exact(&mut [0; 4]).await.expect("it came");
--- a/relay/src/platform/server.rs
+++ b/relay/src/platform/server.rs
@@ -14,7 +14,7 @@
 use crate::availability::Availability;
 use crate::clock;
 use crate::connection_limiter::{self, ConnectionPolicy, ConnectionState, Places, TrackedStream, Yields};
-use crate::core::{Carrier, Core};
+use crate::core::{Core, Transport};
 use crate::job::{Answer, Job};
 
 /// Largest body; the platform sends none larger.
@@ -38,7 +38,7 @@
     availability: Rc<Cell<Availability>>,
 }
 
-impl<C: Carrier> Server<C> {
+impl<C: Transport> Server<C> {
     pub fn new(core: Rc<Core<C>>, availability: Rc<Cell<Availability>>) -> Rc<Self> {
         Rc::new(Server { core, availability })
     }
@@ -60,7 +60,7 @@
     }
 }
 
-impl<C: Carrier> Server<C> {
+impl<C: Transport> Server<C> {
     async fn serve(&self, mut request: Request, places: &Places) -> Response<&'static str> {
         let seen = request.conn_data::<Rc<ConnectionState>>().cloned();
         let mut response = match (request.method(), request.path()) {
@@ -75,7 +75,7 @@
                 }
                 // Its connection was closed from this side before its last byte came. Guards against a request that is to
                 // be handed in elsewhere counting as one that failed.
-                Err(Unfit { why: BROKEN_OFF, .. }) if self.availability.get().sends_away() => {
+                Err(Unfit { why: BROKEN_OFF, .. }) if self.availability.get().closes_connections() => {
                     answer(StatusCode::SERVICE_UNAVAILABLE)
                 }
                 Err(Unfit { status, why }) => {
@@ -86,7 +86,7 @@
             _ => answer(StatusCode::NOT_FOUND),
         };
         seen.iter().for_each(|seen| seen.answered());
-        if self.availability.get().sends_away() || places.crowded() {
+        if self.availability.get().closes_connections() || places.crowded() {
             response.head_mut().set_connection_type(actix_http::ConnectionType::Close);
         }
         response
@@ -186,7 +186,7 @@
 /// Encodes an answer, once.
 fn told(told: Answer) -> Response<&'static str> {
     match told {
-        Answer::Taken => answer(StatusCode::ACCEPTED),
+        Answer::Accepted => answer(StatusCode::ACCEPTED),
         Answer::Failed => answer(StatusCode::INTERNAL_SERVER_ERROR),
         Answer::Refused { after } => {
             let mut response = answer(StatusCode::TOO_MANY_REQUESTS);
--- a/relay/src/push/gateways.rs
+++ b/relay/src/push/gateways.rs
@@ -24,7 +24,7 @@
 use super::{PATH, TOPIC, TTL};
 use crate::clock;
 use crate::config::{PoolLimits, Secured, Trust};
-use crate::core::{Carrier, Core, Node, Ticket};
+use crate::core::{Core, Node, SendPermit, Transport};
 use crate::job::{Job, Outcome};
 use crate::journal::SettledEnd;
 use crate::tls;
@@ -383,9 +383,9 @@
 
 /// Seconds or a date, as RFC 9110 has it.
 fn retry_after(text: &str) -> Option<Duration> {
-    crate::job::told_seconds(text).or_else(|| {
+    crate::job::parse_wait_seconds(text).or_else(|| {
         let date = httpdate::parse_http_date(text.trim()).ok()?;
-        date.duration_since(SystemTime::now()).ok().map(crate::job::told_wait)
+        date.duration_since(SystemTime::now()).ok().map(crate::job::cap_wait)
     })
 }
 
@@ -435,8 +435,8 @@
     }
 }
 
-impl Carrier for Gateways {
-    async fn claim(&self, job: &Job, node: &Node, _limit: Duration, ticket: &Rc<Ticket>) -> Outcome {
+impl Transport for Gateways {
+    async fn claim(&self, job: &Job, node: &Node, _limit: Duration, permit: &Rc<SendPermit>) -> Outcome {
         let request = match request(job, node.address) {
             Ok(request) => request,
             Err(error) => {
@@ -447,8 +447,8 @@
         let call = self.gateway(node.address).call(
             request,
             job.body.clone(),
-            || ticket.begin(),
-            || ticket.mark_sent(),
+            || permit.begin(),
+            || permit.mark_sent(),
         );
         match call.await {
             Ok(answer) => outcome(&answer),
@@ -466,7 +466,7 @@
 
     async fn notify(&self, end: &SettledEnd) -> Result<(), String> {
         let notice = end.notice();
-        let body = Bytes::from(crate::notice::line(notice));
+        let body = Bytes::from(crate::notice::encode(notice));
         let request = Request::post(format!("http://{}/reports", self.notices.get())).body(());
         let request = request.map_err(|e| e.to_string())?;
         let call = self.gateway(self.notices.get()).call(request, body, || true, || ());
@@ -483,7 +483,7 @@
         }
     }
 
-    fn replaces(&self, job: &Job) -> Option<String> {
+    fn replacement_key(&self, job: &Job) -> Option<String> {
         let (path, topic) = (job.field(PATH)?, job.field(TOPIC)?);
         Some(format!("{} {} {}", job.dest, String::from_utf8_lossy(path), String::from_utf8_lossy(topic)))
     }
@@ -495,7 +495,7 @@
             .for_each(|gateway| gateway.tell(|pool, now, orders| pool.close_idle(now, orders)));
     }
 
-    fn forget(&self, node: &Node) {
+    fn node_removed(&self, node: &Node) {
         // Streams that are out go on until they end.
         let gateway = self.known(node.address);
         gateway.into_iter().for_each(|gateway| gateway.tell(|pool, _, orders| pool.withdraw(orders)));
@@ -506,13 +506,13 @@
 pub async fn tend(core: Rc<Core<Gateways>>) {
     loop {
         tokio::time::sleep(LOOK).await;
-        let gateways: Vec<_> = core.carrier.gateways.borrow().values().cloned().collect();
+        let gateways: Vec<_> = core.transport.gateways.borrow().values().cloned().collect();
         for gateway in gateways {
             gateway.look();
             gateway.tell(|pool, now, orders| pool.tick(now, orders));
         }
         // Guards against a pool for each gateway that was ever called.
-        core.carrier
+        core.transport
             .gateways
             .borrow_mut()
             .retain(|_, gateway| Rc::strong_count(gateway) > 1 || !gateway.pool.borrow().is_empty());
--- a/relay/src/push/server.rs
+++ b/relay/src/push/server.rs
@@ -22,7 +22,7 @@
 use crate::clock;
 use crate::config::{Location, Push, Urgency};
 use crate::connection_limiter::{self, ConnectionPolicy, Places, TrackedStream, Yields};
-use crate::core::{Carrier, Core};
+use crate::core::{Core, Transport};
 use crate::job::{Answer, Job};
 use crate::tls;
 
@@ -64,7 +64,7 @@
     next_id: Cell<u64>,
 }
 
-impl<C: Carrier> Server<C> {
+impl<C: Transport> Server<C> {
     pub fn new(core: Rc<Core<C>>, push: &Push, seed: u64) -> Rc<Self> {
         Rc::new(Server {
             locations: RefCell::new(push.locations.clone()),
@@ -121,7 +121,7 @@
             Ok(Asked { job, ttl, receipt }) => {
                 let id = job.id.clone();
                 match self.core.admit(job).await {
-                    Answer::Taken => taken(&id, ttl, receipt),
+                    Answer::Accepted => taken(&id, ttl, receipt),
                     Answer::Refused { after } => refused(after),
                     Answer::Failed => plain(StatusCode::INTERNAL_SERVER_ERROR, "given up"),
                 }
--- a/relay/src/run.rs
+++ b/relay/src/run.rs
@@ -9,14 +9,13 @@
 use tokio::time::sleep;
 
 use crate::admin::{Admin, Front, Process};
-use crate::availability::{Availability, Word};
+use crate::availability::{Availability, AvailabilityEvent};
 use crate::backlog::{Backlog, BacklogClass};
 use crate::clock;
 use crate::config::{self, Idle, Limits, Rules};
 use crate::connection_limiter::Places;
-use crate::core::{Carrier, Core, NotOut};
-use crate::disabled::Disabled;
-use crate::figures::{BacklogFigures, Census, Figures};
+use crate::core::{Core, SetDisabledError, Transport};
+use crate::disabled::DisabledNodes;
 use crate::handover::{self, Elder};
 use crate::hook::Hooks;
 use crate::instances::{self, Instances, Sharing};
@@ -24,6 +23,7 @@
 use crate::lease_record::LeaseRecord;
 use crate::list::NodeList;
 use crate::listener::listen;
+use crate::metrics::{BacklogMetrics, GaugeValues, Metrics};
 use crate::platform::refusing::refuse_all;
 
 /// After SIGTERM, connections still arrive for up to 0.4 s: so long everything goes on.
@@ -82,7 +82,7 @@
     let told = platform.as_ref().and_then(|platform| platform.admin);
     let admin = config::admin().map_err(Fault::Configuration)?.or(told).or(own.admin);
     let rules = platform.as_ref().map(|p| &p.rules).into_iter().chain(own.push.as_ref().map(|p| &p.rules));
-    let figures = Figures::new(rules.flat_map(|rules| &rules.names.classes));
+    let figures = Metrics::new(rules.flat_map(|rules| &rules.names.classes));
     let process = Rc::new(Standing::default());
     let desk = Admin::new(figures.clone(), process.clone());
     if let Some(address) = admin {
@@ -140,10 +140,10 @@
             actix_rt::spawn(instances::divide(push.core.clone(), instances.clone()));
         }
     }
-    figures.loaded(true);
+    figures.config_loaded(true);
     let first = platform.as_ref().map(|platform| platform.core.clone() as Rc<dyn Front>);
     let second = push.as_ref().map(|push| push.core.clone() as Rc<dyn Front>);
-    process.turn(Word::Started);
+    process.turn(AvailabilityEvent::Started);
     desk.open(first.into_iter().chain(second).collect());
     loop {
         tokio::select! {
@@ -154,12 +154,12 @@
                     (Some(push), Some(file)) => push.reload(file).await,
                     _ => true,
                 };
-                figures.loaded(first && second);
+                figures.config_loaded(first && second);
             }
         }
     }
     tracing::info!("SIGTERM: winding down");
-    process.turn(Word::Terminate);
+    process.turn(AvailabilityEvent::Terminate);
     if let Some(instances) = &instances {
         instances.leave().await;
     }
@@ -192,7 +192,7 @@
 }
 
 /// Ends a front: requests that are whole by now are still answered, and what is out comes home.
-async fn wind_down<C: Carrier>(core: &Core<C>, places: &Places) {
+async fn wind_down<C: Transport>(core: &Core<C>, places: &Places) {
     places.end();
     core.wind_down(COMING_HOME).await;
     let end = Instant::now() + LAST_ANSWERS;
@@ -209,14 +209,14 @@
 }
 
 impl Process for Standing {
-    fn turn(&self, word: Word) -> bool {
+    fn turn(&self, word: AvailabilityEvent) -> bool {
         let before = self.availability.get();
         let Some(after) = before.after(word) else { return false };
         self.availability.set(after);
         if let Some(places) = &*self.places.borrow() {
             // Idle ones that were told to go before go on going.
-            if before.sends_away() != after.sends_away() {
-                places.leave(after.sends_away().then(|| Instant::now() + STILL_SERVING));
+            if before.closes_connections() != after.closes_connections() {
+                places.leave(after.closes_connections().then(|| Instant::now() + STILL_SERVING));
             }
         }
         if before.is_drained() != after.is_drained() {
@@ -243,13 +243,13 @@
     state: PathBuf,
 }
 
-impl<C: Carrier> Front for Core<C> {
-    fn census(&self) -> Census {
-        Core::census(self)
+impl<C: Transport> Front for Core<C> {
+    fn census(&self) -> GaugeValues {
+        Core::gauge_values(self)
     }
 
-    fn set_out(&self, id: &str, out: bool) -> Result<(), NotOut> {
-        Core::set_out(self, id, out)
+    fn set_out(&self, id: &str, out: bool) -> Result<(), SetDisabledError> {
+        Core::set_disabled(self, id, out)
     }
 
     fn backlog(&self) -> Option<Rc<Backlog>> {
@@ -258,16 +258,16 @@
 }
 
 /// A core with its journal.
-fn new_core<C: Carrier>(
+fn new_core<C: Transport>(
     carrier: C,
     rules: Rules,
     hooks: Option<Hooks>,
     seed: u64,
     state: &Path,
     journal: Journal,
-    figures: &Rc<Figures>,
+    figures: &Rc<Metrics>,
 ) -> Rc<Core<C>> {
-    Core::new(carrier, rules, hooks, seed, journal, Disabled::open(state), figures.clone())
+    Core::new(carrier, rules, hooks, seed, journal, DisabledNodes::open(state), figures.clone())
 }
 
 /// Tries something with a folder that lasts until it does not fail in a way that passes.
@@ -304,11 +304,11 @@
 }
 
 /// Plays rounds from now on.
-fn begin<C: Carrier>(core: &Rc<Core<C>>, front: &'static str) {
+fn begin<C: Transport>(core: &Rc<Core<C>>, front: &'static str) {
     let (rounds, tally, journal) = (core.clone(), core.clone(), core.clone());
-    actix_rt::spawn(async move { rounds.rounds().await });
-    actix_rt::spawn(async move { journal.keep_journal().await });
-    actix_rt::spawn(async move { tally.tell_tally(front).await });
+    actix_rt::spawn(async move { rounds.run_rounds().await });
+    actix_rt::spawn(async move { journal.retry_journal().await });
+    actix_rt::spawn(async move { tally.log_tally(front).await });
 }
 
 /// Where submitters connect: the socket that the platform passed on, if it says that it did.
@@ -339,7 +339,7 @@
     mut config: config::Platform,
     idle: &Idle,
     hooks: Option<Hooks>,
-    figures: &Rc<Figures>,
+    figures: &Rc<Metrics>,
     process: &Standing,
     desk: &Admin,
     upgrades: bool,
@@ -390,14 +390,14 @@
     match legacy {
         Some(legacy) => {
             if legacy.estate.drained {
-                process.turn(Word::Drain);
+                process.turn(AvailabilityEvent::Drain);
             }
-            let homes = core.inherit(&legacy.estate, open).await;
+            let homes = core.take_over(&legacy.estate, open).await;
             held = legacy.estate.generation;
             let (core, places, budget, idle) = (core.clone(), places.clone(), budget.clone(), *idle);
             actix_rt::spawn(legacy.follow(core.clone(), homes, move || {
                 budget.shared.set(false);
-                core.carrier.set_connections(budget.connections(&idle));
+                core.transport.set_connections(budget.connections(&idle));
                 places.set(budget.submitters());
             }));
         }
@@ -405,7 +405,7 @@
             open.into_iter().for_each(|open| core.recover(open));
             // Where lists pass between instances, what is known waits for a better one; the first round is played all the same.
             let nothing = NodeList::default();
-            core.take_list(if sharing.is_some() { &nothing } else { &config.known }).await;
+            core.apply_list(if sharing.is_some() { &nothing } else { &config.known }).await;
             held = held.or((!config.known.is_empty()).then_some(config.known.generation));
         }
     }
@@ -430,13 +430,13 @@
     let address = listener.local_addr().unwrap_or(config.listen);
     let server = crate::platform::server::Server::new(core.clone(), process.availability.clone());
     actix_rt::spawn(server.accept(listener, places.clone()));
-    process.turn(Word::Started);
+    process.turn(AvailabilityEvent::Started);
     tracing::info!(name = config.name, listen = %address, "platform front is ready");
     Ok(PlatformFront { core, places, budget, elder, following, listen: config.listen })
 }
 
 /// Has the list acted on only as long as it is confirmed, or was by the process before.
-fn bind_list<C: Carrier>(core: &Core<C>, state: &Path, first_start: bool) {
+fn bind_list<C: Transport>(core: &Core<C>, state: &Path, first_start: bool) {
     let (record, before) = match LeaseRecord::open(state) {
         Ok((record, before)) => (Some(record), before),
         Err(error) => {
@@ -446,11 +446,11 @@
     };
     // An older list than the one that was confirmed is none that was.
     let before = before.filter(|before| core.generation().is_some_and(|held| held >= before.generation));
-    core.bind_list(record, before, first_start);
+    core.start_list_lease(record, before, first_start);
 }
 
 /// Opens the backlog on disk and has the core use it.
-async fn attach_backlog<C: Carrier>(
+async fn attach_backlog<C: Transport>(
     core: &Rc<Core<C>>,
     settings: &config::Backlog,
     owner: &str,
@@ -462,7 +462,7 @@
         .map(|(name, class)| BacklogClass { name: name.clone(), worth: class.credit.unwrap_or(1.0) })
         .collect();
     let most = rules.settings.max_held;
-    let figures = BacklogFigures::register(core.figures());
+    let figures = BacklogMetrics::register(core.metrics());
     let opened = Backlog::open(settings, owner, &classes, most, journaled, figures).await;
     let (backlog, actions) = opened.map_err(|error| format!("backlog.folder: {error}"))?;
     core.attach_backlog(backlog, actions).map_err(|error| format!("BALANCER_STATE: {error}"))
@@ -509,11 +509,11 @@
             return false;
         }
         self.following.abort();
-        while Instant::now() < end && !(self.core.all_home() && self.places.is_empty()) {
-            self.core.carrier.close_all_idle();
+        while Instant::now() < end && !(self.core.no_claims_in_flight() && self.places.is_empty()) {
+            self.core.transport.close_all_idle();
             sleep(Duration::from_millis(10)).await;
         }
-        self.core.call_off();
+        self.core.cancel_claims();
         // What is called off closes its connection and is told of before the process ends.
         sleep(LAST_WORD).await;
         tracing::info!("upgrade: nothing is left to do here");
@@ -539,10 +539,10 @@
         if config.listen != self.listen {
             tracing::warn!(listen = %config.listen, "SIGHUP: another address is listened on with the next start");
         }
-        self.core.carrier.settle(&config.rules, config.discovery, idle.list_limit);
+        self.core.transport.settle(&config.rules, config.discovery, idle.list_limit);
         self.budget.sockets.set(config.limits.sockets);
-        self.core.carrier.set_connections(self.budget.connections(&idle));
-        self.core.settle(config.rules, config.limits.disk);
+        self.core.transport.set_connections(self.budget.connections(&idle));
+        self.core.apply_rules(config.rules, config.limits.disk);
         self.places.set(self.budget.submitters());
         tracing::info!(discovery = %config.discovery, "SIGHUP: configuration read anew");
         true
@@ -552,7 +552,7 @@
 async fn start_push(
     config: config::Push,
     hooks: Option<Hooks>,
-    figures: &Rc<Figures>,
+    figures: &Rc<Metrics>,
 ) -> Result<PushFront, String> {
     // Not told by anybody: this front's own, new with each start.
     let seed = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
@@ -565,7 +565,7 @@
     let core = new_core(gateways, rules, hooks, seed, &config.state, journal, figures);
     open.into_iter().for_each(|open| core.recover(open));
     begin(&core, "push");
-    core.take_list(&config.gateways).await;
+    core.apply_list(&config.gateways).await;
     actix_rt::spawn(crate::push::gateways::tend(core.clone()));
     let listener = listen("push.listen", config.listen)?;
     let address = listener.local_addr().unwrap_or(config.listen);
@@ -584,10 +584,10 @@
                 if (push.listen, &push.state) != (self.listen, &self.state) {
                     tracing::warn!("SIGHUP: push.listen and push.state are taken up with the next start");
                 }
-                self.core.carrier.settle(push.pool, push.notices);
-                self.core.carrier.secure(push.trust);
-                self.core.settle(push.rules, push.disk);
-                self.core.take_list(&push.gateways).await;
+                self.core.transport.settle(push.pool, push.notices);
+                self.core.transport.secure(push.trust);
+                self.core.apply_rules(push.rules, push.disk);
+                self.core.apply_list(&push.gateways).await;
                 self.server.settle(push.locations, push.body_limit, push.secured);
                 self.places.set(push.connections);
                 tracing::info!(gateways = push.gateways.len(), "SIGHUP: file read anew");
