--- a/relay/src/availability.rs
+++ b/relay/src/availability.rs
@@ -1,28 +1,28 @@
-//! What this process is to its submitters, whatever order its readiness, drains, resumptions and signals come in.
+//! Whether the process is available to its submitters, in whatever order startup, drains, resumes and signals come.
 //!
-//! A state machine without I/O: words go in, and what follows for `GET /ready` and for connections is asked of it. It
-//! may not know who says the words or what is done about them.
+//! A state machine without I/O: events go in, and it answers what `GET /ready` reports and whether connections are
+//! closed. It does not know where events come from or how its answers are applied.
 
-/// How far the process is.
+/// The phase of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Phase {
     #[default]
     Starting,
     Serving,
-    /// Told to end: what was taken on is seen to, and connections are sent away.
-    Leaving,
+    /// Shutting down: accepted jobs are completed where possible, and connections are closed.
+    Terminating,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Availability {
     phase: Phase,
-    /// Clients are sent away until somebody says otherwise.
+    /// Clients' connections are closed until an operator resumes the process.
     drained: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AvailabilityEvent {
-    /// It can serve.
+    /// The process can serve.
     Started,
     Drain,
     Resume,
@@ -30,16 +30,16 @@
 }
 
 impl Availability {
-    /// What it is after a word; `None` if that can't be had any more.
-    pub fn after(self, word: AvailabilityEvent) -> Option<Availability> {
+    /// The state after an event; `None` if the event is no longer possible.
+    pub fn after(self, event: AvailabilityEvent) -> Option<Availability> {
         let Availability { phase, drained } = self;
-        let phase = match (phase, word) {
-            (Phase::Leaving, AvailabilityEvent::Resume) => return None,
-            (_, AvailabilityEvent::Terminate) => Phase::Leaving,
+        let phase = match (phase, event) {
+            (Phase::Terminating, AvailabilityEvent::Resume) => return None,
+            (_, AvailabilityEvent::Terminate) => Phase::Terminating,
             (Phase::Starting, AvailabilityEvent::Started) => Phase::Serving,
             (phase, _) => phase,
         };
-        let drained = match word {
+        let drained = match event {
             AvailabilityEvent::Drain => true,
             AvailabilityEvent::Resume => false,
             AvailabilityEvent::Started | AvailabilityEvent::Terminate => drained,
@@ -47,15 +47,15 @@
         Some(Availability { phase, drained })
     }
 
-    /// The answer to `GET /ready`. A process that leaves goes on saying what it said: a successor may have the
-    /// listener already, and the platform knows who is leaving.
+    /// The answer to `GET /ready`. Termination does not change it: a successor may own the listener already, and the
+    /// platform knows which processes are terminating.
     pub fn is_ready(self) -> bool {
         self.phase != Phase::Starting && !self.drained
     }
 
-    /// Connections are closed between requests.
+    /// Whether connections are closed between requests.
     pub fn closes_connections(self) -> bool {
-        self.drained || self.phase == Phase::Leaving
+        self.drained || self.phase == Phase::Terminating
     }
 
     pub fn is_drained(self) -> bool {
--- a/relay/src/availability/tests.rs
+++ b/relay/src/availability/tests.rs
@@ -3,22 +3,22 @@
 use Phase::*;
 
 #[test]
-fn every_word_in_every_state_has_one_meaning() {
+fn each_event_has_the_specified_effect_in_each_state() {
     let of = |phase, drained| Availability { phase, drained };
     let on = |phase| Some(of(phase, false));
     let off = |phase| Some(of(phase, true));
-    // What it was, and what it is after being started, drained, resumed, terminated.
+    // The state before, and the states after starting, draining, resuming and terminating.
     let table = [
-        (of(Starting, false), [on(Serving), off(Starting), on(Starting), on(Leaving)]),
-        (of(Starting, true), [off(Serving), off(Starting), on(Starting), off(Leaving)]),
-        (of(Serving, false), [on(Serving), off(Serving), on(Serving), on(Leaving)]),
-        (of(Serving, true), [off(Serving), off(Serving), on(Serving), off(Leaving)]),
-        (of(Leaving, false), [on(Leaving), off(Leaving), None, on(Leaving)]),
-        (of(Leaving, true), [off(Leaving), off(Leaving), None, off(Leaving)]),
+        (of(Starting, false), [on(Serving), off(Starting), on(Starting), on(Terminating)]),
+        (of(Starting, true), [off(Serving), off(Starting), on(Starting), off(Terminating)]),
+        (of(Serving, false), [on(Serving), off(Serving), on(Serving), on(Terminating)]),
+        (of(Serving, true), [off(Serving), off(Serving), on(Serving), off(Terminating)]),
+        (of(Terminating, false), [on(Terminating), off(Terminating), None, on(Terminating)]),
+        (of(Terminating, true), [off(Terminating), off(Terminating), None, off(Terminating)]),
     ];
     for (before, afters) in table {
-        for (word, after) in [Started, Drain, Resume, Terminate].into_iter().zip(afters) {
-            assert_eq!(before.after(word), after, "{before:?} {word:?}");
+        for (event, after) in [Started, Drain, Resume, Terminate].into_iter().zip(afters) {
+            assert_eq!(before.after(event), after, "{before:?} {event:?}");
         }
     }
     let answers = table.map(|(state, _)| (state.is_ready(), state.closes_connections()));
--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -1,9 +1,11 @@
-//! What the backlog's planner asks for, carried out: requests go to disk, come back, are put back, and end there.
+//! Executes the actions of the backlog's planner: requests are spilled to disk, fetched into memory, put back on disk,
+//! and expire there.
 //!
-//! The order of the two stores is the same everywhere: a request is recorded at its new place before it is removed from
-//! its old one, and begins there only after that. `docs/backlog.md` lists each step with what a crash leaves behind.
+//! Moving a request between journal and backlog always has the same order: it is recorded in its new place, then
+//! removed from its old one, and processed in the new place only after that. `docs/backlog.md` describes the state that
+//! a crash leaves after each step.
 use onyxglade_backlog::message::{ClassNumber, Lane, NewMessage, Place, StoredMessage};
-use onyxglade_backlog::planner::{Action, Event, LaneCount, Outcome as Left, RefusalReason};
+use onyxglade_backlog::planner::{Action, Event, LaneCount, Outcome as MemoryOutcome, RefusalReason};
 use onyxglade_backlog::store::StoreError;
 use slatethread::MsgId;
 use std::cell::Cell;
@@ -15,8 +17,8 @@
 use tokio::time::sleep;
 
 use super::decision::{Decision, Refusal};
-use super::life::Course;
-use super::rounds::{Order, order};
+use super::job_task::JobProgress;
+use super::rounds::{Order, send_order};
 use super::{Core, Transport};
 use crate::backlog::{Backlog, fault_of, unix_millis};
 use crate::clock;
@@ -24,49 +26,50 @@
 use crate::journal::{Key, QueuedRequest, SettledEnd, TakenOn};
 use crate::metrics::{BacklogRefusal, MessageResult};
 
-/// Pause between two tries of what has to be done in the end.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// When a client is told to come back whose request the store did not take.
-const STORE_RETRY: Duration = Duration::from_secs(1);
-/// How often the store is asked how full it is.
-const USAGE_PAUSE: Duration = Duration::from_secs(1);
+/// Delay between two attempts of an operation that is retried until it succeeds.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// When a submitter may retry a request that the store could not take.
+const STORE_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Interval at which the store's disk usage is read.
+const USAGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A request that gives up its place in memory.
-pub(super) struct Parked {
+/// A request that leaves memory, to be put back on disk.
+pub(super) struct PutBackRequest {
     pub key: Key,
     pub job: Job,
 }
 
-/// What the journal took over of messages that were fetched.
+/// Fetched messages that the journal has recorded.
 #[derive(Default)]
-struct Taken {
-    /// Their places, which the backlog is to free.
+struct Journaled {
+    /// Their places on disk, to be freed.
     places: Vec<Place>,
-    /// Requests that are now the journal's.
+    /// The requests now in the journal.
     requests: Vec<(Key, QueuedRequest)>,
-    /// Ends of those that are no request.
+    /// Notices for messages that cannot be decoded.
     unreadable: Vec<Notice>,
 }
 
-/// A place in memory, of which the planner has to know. It is given back when this is dropped.
+/// A request's share of the memory that the planner manages. Dropping it tells the planner that the request has left.
 pub(super) struct MemorySlot<C: Transport> {
     core: Rc<Core<C>>,
     backlog: Rc<Backlog>,
     destination: u64,
-    /// Its number at the decision module, where it may be asked to go back to disk.
+    /// The request's number at the decision module, if it may be put back on disk.
     message: Option<MsgId>,
-    left: Cell<Option<Left>>,
+    /// How the request leaves memory; `None` if the planner must not be told.
+    outcome: Cell<Option<MemoryOutcome>>,
 }
 
 impl<C: Transport> MemorySlot<C> {
-    /// How the request left, unless by its end.
-    pub fn left_as(&self, left: Left) {
-        self.left.set(Some(left));
+    /// Sets how the request leaves memory.
+    pub fn set_outcome(&self, outcome: MemoryOutcome) {
+        self.outcome.set(Some(outcome));
     }
 
-    /// The place goes on to be taken, or who puts the request back on disk tells the planner.
-    pub fn pass_on(&self) {
-        self.left.set(None);
+    /// Does not tell the planner when this is dropped: the request stays in memory, or is being put back on disk.
+    pub fn disarm(&self) {
+        self.outcome.set(None);
     }
 }
 
@@ -75,18 +78,19 @@
         if let Some(message) = self.message {
             self.backlog.left(self.destination, message);
         }
-        if let Some(outcome) = self.left.get() {
+        if let Some(outcome) = self.outcome.get() {
             let destination = self.destination;
-            self.core.tell_backlog(&self.backlog, Event::LeftMemory { destination, outcome });
+            self.core.handle_backlog_event(&self.backlog, Event::LeftMemory { destination, outcome });
         }
     }
 }
 
 impl<C: Transport> Core<C> {
-    /// From now on requests that cannot go soon wait on disk. `actions` are those of opening it.
+    /// Enables the backlog: from now on, requests that cannot be sent soon wait on disk. `actions` are the planner's
+    /// first actions, returned when the backlog was opened.
     ///
     /// # Errors
-    /// When the journal cannot be written in the format that this takes.
+    /// When the journal cannot be written in the format that the backlog requires.
     pub fn attach_backlog(
         self: &Rc<Self>,
         backlog: Backlog,
@@ -95,63 +99,64 @@
         self.journal.borrow_mut().enable_backlog()?;
         let backlog = Rc::new(backlog);
         *self.backlog.borrow_mut() = Some(backlog.clone());
-        self.carry_out(&backlog, actions);
+        self.execute_backlog_actions(&backlog, actions);
         actix_rt::spawn(self.clone().tick_backlog(backlog.clone()));
         actix_rt::spawn(self.clone().watch_usage(backlog));
         Ok(())
     }
 
-    /// The backlog, where there is one and it is this process's.
+    /// The backlog, if there is one and this process owns it.
     pub fn backlog(&self) -> Option<Rc<Backlog>> {
         self.backlog.borrow().clone()
     }
 
-    /// Another process has the backlog from now on, once its queue is done.
+    /// Closes the backlog for another process, once the operations in its queue are done.
     pub(super) fn hand_over_backlog(&self) {
         self.backlog.take().into_iter().for_each(|backlog| backlog.close());
     }
 
-    /// A request has its place in memory; none is counted where there is no backlog.
+    /// Allocates a memory slot for a request; `None` if there is no backlog.
     pub(super) fn take_slot(self: &Rc<Self>, job: &Job) -> Option<MemorySlot<C>> {
         let backlog = self.backlog()?;
-        let left = Cell::new(Some(Left::Ended));
-        Some(MemorySlot { core: self.clone(), backlog, destination: job.dest, message: None, left })
+        let outcome = Cell::new(Some(MemoryOutcome::Ended));
+        Some(MemorySlot { core: self.clone(), backlog, destination: job.dest, message: None, outcome })
     }
 
-    /// It came from disk and may be asked to go back there.
-    pub(super) fn may_go_back(slot: &mut Option<MemorySlot<C>>, message: MsgId) {
+    /// Allows the planner to put a request that came from disk back there.
+    pub(super) fn allow_put_back(slot: &mut Option<MemorySlot<C>>, message: MsgId) {
         if let Some(slot) = slot {
             slot.message = Some(message);
             slot.backlog.entered(slot.destination, message);
         }
     }
 
-    /// Tells the planner of something, and does what it asks for.
-    pub(super) fn tell_backlog(self: &Rc<Self>, backlog: &Rc<Backlog>, event: Event) {
+    /// Passes an event to the planner, and executes the actions that it returns.
+    pub(super) fn handle_backlog_event(self: &Rc<Self>, backlog: &Rc<Backlog>, event: Event) {
         let actions = backlog.handle(event);
-        self.carry_out(backlog, actions);
+        self.execute_backlog_actions(backlog, actions);
     }
 
-    /// A call with a request of this destination goes out, or has come home.
-    pub(super) fn count_call(self: &Rc<Self>, destination: u64, began: bool) {
+    /// Counts a call with a request of this destination that has started or ended.
+    pub(super) fn count_call(self: &Rc<Self>, destination: u64, started: bool) {
         if let Some(backlog) = self.backlog() {
             let actions =
-                if began { backlog.call_began(destination) } else { backlog.call_ended(destination) };
-            self.carry_out(&backlog, actions);
+                if started { backlog.call_began(destination) } else { backlog.call_ended(destination) };
+            self.execute_backlog_actions(&backlog, actions);
         }
     }
 
-    /// An attempt failed, or its destination told when to come back.
+    /// Tells the planner that an attempt failed, or that its destination requested a wait.
     pub(super) fn attempt_failed(self: &Rc<Self>, destination: u64, wait: Option<Duration>) {
         let Some(backlog) = self.backlog() else { return };
         let event = match wait {
             Some(wait) => Event::WaitTold { destination, until: backlog.at(Instant::now() + wait) },
             None => Event::AttemptFailed { destination },
         };
-        self.tell_backlog(&backlog, event);
+        self.handle_backlog_event(&backlog, event);
     }
 
-    fn carry_out(self: &Rc<Self>, backlog: &Rc<Backlog>, actions: Vec<Action>) {
+    /// Executes the planner's actions, each in a task of its own.
+    fn execute_backlog_actions(self: &Rc<Self>, backlog: &Rc<Backlog>, actions: Vec<Action>) {
         for action in actions {
             let (core, backlog) = (self.clone(), backlog.clone());
             match action {
@@ -160,62 +165,69 @@
                 Action::ReadExpired { most } => drop(actix_rt::spawn(core.end_expired(backlog, most))),
                 Action::ProbeStore => drop(actix_rt::spawn(core.probe_store(backlog))),
                 Action::HealthChanged { health } => {
-                    tracing::warn!(?health, waiting = backlog.on_disk(), "the backlog's store has changed");
+                    tracing::warn!(
+                        ?health,
+                        waiting = backlog.on_disk(),
+                        "the health of the backlog's store has changed"
+                    );
                 }
                 Action::AdmitToMemory { .. } | Action::Spill { .. } | Action::Refuse { .. } => {
-                    tracing::error!(?action, "the planner decided on a request that nobody asked about");
+                    tracing::error!(?action, "the planner decided on an unknown request; ignored");
                 }
             }
         }
     }
 
-    /// Plays the planner's ticks until another process has the backlog.
+    /// Sends the planner's ticks until another process has taken over.
     async fn tick_backlog(self: Rc<Self>, backlog: Rc<Backlog>) {
         loop {
             tokio::select! {
-                () = backlog.tick() => self.tell_backlog(&backlog, Event::Tick),
-                () = self.handed.cancelled() => return,
+                () = backlog.tick() => self.handle_backlog_event(&backlog, Event::Tick),
+                () = self.handed_over.cancelled() => return,
             }
         }
     }
 
+    /// Reports the store's disk usage to the planner until another process has taken over.
     async fn watch_usage(self: Rc<Self>, backlog: Rc<Backlog>) {
         loop {
             tokio::select! {
-                () = sleep(USAGE_PAUSE) => {}
-                () = self.handed.cancelled() => return,
+                () = sleep(USAGE_INTERVAL) => {}
+                () = self.handed_over.cancelled() => return,
             }
             if let Ok(event) = backlog.usage().await {
-                self.tell_backlog(&backlog, event);
+                self.handle_backlog_event(&backlog, event);
             }
         }
     }
 
-    /// Decides where a request that has just arrived waits, and takes it there or refuses it.
-    pub(super) async fn place(
+    /// Decides whether a request that has just arrived waits in memory or on disk or is refused, and acts on that.
+    pub(super) async fn place_arrival(
         self: Rc<Self>,
         backlog: Rc<Backlog>,
         job: Job,
         answer: oneshot::Sender<Decision>,
     ) {
         let Some(lane) = backlog.lane(job.dest, &job.class) else {
-            return self.life(job, Course::default(), Some(answer)).await;
+            return self.run_job(job, JobProgress::default(), Some(answer)).await;
         };
         if backlog.is_in_doubt(&job.id) {
-            return self.answer_placed(&job.id, answer, refused(STORE_RETRY));
+            return self.answer_and_release(&job.id, answer, refused_decision(STORE_RETRY_AFTER));
         }
         if backlog.has_queued(job.dest) {
-            // The same request once more, while it waits.
+            // A resubmission of a request that waits on disk is accepted without a second copy.
             match backlog.find(&job.id).await {
                 Ok(None) => {}
                 Ok(Some(place)) => {
-                    let taken_on = Decision::Taken(TakenOn::in_backlog(&place));
-                    return self.answer_placed(&job.id, answer, taken_on);
+                    let accepted = Decision::Accepted(TakenOn::in_backlog(&place));
+                    return self.answer_and_release(&job.id, answer, accepted);
+                }
+                Err(_) => {
+                    return self.answer_and_release(&job.id, answer, refused_decision(STORE_RETRY_AFTER));
                 }
-                Err(_) => return self.answer_placed(&job.id, answer, refused(STORE_RETRY)),
             }
         }
-        let (arrival, actions) = backlog.arrived(lane, job.left());
+        let (arrival, actions) = backlog.arrived(lane, job.time_left());
         let is_own = |action: &Action| {
             let (Action::AdmitToMemory { arrival: number }
             | Action::Spill { arrival: number, .. }
@@ -226,38 +238,38 @@
             *number == arrival
         };
         let (own, others) = actions.into_iter().partition(is_own);
-        self.carry_out(&backlog, others);
+        self.execute_backlog_actions(&backlog, others);
         match own.first() {
             Some(Action::Refuse { retry_after, reason, .. }) => {
-                tracing::debug!(id = job.id, dest = job.dest, ?reason, "the backlog takes no more");
-                backlog.figures.refused(refusal(*reason));
-                self.answer_placed(&job.id, answer, refused(*retry_after));
+                tracing::debug!(id = job.id, dest = job.dest, ?reason, "the backlog refuses a request");
+                backlog.figures.refused(refusal_label(*reason));
+                self.answer_and_release(&job.id, answer, refused_decision(*retry_after));
             }
             Some(Action::Spill { .. }) => self.spill(backlog, lane, job, answer).await,
-            _ => self.life(job, Course::default(), Some(answer)).await,
+            _ => self.run_job(job, JobProgress::default(), Some(answer)).await,
         }
     }
 
-    /// Answers a request that does not go into memory.
-    fn answer_placed(&self, id: &str, answer: oneshot::Sender<Decision>, decision: Decision) {
+    /// Answers a request that does not wait in memory, and releases its id.
+    fn answer_and_release(&self, id: &str, answer: oneshot::Sender<Decision>, decision: Decision) {
         if let Decision::Refused(Refusal::Refused { .. }) = decision {
-            self.count(|tally| tally.turned_away += 1);
+            self.count(|tally| tally.refused += 1);
         }
-        self.release_id(id, Some(decision.told()));
-        // A submitter that is gone needs none.
+        self.release_id(id, Some(decision.answer()));
+        // Fails only if the submitter has disconnected.
         let _ = answer.send(decision);
     }
 
-    /// The id of a request is no longer reserved; `told` is an answer that goes on to hold. A request that was fetched into
-    /// memory meanwhile has its id open until its end there.
-    fn release_id(&self, id: &str, told: Option<Answer>) {
+    /// Releases the id of a request that is being decided on; `answer`, if any, is repeated to recent resubmissions. If
+    /// the request was fetched into memory meanwhile, its id stays open until it ends there.
+    fn release_id(&self, id: &str, answer: Option<Answer>) {
         let is_reserved = self.state.borrow().ids.get(id) == Some(&false);
         if is_reserved {
-            self.decided(id, told);
+            self.close_id(id, answer);
         }
     }
 
-    /// Takes a request on, to wait on disk.
+    /// Accepts a request by writing it to disk.
     async fn spill(
         self: Rc<Self>,
         backlog: Rc<Backlog>,
@@ -266,19 +278,19 @@
         answer: oneshot::Sender<Decision>,
     ) {
         if let Some(hooks) = &self.hooks {
-            let ruling = hooks.admit(&job, job.left());
+            let ruling = hooks.admit(&job, job.time_left());
             if ruling.refuse {
-                self.tell_backlog(&backlog, Event::SpillDropped { lane, count: 1 });
+                self.handle_backlog_event(&backlog, Event::SpillDropped { lane, count: 1 });
                 let refusal = Refusal::Refused { after: ruling.after };
-                return self.answer_placed(&job.id, answer, Decision::Refused(refusal));
+                return self.answer_and_release(&job.id, answer, Decision::Refused(refusal));
             }
             job.deadline = ruling.left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
             job.label = ruling.label;
         }
         let rules = self.rules();
         let Some(class) = rules.class(&job.class) else {
-            self.tell_backlog(&backlog, Event::SpillDropped { lane, count: 1 });
-            return self.answer_placed(&job.id, answer, Decision::Refused(Refusal::Failed));
+            self.handle_backlog_event(&backlog, Event::SpillDropped { lane, count: 1 });
+            return self.answer_and_release(&job.id, answer, Decision::Refused(Refusal::Failed));
         };
         let request = QueuedRequest::new(job, &rules.settings.classes[class]);
         let id = request.job.id.clone();
@@ -291,50 +303,51 @@
         };
         match backlog.append(message).await {
             Ok(place) => {
-                self.tell_backlog(&backlog, Event::Stored { lane, count: 1 });
-                self.count(|tally| tally.taken += 1);
+                self.handle_backlog_event(&backlog, Event::Stored { lane, count: 1 });
+                self.count(|tally| tally.accepted += 1);
                 backlog.figures.stored.inc();
-                match answer.send(Decision::Taken(TakenOn::in_backlog(&place))) {
+                match answer.send(Decision::Accepted(TakenOn::in_backlog(&place))) {
                     Ok(()) => self.release_id(&id, Some(Answer::Accepted)),
-                    // A client that is gone was not told: it hands the message in again.
+                    // The submitter has disconnected without an answer, and will submit the message again.
                     Err(_) => self.withdraw(&backlog, &id, place).await,
                 }
             }
             Err(error) => {
                 let fault = fault_of(&error);
-                tracing::debug!(%error, "the backlog does not take a request");
-                self.tell_backlog(&backlog, Event::StoreFailed { lane, count: 1, fault });
+                tracing::debug!(%error, "the backlog cannot store a request; it is refused");
+                self.handle_backlog_event(&backlog, Event::StoreFailed { lane, count: 1, fault });
                 if matches!(error, StoreError::Io(_) | StoreError::Closed) {
                     backlog.set_in_doubt(&id, true);
-                    actix_rt::spawn(self.clone().settle_doubt(backlog, id.clone()));
+                    actix_rt::spawn(self.clone().resolve_doubt(backlog, id.clone()));
                 }
-                self.answer_placed(&id, answer, refused(STORE_RETRY));
+                self.answer_and_release(&id, answer, refused_decision(STORE_RETRY_AFTER));
             }
         }
     }
 
-    /// Removes a message that was refused, should the store have it all the same, however long it takes.
-    async fn settle_doubt(self: Rc<Self>, backlog: Rc<Backlog>, id: String) {
-        while !self.is_handed() {
+    /// Removes a message that was refused because of a store fault but may have been stored even so. Retries until the
+    /// store can tell.
+    async fn resolve_doubt(self: Rc<Self>, backlog: Rc<Backlog>, id: String) {
+        while !self.is_handed_over() {
             let removed = match backlog.find(&id).await {
                 Ok(Some(place)) if backlog.claim_place(place) => {
                     let removed = backlog.remove(vec![place]).await;
                     backlog.release([place]);
                     removed
                 }
-                // It is not there, or on its way into memory, where it ends.
+                // It was not stored, or it is being fetched into memory and ends there.
                 Ok(_) => Ok(()),
                 Err(error) => Err(error),
             };
             if removed.is_ok() {
                 return backlog.set_in_doubt(&id, false);
             }
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Removes a message that nobody wants any more, unless it is on its way into memory: then its id is open until it
-    /// has ended there.
+    /// Removes a stored message whose submitter has disconnected, unless it is being fetched into memory: then its id
+    /// stays open until it ends there.
     async fn withdraw(self: &Rc<Self>, backlog: &Rc<Backlog>, id: &str, place: Place) {
         if !backlog.claim_place(place) {
             return;
@@ -342,153 +355,168 @@
         let removed = backlog.remove(vec![place]).await;
         backlog.release([place]);
         if removed.is_ok() {
-            self.tell_backlog(backlog, Event::RemovedFromDisk { lane: place.lane, count: 1 });
+            self.handle_backlog_event(backlog, Event::RemovedFromDisk { lane: place.lane, count: 1 });
         }
         self.release_id(id, None);
     }
 
-    /// Brings the first messages of a lane into memory.
+    /// Fetches the first messages of a lane into memory.
     async fn fetch(self: Rc<Self>, backlog: Rc<Backlog>, lane: Lane, most: u32) {
         let (claimed, exhausted) = match backlog.claim_first(lane, most).await {
             Ok(claimed) => claimed,
             Err(error) => return self.fetch_failed(&backlog, lane, &error),
         };
         let claimed_places: Vec<_> = claimed.iter().map(|message| message.place).collect();
-        let Taken { places, requests, unreadable } = self.journal_fetched(claimed);
+        let Journaled { places, requests, unreadable } = self.journal_fetched(claimed);
         if places.is_empty() && !claimed_places.is_empty() {
             backlog.release(claimed_places);
-            return self.fetch_failed(&backlog, lane, &"the journal has no room");
+            return self.fetch_failed(&backlog, lane, &"the journal is full");
         }
-        // What is removed without having been told ends for nobody.
-        let unread = unreadable.len() as u64;
-        let told = unreadable.into_iter().map(|notice| self.clone().tell_in_the_end(notice));
-        futures_util::future::join_all(told).await;
-        if !self.remove_in_the_end(&backlog, &places).await {
+        // Notices are delivered before the messages are removed: otherwise a crash could lose them.
+        let unreadable_count = unreadable.len() as u64;
+        let notices = unreadable.into_iter().map(|notice| self.clone().notify_with_retry(notice));
+        futures_util::future::join_all(notices).await;
+        if !self.remove_with_retry(&backlog, &places).await {
             return;
         }
-        let whole = exhausted && places.len() == claimed_places.len();
+        let all_fetched = exhausted && places.len() == claimed_places.len();
         backlog.release(claimed_places);
-        if unread > 0 {
-            self.tell_backlog(&backlog, Event::RemovedFromDisk { lane, count: unread });
+        if unreadable_count > 0 {
+            self.handle_backlog_event(&backlog, Event::RemovedFromDisk { lane, count: unreadable_count });
         }
         let count = requests.len() as u32;
         backlog.figures.fetched.inc_by(u64::from(count));
-        self.tell_backlog(&backlog, Event::Fetched { lane, count, exhausted: whole });
+        self.handle_backlog_event(&backlog, Event::Fetched { lane, count, exhausted: all_fetched });
         for (key, request) in requests {
-            self.go_on(Course::fetched(key, request));
+            self.continue_job(JobProgress::from_backlog(key, request));
         }
     }
 
     fn fetch_failed(self: &Rc<Self>, backlog: &Rc<Backlog>, lane: Lane, error: &dyn Display) {
-        tracing::warn!(%error, dest = lane.destination, "messages cannot be fetched from the backlog");
-        self.tell_backlog(backlog, Event::FetchFailed { lane });
+        tracing::warn!(
+            %error,
+            dest = lane.destination,
+            "cannot fetch messages from the backlog; the planner retries later"
+        );
+        self.handle_backlog_event(backlog, Event::FetchFailed { lane });
     }
 
-    /// Records messages in the journal, as many as it has room for.
-    fn journal_fetched(&self, fetched: Vec<StoredMessage>) -> Taken {
-        let mut taken = Taken::default();
+    /// Records fetched messages in the journal, as many as it has space for.
+    fn journal_fetched(&self, fetched: Vec<StoredMessage>) -> Journaled {
+        let mut journaled = Journaled::default();
         let mut journal = self.journal.borrow_mut();
         for message in fetched {
             let request = match QueuedRequest::decode(&message.payload) {
                 Ok(request) => request,
                 Err(error) => {
                     let id = message.id.into_string();
-                    tracing::error!(id, %error, "a message of the backlog is no request; it is given up");
-                    taken.places.push(message.place);
-                    taken.unreadable.push(Notice { id, end: NoticeEnd::Failed { status: None } });
+                    tracing::error!(id, %error, "a message of the backlog cannot be decoded; it fails");
+                    journaled.places.push(message.place);
+                    journaled.unreadable.push(Notice { id, end: NoticeEnd::Failed { status: None } });
                     continue;
                 }
             };
             match journal.fetched(&request, message.place) {
                 Ok(Some(key)) => {
-                    taken.places.push(message.place);
-                    taken.requests.push((key, request));
+                    journaled.places.push(message.place);
+                    journaled.requests.push((key, request));
                 }
                 Ok(None) => break,
                 Err(error) => {
-                    tracing::error!(%error, "the journal cannot take on what the backlog has");
+                    tracing::error!(
+                        %error,
+                        "the journal cannot record a request fetched from the backlog; it stays there"
+                    );
                     break;
                 }
             }
         }
-        taken
+        journaled
     }
 
-    /// Removes messages, however long it takes: they are the journal's now and must not be fetched again. False if the
-    /// backlog is another process's, which does it by the places in the journal.
-    async fn remove_in_the_end(&self, backlog: &Backlog, places: &[Place]) -> bool {
-        let failure = "messages cannot be removed from the backlog";
-        self.store_in_the_end(failure, async || backlog.remove(places.to_vec()).await).await
+    /// Removes messages, retrying until that succeeds: they are in the journal now and must not be fetched again. False
+    /// if another process has taken over, which removes them by their places in the journal.
+    async fn remove_with_retry(&self, backlog: &Backlog, places: &[Place]) -> bool {
+        let failure = "cannot remove messages from the backlog";
+        self.retry_store_operation(failure, async || backlog.remove(places.to_vec()).await).await
     }
 
-    /// Puts requests of a destination back on disk that are in memory and not out in a call.
+    /// Puts a destination's requests that came from disk back there, unless they are in flight.
     async fn park(self: Rc<Self>, backlog: Rc<Backlog>, destination: u64) {
-        let (give, mut given) = mpsc::unbounded_channel();
+        let (sender, mut receiver) = mpsc::unbounded_channel();
         for message in backlog.fetched(destination) {
-            order(&self.state.borrow(), message, Order::PutBack(give.clone()));
+            send_order(&self.state.borrow(), message, Order::PutBack(sender.clone()));
         }
-        drop(give);
+        drop(sender);
         let mut messages = Vec::new();
         let mut keys = Vec::new();
-        while let Some(Parked { key, job }) = given.recv().await {
+        while let Some(PutBackRequest { key, job }) = receiver.recv().await {
             let Some((request, place)) = self.journal.borrow().to_put_back(key, &job) else { continue };
-            messages.push(stored(&request, place));
+            messages.push(to_stored_message(&request, place));
             keys.push((key, job.id));
         }
-        if !messages.is_empty() && !self.put_back_in_the_end(&backlog, &messages).await {
+        if !messages.is_empty() && !self.put_back_with_retry(&backlog, &messages).await {
             return;
         }
         for (key, id) in keys {
             if let Err(error) = self.journal.borrow_mut().end(key) {
-                tracing::error!(id, %error, "the journal cannot record that the backlog has a request again");
+                tracing::error!(
+                    id,
+                    %error,
+                    "the journal cannot record yet that a request was put back in the backlog"
+                );
             }
-            self.decided(&id, None);
+            self.close_id(&id, None);
         }
         let mut returned = BTreeMap::<ClassNumber, u32>::new();
         messages.iter().for_each(|message| *returned.entry(message.place.lane.class).or_default() += 1);
         let returned = returned.into_iter().collect();
         backlog.figures.put_back.inc_by(messages.len() as u64);
-        self.tell_backlog(&backlog, Event::Parked { destination, returned });
+        self.handle_backlog_event(&backlog, Event::Parked { destination, returned });
     }
 
-    /// False if the backlog is another process's, which has the requests in the journal.
-    async fn put_back_in_the_end(&self, backlog: &Backlog, messages: &[StoredMessage]) -> bool {
-        let failure = "messages cannot be put back on disk";
-        self.store_in_the_end(failure, async || backlog.put_back(messages.to_vec()).await).await
+    /// Puts messages back on disk, retrying until that succeeds. False if another process has taken over, which has the
+    /// requests in the journal.
+    async fn put_back_with_retry(&self, backlog: &Backlog, messages: &[StoredMessage]) -> bool {
+        let failure = "cannot put messages back in the backlog";
+        self.retry_store_operation(failure, async || backlog.put_back(messages.to_vec()).await).await
     }
 
-    /// Tries an operation of the store until it works. False if the backlog is another process's by then.
-    async fn store_in_the_end(
+    /// Retries an operation of the store until it succeeds. False if another process has taken over by then.
+    async fn retry_store_operation(
         &self,
         failure: &str,
         operation: impl AsyncFn() -> Result<(), StoreError>,
     ) -> bool {
         loop {
             match operation().await {
-                Ok(()) => return !self.is_handed(),
-                Err(_) if self.is_handed() => return false,
+                Ok(()) => return !self.is_handed_over(),
+                Err(_) if self.is_handed_over() => return false,
                 Err(error) => {
-                    tracing::warn!(%error, "{failure}; trying on");
-                    sleep(RETRY_PAUSE).await;
+                    tracing::warn!(%error, "{failure}; retrying");
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Tells the ends of messages whose time is over, and removes them.
+    /// Delivers the notices of expired messages, and removes the messages.
     async fn end_expired(self: Rc<Self>, backlog: Rc<Backlog>, most: u32) {
         let (expired, more) = match backlog.claim_expired(most).await {
             Ok(claimed) => claimed,
             Err(error) => {
-                tracing::warn!(%error, "the backlog cannot tell whose time is over");
-                return self.tell_backlog(&backlog, Event::ExpiredReadFailed);
+                tracing::warn!(
+                    %error,
+                    "cannot read expired messages from the backlog; the planner retries later"
+                );
+                return self.handle_backlog_event(&backlog, Event::ExpiredReadFailed);
             }
         };
-        let notices: Vec<_> = expired.iter().map(|message| self.end_of(message)).collect();
-        let told = notices.into_iter().map(|notice| self.clone().tell_in_the_end(notice));
-        futures_util::future::join_all(told).await;
+        let notices: Vec<_> = expired.iter().map(|message| self.expiry_notice(message)).collect();
+        let deliveries = notices.into_iter().map(|notice| self.clone().notify_with_retry(notice));
+        futures_util::future::join_all(deliveries).await;
         let places: Vec<_> = expired.iter().map(|message| message.place).collect();
-        if !places.is_empty() && !self.remove_in_the_end(&backlog, &places).await {
+        if !places.is_empty() && !self.remove_with_retry(&backlog, &places).await {
             return;
         }
         backlog.figures.expired.inc_by(places.len() as u64);
@@ -497,16 +525,16 @@
         expired.iter().for_each(|message| *ended.entry(message.place.lane).or_default() += 1);
         let ended = ended.into_iter().map(|(lane, messages)| LaneCount { lane, messages }).collect();
         let earliest_end = backlog.earliest_end().await.ok().flatten();
-        self.tell_backlog(&backlog, Event::ExpiredRead { ended, more, earliest_end });
+        self.handle_backlog_event(&backlog, Event::ExpiredRead { ended, more, earliest_end });
     }
 
-    /// How a message ends whose time is over: handed back where that is harmless.
-    fn end_of(&self, message: &StoredMessage) -> Notice {
+    /// The notice of an expired message: a requeue notice if submitting it again is harmless, otherwise a failure.
+    fn expiry_notice(&self, message: &StoredMessage) -> Notice {
         let request = QueuedRequest::decode(&message.payload);
         let returns =
             request.as_ref().is_ok_and(|request| !request.may_have_run() || request.rules().may_come_again());
         if let Ok(request) = &request {
-            self.figures.ended(
+            self.metrics.message_ended(
                 &request.job.class,
                 if returns { MessageResult::Refused } else { MessageResult::Failed },
             );
@@ -520,14 +548,15 @@
         Notice { id, end }
     }
 
-    /// Tells an end, however long it takes.
-    async fn tell_in_the_end(self: Rc<Self>, notice: Notice) {
+    /// Delivers a notice, retrying until that succeeds.
+    async fn notify_with_retry(self: Rc<Self>, notice: Notice) {
         let end = SettledEnd::of_backlog(notice);
-        while self.transport.notify(&end).await.is_err() && !self.is_handed() {
-            sleep(RETRY_PAUSE).await;
+        while self.transport.notify(&end).await.is_err() && !self.is_handed_over() {
+            sleep(RETRY_DELAY).await;
         }
     }
 
+    /// Tests whether a failing store works again.
     async fn probe_store(self: Rc<Self>, backlog: Rc<Backlog>) {
         let event = match backlog.probe().await {
             Ok(()) => Event::StoreRecovered,
@@ -536,11 +565,11 @@
                 return;
             }
         };
-        self.tell_backlog(&backlog, event);
+        self.handle_backlog_event(&backlog, event);
     }
 }
 
-fn refusal(reason: RefusalReason) -> BacklogRefusal {
+fn refusal_label(reason: RefusalReason) -> BacklogRefusal {
     match reason {
         RefusalReason::TooLate => BacklogRefusal::TooLate,
         RefusalReason::Store(_) => BacklogRefusal::Store,
@@ -548,12 +577,12 @@
     }
 }
 
-fn refused(after: Duration) -> Decision {
+fn refused_decision(after: Duration) -> Decision {
     Decision::Refused(Refusal::Refused { after: Some(after) })
 }
 
-/// A request as the backlog is to have it again.
-fn stored(request: &QueuedRequest, place: Place) -> StoredMessage {
+/// Converts a request to the stored message that puts it back.
+fn to_stored_message(request: &QueuedRequest, place: Place) -> StoredMessage {
     StoredMessage {
         place,
         arrived: unix_millis(clock::now()),
--- a/relay/src/core/backlog/tests.rs
+++ b/relay/src/core/backlog/tests.rs
@@ -20,20 +20,20 @@
 
 const DESTINATION: u64 = 7;
 const CLASS: &str = "c";
-/// Requests that the relay may hold: the windows have three quarters of it.
-const MOST_HELD: u32 = 12;
-/// Calls that may be out at once.
+/// Limit of requests in memory, of which the planner's windows get three quarters.
+const MAX_IN_MEMORY: u32 = 12;
+/// Limit of calls in flight.
 const CALLS: u32 = 3;
 const JOURNAL_BYTES: u64 = 1_000_000;
-/// Longest wait for something that has to come; nothing depends on how long it took.
-const PATIENCE: Duration = Duration::from_secs(10);
-const LONG_LIFE: Duration = Duration::from_secs(600);
+/// Timeout for events that must happen; no assertion depends on how long they take.
+const TIMEOUT: Duration = Duration::from_secs(10);
+const LONG_TTL: Duration = Duration::from_secs(600);
 
-/// What the partner and the clients have seen, over all processes.
+/// What the partner and the submitters have observed, over all processes.
 #[derive(Default)]
 struct World {
-    taken: Vec<String>,
-    /// Calls that the partner answered with a delivery.
+    accepted: Vec<String>,
+    /// Calls for which the partner confirmed delivery.
     delivered: Vec<String>,
     notices: Vec<Notice>,
 }
@@ -52,12 +52,12 @@
     }
 }
 
-/// What the partner does with a call.
+/// How the partner handles a call.
 #[derive(Clone, Copy, PartialEq)]
 enum Mode {
     /// It cannot be reached.
     Down,
-    /// It has the call and does not answer.
+    /// It accepts the call and does not answer.
     Silent,
     Up,
 }
@@ -67,10 +67,10 @@
     control: Rc<Control>,
 }
 
-/// What the test tells the partner.
+/// The test's control of the partner.
 struct Control {
     mode: Cell<Mode>,
-    /// After so many deliveries it is silent.
+    /// Deliveries after which the partner becomes silent.
     deliveries_left: Cell<usize>,
     calls: Cell<usize>,
     changed: Notify,
@@ -98,7 +98,7 @@
         while control.mode.get() == Mode::Silent {
             control.changed.notified().await;
         }
-        self.world.lock().expect("whole").delivered.push(job.id.clone());
+        self.world.lock().expect("not poisoned").delivered.push(job.id.clone());
         permit.mark_delivered();
         control.deliveries_left.set(control.deliveries_left.get().saturating_sub(1));
         if control.deliveries_left.get() == 0 {
@@ -109,7 +109,7 @@
 
     async fn notify(&self, end: &SettledEnd) -> Result<(), String> {
         let notice = end.notice();
-        self.world.lock().expect("whole").notices.push(notice.clone());
+        self.world.lock().expect("not poisoned").notices.push(notice.clone());
         Ok(())
     }
 
@@ -121,13 +121,13 @@
 fn rules(classes: &[&str]) -> Rules {
     let class = Class {
         effect: Effect::Unsafe,
-        give_up: LONG_LIFE.as_nanos() as u64,
+        give_up: LONG_TTL.as_nanos() as u64,
         aim: 1_000_000_000,
         ..Class::default()
     };
     let settings = Settings {
         classes: vec![class; classes.len()],
-        max_held: Some(MOST_HELD),
+        max_held: Some(MAX_IN_MEMORY),
         slots: Some(CALLS),
         max_tries: Some(1_000),
         ..Settings::default()
@@ -136,7 +136,8 @@
     Rules { settings, names: slatethread_wirehost::env::Names { classes, ..Default::default() } }
 }
 
-/// A worker; with `killed` its process is killed with the first fault: what its thread would answer then is held back.
+/// Starts a store worker. With `crash`, the first fault of the store kills the process: the worker's thread notifies
+/// the test and sends no answer.
 fn worker(disk: &MemoryDisk, crash: Option<(Arc<Notify>, Receiver<()>)>) -> Worker {
     let (disk, mut opened) = (disk.clone(), false);
     let open = move || {
@@ -151,7 +152,7 @@
     Worker::start(Box::new(open), 4096).expect("it opens")
 }
 
-/// What outlasts processes.
+/// The state that survives a process.
 struct Site {
     folder: tempfile::TempDir,
     disk: MemoryDisk,
@@ -165,8 +166,8 @@
         Site { folder, disk: MemoryDisk::default(), world: Arc::default(), journal_bytes: JOURNAL_BYTES }
     }
 
-    /// One life of the relay's process: until the script is done, or until the store's process crashes (`None`). Then
-    /// nothing more of it runs.
+    /// Runs a relay process until the script ends, or until the process crashes (`None`), after which none of its tasks
+    /// runs.
     fn run<T>(&self, may_crash: bool, script: impl AsyncFnOnce(&Process) -> T) -> Option<T> {
         self.run_with(may_crash, &[CLASS], script)
     }
@@ -182,14 +183,14 @@
         let crashed = Arc::new(Notify::new());
         let crash = may_crash.then(|| (crashed.clone(), killed));
         let outcome = system.block_on(async {
-            let life = async { script(&Process::start(self, crash, classes).await).await };
-            let mut life = std::pin::pin!(life);
+            let process = async { script(&Process::start(self, crash, classes).await).await };
+            let mut process = std::pin::pin!(process);
             let outcome = tokio::select! {
                 biased;
                 () = crashed.notified() => None,
-                outcome = &mut life => Some(outcome),
+                outcome = &mut process => Some(outcome),
             };
-            // Before what may wait for the thread is dropped.
+            // Ends the worker's thread before the values that wait for it are dropped.
             drop(kill);
             outcome
         });
@@ -197,14 +198,14 @@
         outcome
     }
 
-    /// Goes on after a crash with a partner that is up, until everything has ended.
+    /// Continues after a crash with a partner that is up, until all requests have ended.
     fn finish(&self) {
-        // A crash that the first life did not come to hits a later one.
+        // A fault that the first process did not reach crashes a later one.
         while self
             .run(true, async |process| {
                 process.control.set(Mode::Up, usize::MAX);
                 process.until("all ends", || process.all_ended()).await;
-                // Also of those whose client was not answered any more.
+                // Includes requests whose submitter got no answer.
                 process.until("no open request", || process.core.state.borrow().ids.is_empty()).await;
                 process.until("an empty disk", || self.disk.messages().is_empty()).await;
                 process.until("no open request", || process.core.state.borrow().ids.is_empty()).await;
@@ -214,29 +215,31 @@
         let (_, open) = Journal::open(self.folder.path(), self.journal_bytes).expect("it opens");
         assert!(
             open.is_empty(),
-            "still owed: {:?}",
+            "still open: {:?}",
             open.iter().map(|open| &open.job.id).collect::<Vec<_>>()
         );
     }
 
-    /// Every request that was taken on has one end. The notice of one whose time is over (`expires`) may be repeated:
-    /// it is told before the message is removed, and says the same again.
+    /// Checks that every accepted request has exactly one end. The notice of an expired request (`expires`) may be
+    /// repeated with the same content, since it is delivered before the message is removed.
     fn check_ends(&self, expires: impl Fn(&str) -> bool) {
-        let world = self.world.lock().expect("whole");
-        for id in &world.taken {
+        let world = self.world.lock().expect("not poisoned");
+        for id in &world.accepted {
             let (deliveries, notices) = (world.deliveries(id), world.notices(id));
-            let one = match notices.as_slice() {
+            let ended_once = match notices.as_slice() {
                 [] => deliveries == 1,
-                [first, rest @ ..] => {
-                    deliveries == 0 && rest.iter().all(|end| end == first) && (rest.is_empty() || expires(id))
+                [first, others @ ..] => {
+                    deliveries == 0
+                        && others.iter().all(|end| end == first)
+                        && (others.is_empty() || expires(id))
                 }
             };
-            assert!(one, "{id}: delivered {deliveries} times, told {notices:?}");
+            assert!(ended_once, "{id}: delivered {deliveries} times, notices {notices:?}");
         }
     }
 }
 
-/// One life of the relay's process.
+/// A relay process.
 struct Process {
     core: Rc<Core<Partner>>,
     backlog: Rc<Backlog>,
@@ -251,20 +254,20 @@
         let control = Rc::new(control);
         let partner = Partner { world: site.world.clone(), control: control.clone() };
         let (journal, open) = Journal::open(site.folder.path(), site.journal_bytes).expect("it opens");
-        let figures = Metrics::new(&[]);
-        let backlog_figures = BacklogMetrics::register(&figures);
+        let metrics = Metrics::new(&[]);
+        let backlog_metrics = BacklogMetrics::register(&metrics);
         let disabled = DisabledNodes::open(site.folder.path());
-        let core = Core::new(partner, rules(classes), None, 1, journal, disabled, figures);
+        let core = Core::new(partner, rules(classes), None, 1, journal, disabled, metrics);
         let settings =
             config::Backlog { folder: "unused".into(), memory_bytes: 32 << 20, disk_bytes: 1 << 30 };
         let classes: Vec<_> =
             classes.iter().map(|name| BacklogClass { name: (*name).into(), worth: 1.0 }).collect();
         let worker = worker(&site.disk, crash);
         let opened =
-            Backlog::over(worker, &settings, &classes, Some(MOST_HELD), &open, backlog_figures).await;
+            Backlog::over(worker, &settings, &classes, Some(MAX_IN_MEMORY), &open, backlog_metrics).await;
         let (backlog, actions) = match opened {
             Ok(opened) => opened,
-            // Killed while it opens.
+            // Not reached by a crash during opening, which ends the run first.
             Err(error) => panic!("{error}"),
         };
         core.attach_backlog(backlog, actions).expect("written");
@@ -279,12 +282,12 @@
         Process { core, backlog, world: site.world.clone(), control }
     }
 
-    fn job(&self, id: &str, class: &str, life: Duration) -> Job {
+    fn job(&self, id: &str, class: &str, ttl: Duration) -> Job {
         Job {
             id: id.into(),
             class: class.into(),
             dest: DESTINATION,
-            deadline: clock::now() + life,
+            deadline: clock::now() + ttl,
             retry: false,
             reconnect: false,
             label: None,
@@ -293,32 +296,32 @@
         }
     }
 
-    async fn admit(&self, id: &str, life: Duration) -> Answer {
-        let answer = self.core.admit(self.job(id, CLASS, life)).await;
+    async fn admit(&self, id: &str, ttl: Duration) -> Answer {
+        let answer = self.core.admit(self.job(id, CLASS, ttl)).await;
         if answer == Answer::Accepted {
-            self.world.lock().expect("whole").taken.push(id.to_owned());
+            self.world.lock().expect("not poisoned").accepted.push(id.to_owned());
         }
         answer
     }
 
-    async fn admit_all(&self, name: &str, count: usize, life: Duration) {
+    async fn admit_all(&self, name: &str, count: usize, ttl: Duration) {
         for number in 0..count {
-            let answer = self.admit(&format!("{name}{number}"), life).await;
+            let answer = self.admit(&format!("{name}{number}"), ttl).await;
             assert_eq!(answer, Answer::Accepted, "{name}{number}");
         }
     }
 
     fn all_ended(&self) -> bool {
-        let world = self.world.lock().expect("whole");
-        world.taken.iter().all(|id| world.has_ended(id))
+        let world = self.world.lock().expect("not poisoned");
+        world.accepted.iter().all(|id| world.has_ended(id))
     }
 
     fn delivered(&self) -> usize {
-        self.world.lock().expect("whole").delivered.len()
+        self.world.lock().expect("not poisoned").delivered.len()
     }
 
     async fn until(&self, what: &str, condition: impl Fn() -> bool) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         while !condition() {
             assert!(Instant::now() < end, "no {what}");
             sleep(Duration::from_millis(2)).await;
@@ -326,16 +329,16 @@
     }
 }
 
-/// Spills, fetches, removes, puts back and lets messages expire; then all goes on to its end.
+/// Spills, fetches, removes, puts back and expires messages, then completes the rest.
 async fn history(process: &Process) {
     process.control.set(Mode::Silent, usize::MAX);
-    process.admit_all("m", 14, LONG_LIFE).await;
+    process.admit_all("m", 14, LONG_TTL).await;
     process.admit_all("s", 3, Duration::from_millis(300)).await;
     process.control.set(Mode::Up, 4);
     process.until("deliveries", || process.delivered() >= 4).await;
-    let out = || process.core.state.borrow().out.len();
-    process.until("calls that are out", || out() > 0).await;
-    process.until("a fetch", || process.backlog.fetched(DESTINATION).len() > out()).await;
+    let in_flight = || process.core.state.borrow().in_flight.len();
+    process.until("calls in flight", || in_flight() > 0).await;
+    process.until("a fetch", || process.backlog.fetched(DESTINATION).len() > in_flight()).await;
     process.core.clone().park(process.backlog.clone(), DESTINATION).await;
     process.control.set(Mode::Up, usize::MAX);
     process.until("all ends", || process.all_ended()).await;
@@ -355,8 +358,8 @@
 }
 
 #[test]
-fn every_request_has_one_end_whatever_operation_of_the_store_a_crash_comes_at() {
-    const AT_ONCE: usize = 32;
+fn every_request_ends_exactly_once_if_the_relay_crashes_at_any_store_operation() {
+    const PARALLEL_RUNS: usize = 32;
     let site = Site::new();
     assert!(site.run(true, history).is_some());
     let operations = site.disk.operations();
@@ -365,10 +368,10 @@
     let crashes = |number| [(number, Fault::CrashBefore), (number, Fault::CrashAfter)];
     let points: Vec<_> = (0..operations).flat_map(crashes).collect();
     let mut crashed = 0;
-    for some in points.chunks(AT_ONCE) {
+    for batch in points.chunks(PARALLEL_RUNS) {
         std::thread::scope(|scope| {
             let run = |&(number, fault)| scope.spawn(move || ((number, fault), crash_at(number, fault)));
-            let runs: Vec<_> = some.iter().map(run).collect();
+            let runs: Vec<_> = batch.iter().map(run).collect();
             crashed +=
                 runs.into_iter().map(|run| run.join().expect("one end")).filter(|(_, hit)| *hit).count();
         });
@@ -377,22 +380,22 @@
     assert!(crashed > points.len() / 2, "{crashed} of {}", points.len());
 }
 
-/// Messages of which some wait on disk, with a partner that has calls and does not answer them.
+/// Accepts messages of which some wait on disk, with a partner that does not answer its calls.
 async fn with_backlog(process: &Process) {
     process.control.set(Mode::Silent, usize::MAX);
-    process.admit_all("m", 16, LONG_LIFE).await;
+    process.admit_all("m", 16, LONG_TTL).await;
     assert!(process.backlog.on_disk() > 0);
 }
 
 #[test]
-fn a_client_that_is_gone_before_its_answer_can_hand_its_request_in_again() {
+fn a_client_that_disconnects_before_its_answer_can_submit_its_request_again() {
     let site = Site::new();
     site.run(false, async |process| {
         with_backlog(process).await;
         site.disk.fail(site.disk.operations(), Fault::Stall(Duration::from_millis(300)));
-        let gone = process.core.admit(process.job("gone", CLASS, LONG_LIFE));
-        assert!(tokio::time::timeout(Duration::from_millis(20), gone).await.is_err());
-        let again = tokio::time::timeout(PATIENCE, process.admit("gone", LONG_LIFE)).await;
+        let disconnected = process.core.admit(process.job("gone", CLASS, LONG_TTL));
+        assert!(tokio::time::timeout(Duration::from_millis(20), disconnected).await.is_err());
+        let again = tokio::time::timeout(TIMEOUT, process.admit("gone", LONG_TTL)).await;
         assert_eq!(again.expect("an answer"), Answer::Accepted);
         let copies = site.disk.messages().iter().filter(|message| &*message.id == "gone").count();
         assert_eq!(copies, 1);
@@ -402,25 +405,25 @@
 }
 
 #[test]
-fn a_request_that_was_refused_though_the_store_has_it_is_removed_there() {
+fn a_request_that_is_refused_although_it_was_stored_is_removed_from_the_store() {
     let site = Site::new();
     site.run(false, async |process| {
         with_backlog(process).await;
-        // The first is the look for the same id.
+        // The next operation looks up the id.
         let append = site.disk.operations() + 1;
         site.disk.fail(append, Fault::ErrorAfter);
         site.disk.fail(append + 1, Fault::Error);
-        assert_eq!(process.admit("doubt", LONG_LIFE).await, refused(STORE_RETRY).told());
-        process.until("certainty", || !process.backlog.is_in_doubt("doubt")).await;
+        assert_eq!(process.admit("doubt", LONG_TTL).await, refused_decision(STORE_RETRY_AFTER).answer());
+        process.until("resolved doubt", || !process.backlog.is_in_doubt("doubt")).await;
         assert!(site.disk.messages().iter().all(|message| &*message.id != "doubt"));
     });
     site.finish();
-    assert_eq!(site.world.lock().expect("whole").deliveries("doubt"), 0);
+    assert_eq!(site.world.lock().expect("not poisoned").deliveries("doubt"), 0);
     site.check_ends(|_| false);
 }
 
 #[test]
-fn a_fetch_with_a_full_journal_is_put_off() {
+fn a_fetch_with_a_full_journal_leaves_messages_on_disk() {
     let site = Site::new();
     site.run(false, async |process| {
         with_backlog(process).await;
--- a/relay/src/core/bundle.rs
+++ b/relay/src/core/bundle.rs
@@ -1,8 +1,9 @@
-//! Claims that travel as one call: what the module sends to one node in one round, where that node takes several
-//! messages in a call. They share one fate.
+//! Bundled claims: the claims that the decision module sends to one node in one round travel as one call if the node
+//! accepts several messages per call. They succeed or fail together.
 //!
-//! Each job's life goes on by itself and joins with its part; the first to join takes the call out for all once every
-//! other has joined or will not. Who gives up takes the call back for all: a message of it must not be out twice.
+//! Each job still runs in its own task, which adds its message to the bundle. The first task to join makes the call for
+//! all of them, once every other task has joined or dropped out. If any task gives up, the whole call is cancelled: the
+//! task's job may be sent again, and a message must not be in flight twice.
 use bytes::Bytes;
 use futures_util::future::select_all;
 use std::cell::{Cell, RefCell};
@@ -13,7 +14,7 @@
 use super::{Node, SendPermit, Transport};
 use crate::job::{Job, Outcome};
 
-/// One of the messages of a call.
+/// A message in a call with several messages.
 #[derive(Clone)]
 pub struct BundledMessage {
     pub id: String,
@@ -22,28 +23,28 @@
     pub permit: Rc<SendPermit>,
 }
 
-/// What one round sends to one node.
+/// The claims that one round sends to one node in one call.
 pub(super) struct Bundle {
-    /// The shortest time that one of them may take: they have one time-out, since they have one connection.
+    /// The shortest time limit of all claims: they have a common timeout, since they use one connection.
     limit: Cell<Duration>,
-    /// Claims that have not joined yet, and may.
-    awaited: Cell<usize>,
+    /// Claims that may still join.
+    pending: Cell<usize>,
     size: Cell<usize>,
     joined: RefCell<Vec<(BundledMessage, oneshot::Sender<Outcome>)>>,
-    gathered: Notify,
+    all_joined: Notify,
 }
 
-/// A claim's share in a bundle; without it the bundle goes on alone.
+/// A claim's membership in a bundle. Once it is dropped, the bundle no longer waits for the claim to join.
 pub(super) struct Share(Rc<Bundle>);
 
 impl Bundle {
     pub fn new() -> Rc<Self> {
         Rc::new(Bundle {
             limit: Cell::new(Duration::MAX),
-            awaited: Cell::new(0),
+            pending: Cell::new(0),
             size: Cell::new(0),
             joined: RefCell::default(),
-            gathered: Notify::new(),
+            all_joined: Notify::new(),
         })
     }
 
@@ -53,7 +54,7 @@
 
     pub fn share(self: &Rc<Self>, limit: Duration) -> Share {
         self.limit.set(self.limit.get().min(limit));
-        self.awaited.set(self.awaited.get() + 1);
+        self.pending.set(self.pending.get() + 1);
         self.size.set(self.size.get() + 1);
         Share(self.clone())
     }
@@ -61,21 +62,21 @@
 
 impl Drop for Share {
     fn drop(&mut self) {
-        let left = self.0.awaited.get() - 1;
-        self.0.awaited.set(left);
+        let left = self.0.pending.get() - 1;
+        self.0.pending.set(left);
         if left == 0 {
-            self.0.gathered.notify_one();
+            self.0.all_joined.notify_one();
         }
     }
 }
 
 impl Share {
-    /// The time-out of the call.
+    /// The timeout of the call.
     pub fn limit(&self) -> Duration {
         self.0.limit.get()
     }
 
-    /// Takes the claim out together with the others, and gives its own outcome.
+    /// Sends the claim together with the others; returns this claim's outcome.
     pub async fn claim<C: Transport>(
         self,
         transport: &C,
@@ -88,56 +89,57 @@
             return transport.claim(job, node, limit, permit).await;
         }
         let bundle = self.0.clone();
-        let leads = bundle.joined.borrow().is_empty();
-        let (tell, told) = oneshot::channel();
-        let part = BundledMessage {
+        let is_leader = bundle.joined.borrow().is_empty();
+        let (sender, receiver) = oneshot::channel();
+        let message = BundledMessage {
             id: job.id.clone(),
             fields: job.fields.clone(),
             body: job.body.clone(),
             permit: permit.clone(),
         };
-        bundle.joined.borrow_mut().push((part, tell));
+        bundle.joined.borrow_mut().push((message, sender));
         let begun = Instant::now();
         drop(self);
-        if !leads {
-            return match told.await {
+        if !is_leader {
+            return match receiver.await {
                 Ok(outcome) => outcome,
-                // Its connection is gone with the one that gave up.
+                // The leader was cancelled, and the connection was closed with it.
                 Err(_) if !permit.is_sent() => Outcome::NotSent,
-                Err(_) if begun.elapsed() + NEARLY >= limit => Outcome::TimedOut,
+                Err(_) if begun.elapsed() + TIMEOUT_TOLERANCE >= limit => Outcome::TimedOut,
                 Err(_) => Outcome::Reset,
             };
         }
-        drop(told);
-        bundle.gathered.notified().await;
+        drop(receiver);
+        bundle.all_joined.notified().await;
         let mut joined = bundle.joined.take();
         if joined.len() == 1 {
             return transport.claim(job, node, limit, permit).await;
         }
-        let parts: Vec<_> = joined.iter().map(|(part, _)| part.clone()).collect();
+        let messages: Vec<_> = joined.iter().map(|(message, _)| message.clone()).collect();
         let outcomes = {
-            let others = joined.iter_mut().skip(1).map(|(_, tell)| Box::pin(tell.closed()));
+            let others = joined.iter_mut().skip(1).map(|(_, sender)| Box::pin(sender.closed()));
             tokio::select! {
                 biased;
-                outcomes = transport.claim_bundle(&parts, node, limit) => outcomes,
+                outcomes = transport.claim_bundle(&messages, node, limit) => outcomes,
                 _ = select_all(others) => {
-                    let cut = |part: &BundledMessage| if part.permit.is_sent() { Outcome::Reset } else { Outcome::NotSent };
-                    parts.iter().map(cut).collect()
+                    let cancelled = |message: &BundledMessage|
+                        if message.permit.is_sent() { Outcome::Reset } else { Outcome::NotSent };
+                    messages.iter().map(cancelled).collect()
                 }
             }
         };
         let mut outcomes = outcomes.into_iter();
         let own = outcomes.next().unwrap_or(Outcome::Error);
-        for ((_, tell), outcome) in joined.into_iter().skip(1).zip(outcomes) {
-            // Who is gone has given up.
-            let _ = tell.send(outcome);
+        for ((_, sender), outcome) in joined.into_iter().skip(1).zip(outcomes) {
+            // Fails only if the task has given up meanwhile.
+            let _ = sender.send(outcome);
         }
         own
     }
 }
 
-/// Time-outs of one call are told within so much of each other.
-const NEARLY: Duration = Duration::from_millis(20);
+/// The claims of one call notice its timeout within this time of each other.
+const TIMEOUT_TOLERANCE: Duration = Duration::from_millis(20);
 
 #[cfg(test)]
 mod tests;
--- a/relay/src/core/decision.rs
+++ b/relay/src/core/decision.rs
@@ -1,22 +1,22 @@
-//! What a submitter is answered. That a message is taken on can only be said with the receipt of what has it.
+//! The decision on a new job. Accepting one requires the receipt of the journal or backlog that has stored it.
 use std::time::Duration;
 
 use crate::job::Answer;
 use crate::journal::TakenOn;
 
-/// What was decided on a new job.
+/// The decision on a new job.
 #[derive(Debug)]
 pub(super) enum Decision {
-    Taken(TakenOn),
+    Accepted(TakenOn),
     Refused(Refusal),
-    /// The process that has taken over has decided.
-    ByAnother(Answer),
+    /// Decided by the process that has taken over.
+    FromSuccessor(Answer),
 }
 
-/// Why a job is not taken on.
+/// Why a job is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Refusal {
-    /// Handing it in again is harmless, after that time if one is told.
+    /// Submitting it again is harmless, after the given time if there is one.
     Refused {
         after: Option<Duration>,
     },
@@ -33,12 +33,12 @@
 }
 
 impl Decision {
-    /// What the submitter hears of it.
-    pub fn told(&self) -> Answer {
+    /// The answer to the submitter.
+    pub fn answer(&self) -> Answer {
         match self {
-            Decision::Taken(_) => Answer::Accepted,
+            Decision::Accepted(_) => Answer::Accepted,
             Decision::Refused(refusal) => (*refusal).into(),
-            Decision::ByAnother(answer) => *answer,
+            Decision::FromSuccessor(answer) => *answer,
         }
     }
 }
--- a/relay/src/core/ends.rs
+++ b/relay/src/core/ends.rs
@@ -1,54 +1,61 @@
-//! The ends of jobs: recorded, then told, then forgotten.
+//! The ends of jobs: each is recorded in the journal, then reported by a notice, then released.
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-use super::life::Course;
+use super::job_task::JobProgress;
 use super::{Core, Transport};
 use crate::job::{Answer, Job, Notice, NoticeEnd};
 use crate::journal::{Key, SettledEnd};
 use crate::metrics::MessageResult;
 
-/// Shortest and longest time between two tries to tell an end.
-const NOTICE_FIRST_PAUSE: Duration = Duration::from_millis(50);
-const NOTICE_PAUSE: Duration = Duration::from_secs(2);
-/// Pause between two tries whether the journal can be written again.
-const JOURNAL_PAUSE: Duration = Duration::from_millis(20);
+/// Shortest and longest delay between two attempts to deliver a notice.
+const NOTICE_MIN_DELAY: Duration = Duration::from_millis(50);
+const NOTICE_MAX_DELAY: Duration = Duration::from_secs(2);
+/// Delay between two attempts to write a failing journal.
+const JOURNAL_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl<C: Transport> Core<C> {
-    /// Tells the end of a job, if it has one to tell, and forgets it.
-    pub(super) async fn finish(&self, job: &Job, course: &Course, notice: Option<Notice>) {
+    /// Records and delivers the notice of a job's end, if it has one, and releases the job.
+    pub(super) async fn finish(&self, job: &Job, progress: &JobProgress, notice: Option<Notice>) {
         if let Some(notice) = notice {
-            let Some(end) = self.settle_end(job, course.key(), notice).await else { return };
+            let Some(end) = self.record_end(job, progress.key(), notice).await else { return };
             self.count_end(job, end.notice());
-            if !self.tell_end(job, &end).await {
+            if !self.deliver_notice(job, &end).await {
                 return;
             }
         }
-        if !self.is_handed() {
-            self.forget(job, course, Some(Answer::Accepted));
+        if !self.is_handed_over() {
+            self.release_job(job, progress, Some(Answer::Accepted));
         }
     }
 
-    /// Records an end. While that cannot be done it is tried again, until the job's time is over: then it has failed, whatever was
-    /// decided on it, since that is what a later process would come to. None if the job is another process's meanwhile.
-    async fn settle_end(&self, job: &Job, key: Key, notice: Notice) -> Option<SettledEnd> {
+    /// Records an end, retrying until the job's deadline. After the deadline the job counts as failed, whatever was
+    /// decided before, since a later process that finds no record comes to the same result. `None` if another process
+    /// has taken over meanwhile.
+    async fn record_end(&self, job: &Job, key: Key, notice: Notice) -> Option<SettledEnd> {
         loop {
-            if self.is_handed() {
+            if self.is_handed_over() {
                 return None;
             }
             let error = match self.journal.borrow_mut().ending(key, &notice) {
                 Ok(end) => return Some(end),
                 Err(error) => error,
             };
-            let left = job.left();
-            tracing::debug!(id = job.id, ?left, %error, end = ?notice.end, "journal cannot record an end; it is not told yet");
+            let left = job.time_left();
+            tracing::debug!(
+                id = job.id,
+                ?left,
+                %error,
+                end = ?notice.end,
+                "journal cannot record the end of a job; its notice is delayed"
+            );
             if left.is_zero() {
                 return Some(self.journal.borrow_mut().out_of_time(key, job));
             }
             tokio::select! {
                 () = self.journal_health.works() => {}
                 () = sleep(left) => {}
-                () = self.handed.cancelled() => {}
+                () = self.handed_over.cancelled() => {}
             }
         }
     }
@@ -60,67 +67,69 @@
             NoticeEnd::Replaced => tally.replaced += 1,
         });
         let failed = matches!(notice.end, NoticeEnd::Failed { .. });
-        self.figures.ended(&job.class, if failed { MessageResult::Failed } else { MessageResult::Refused });
+        self.metrics
+            .message_ended(&job.class, if failed { MessageResult::Failed } else { MessageResult::Refused });
         let label = job.label.as_deref().unwrap_or("");
-        tracing::debug!(id = job.id, dest = job.dest, end = ?notice.end, label, "ended undelivered");
+        tracing::debug!(id = job.id, dest = job.dest, end = ?notice.end, label, "job ended undelivered");
     }
 
-    /// Tells an end until it is heard. False if whoever has the journal by then tells it.
-    async fn tell_end(&self, job: &Job, end: &SettledEnd) -> bool {
-        let begun = Instant::now();
-        let mut pause = NOTICE_FIRST_PAUSE;
+    /// Delivers a notice, retrying until it is received. False if another process has taken over, which delivers it.
+    async fn deliver_notice(&self, job: &Job, end: &SettledEnd) -> bool {
+        let started = Instant::now();
+        let mut delay = NOTICE_MIN_DELAY;
         while let Err(e) = self.transport.notify(end).await {
-            // Its room in the journal is kept: should nobody listen for long, new jobs are refused.
-            if pause == NOTICE_FIRST_PAUSE {
-                tracing::warn!(id = job.id, error = e, "an end could not be told; trying on");
+            // Its records stay in the journal meanwhile. During a long outage of the receiver the journal fills up, and
+            // new jobs are refused.
+            if delay == NOTICE_MIN_DELAY {
+                tracing::warn!(id = job.id, error = e, "could not deliver a notice; retrying");
             }
             tokio::select! {
-                () = sleep(pause) => {}
-                () = self.handed.cancelled() => return false,
+                () = sleep(delay) => {}
+                () = self.handed_over.cancelled() => return false,
             }
-            pause = (pause * 2).min(NOTICE_PAUSE);
+            delay = (delay * 2).min(NOTICE_MAX_DELAY);
         }
-        tracing::debug!(id = job.id, after = ?begun.elapsed(), "an end was heard");
+        tracing::debug!(id = job.id, after = ?started.elapsed(), "notice delivered");
         true
     }
 
-    /// Nothing more is owed for a job; its id may have been `told` an answer that goes on to hold.
-    pub(super) fn forget(&self, job: &Job, course: &Course, told: Option<Answer>) {
-        if let Err(error) = self.journal.borrow_mut().end(course.key()) {
-            tracing::debug!(id = job.id, %error, "journal cannot record yet that nothing more is owed");
+    /// Releases a job that needs nothing more. `answer`, if any, is repeated to recent resubmissions of its id.
+    pub(super) fn release_job(&self, job: &Job, progress: &JobProgress, answer: Option<Answer>) {
+        if let Err(error) = self.journal.borrow_mut().end(progress.key()) {
+            tracing::debug!(id = job.id, %error, "journal cannot record the release of a job yet");
         }
-        self.decided(&job.id, told);
+        self.close_id(&job.id, answer);
     }
 
-    /// The latest claim of a job never ran.
+    /// Records that the latest claim of a job never ran.
     pub(super) fn record_never_ran(&self, key: Key, id: &str) {
         if let Err(error) = self.journal.borrow_mut().never_ran(key) {
             tracing::debug!(id, %error, "journal cannot record yet that a claim never ran");
         }
     }
 
-    /// Tries a journal that cannot be written until it can. Has no end.
+    /// Retries the journal whenever it cannot be written. Returns only once another process has taken over.
     pub async fn retry_journal(&self) {
         loop {
             self.journal_health.failed().await;
-            // What waits for a place is not sent before that.
+            // The next round pauses all claims: none may be sent before it is recorded.
             self.wake.notify_one();
-            while self.journal_health.is_failing() && !self.is_handed() {
-                sleep(JOURNAL_PAUSE).await;
+            while self.journal_health.is_failing() && !self.is_handed_over() {
+                sleep(JOURNAL_RETRY_DELAY).await;
                 let _ = self.journal.borrow_mut().retry();
             }
-            if self.is_handed() {
+            if self.is_handed_over() {
                 return;
             }
             self.wake.notify_one();
         }
     }
 
-    /// An id is no longer open.
-    pub(super) fn decided(&self, id: &str, told: Option<Answer>) {
+    /// Closes an id and wakes up resubmissions of it that wait for its decision.
+    pub(super) fn close_id(&self, id: &str, answer: Option<Answer>) {
         let mut state = self.state.borrow_mut();
         state.ids.remove(id);
-        told.into_iter().for_each(|told| state.recent.add(id, told));
+        answer.into_iter().for_each(|answer| state.recent.add(id, answer));
         self.decisions.notify_waiters();
     }
 }
--- a/relay/src/core/succession.rs
+++ b/relay/src/core/handover.rs
@@ -1,9 +1,9 @@
-//! Handing all jobs over to another process of the relay, and taking them on.
+//! Handing all jobs over to another process of the relay, and taking them over from one.
 //!
-//! Each job has one owner at each moment: who has the journal. A claim that is out belongs to the process that made it
-//! until it comes home; its job is the new owner's, which holds it back and leaves its slot alone for so long.
+//! Each job has one owner at any time: the process that has the journal. A claim in flight belongs to the process that
+//! made it until its outcome is known. Until then, the new owner neither sends that job nor uses the claim's slot.
 use futures_util::future::LocalBoxFuture;
-use onyxglade_backlog::planner::Outcome as Left;
+use onyxglade_backlog::planner::Outcome as MemoryOutcome;
 use slatethread::{DestId, Learned, LearnedPeer};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 
 use super::backlog::MemorySlot;
-use super::life::Course;
+use super::job_task::JobProgress;
 use super::{Core, Transport};
 use crate::estate::{Estate, Home, LearnedNode, LearnedUnit, ToldWait};
 use crate::job::{Answer, Job, Outcome, nanos};
@@ -21,9 +21,9 @@
 
 /// The process that has taken over.
 pub trait Successor {
-    /// Takes a job from a submitter who is still connected here.
+    /// Forwards a job from a submitter that is still connected here.
     fn admit(&self, job: Job) -> LocalBoxFuture<'_, Answer>;
-    /// A claim has come home.
+    /// Reports the outcome of a claim that was in flight at the handover.
     fn claim_ended(&self, home: Home);
 }
 
@@ -32,18 +32,18 @@
 }
 
 impl<C: Transport> Core<C> {
-    /// Stops deciding and lets the journal go, at once and between two rounds: from the return of this on the jobs are
-    /// another process's. Claims that are out come home to `successor`; those not yet sent never are.
+    /// Stops the decision rounds and closes the journal, at once and between two rounds. Once this returns, the jobs
+    /// belong to another process. The outcomes of claims in flight go to `successor`; claims not yet sent never are.
     pub fn hand_over(&self, successor: Rc<dyn Successor>) -> Estate {
         self.winding_down.set(true);
         let estate = self.estate();
-        // The newcomer hears of each claim that is out what became of it, also of those that have not begun.
-        self.state.borrow().out.values().for_each(|permit| permit.record_unsent());
+        // The successor receives an outcome for every claim in flight, including those of which no byte was sent.
+        self.state.borrow().in_flight.values().for_each(|permit| permit.record_unsent());
         *self.successor.borrow_mut() = Some(successor);
         self.journal.borrow_mut().close();
         self.hand_over_backlog();
-        self.handed.cancel();
-        self.closing.notify_waiters();
+        self.handed_over.cancel();
+        self.rounds_stopped.notify_waiters();
         self.decisions.notify_waiters();
         estate
     }
@@ -90,32 +90,32 @@
         });
         Estate {
             generation: self.generation.get(),
-            nodes: state.nodes.all().map(|node| node.listed(&self.rules())).collect(),
+            nodes: state.nodes.all().map(|node| node.to_listed_node(&self.rules())).collect(),
             waits: waits.collect(),
             learned: learned.collect(),
             recent,
-            out: state.out.keys().copied().collect(),
+            out: state.in_flight.keys().copied().collect(),
             drained: false,
         }
     }
 
-    /// The jobs are another process's.
-    pub(super) fn is_handed(&self) -> bool {
-        self.handed.is_cancelled()
+    /// Whether the jobs belong to another process.
+    pub(super) fn is_handed_over(&self) -> bool {
+        self.handed_over.is_cancelled()
     }
 
-    /// Calls off what is still out: it may have run.
+    /// Cancels the claims still in flight; they may have run.
     pub fn cancel_claims(&self) {
-        self.ended.cancel();
+        self.claims_cancelled.cancel();
     }
 
-    /// Whether no claim is out any more.
+    /// Whether no claim is in flight.
     pub fn no_claims_in_flight(&self) -> bool {
-        self.state.borrow().out.is_empty()
+        self.state.borrow().in_flight.is_empty()
     }
 
-    /// Takes on what another process had: its list, what it was told and learned, its jobs. Gives, for each job whose
-    /// claim is still out there, where its outcome is to be told; a claim that is never told of may have run.
+    /// Takes over the state of another process: its list of nodes, requested waits, learned limits and jobs. Returns a
+    /// sender for the outcome of each claim that is still in flight there; a claim without an outcome may have run.
     pub async fn take_over(
         self: &Rc<Self>,
         estate: &Estate,
@@ -135,31 +135,33 @@
         list.generation = estate.generation.unwrap_or(0);
         self.apply_list(&list).await;
         for node in &estate.nodes {
-            self.set_back(&node.name, node.back_ms);
+            self.set_enabled_ms(&node.name, node.back_ms);
         }
-        // The module knows what is listed after a round.
+        // The decision module knows the list only after a round.
         self.round(Instant::now());
-        self.recall(estate);
-        let mut homes = Vec::new();
-        let (out, here): (Vec<_>, Vec<_>) = open.into_iter().partition(|open| estate.out.contains(&open.key));
-        self.borrowed.set(out.len());
-        self.lend();
-        for open in out {
-            let (tell, home) = oneshot::channel();
-            homes.push((open.key, tell));
+        self.restore_learned(estate);
+        let mut senders = Vec::new();
+        let (in_flight, idle): (Vec<_>, Vec<_>) =
+            open.into_iter().partition(|open| estate.out.contains(&open.key));
+        self.predecessor_claims.set(in_flight.len());
+        self.reserve_predecessor_slots();
+        for open in in_flight {
+            let (sender, home) = oneshot::channel();
+            senders.push((open.key, sender));
             self.state.borrow_mut().ids.insert(open.job.id.clone(), true);
-            actix_rt::spawn(self.clone().elsewhere(open, home));
+            actix_rt::spawn(self.clone().await_predecessor_claim(open, home));
         }
-        here.into_iter().for_each(|open| self.resume(open));
-        homes
+        idle.into_iter().for_each(|open| self.continue_handed_over(open));
+        senders
     }
 
-    fn recall(&self, estate: &Estate) {
+    /// Restores what another process learned of destinations, the waits requested from it, and its recent answers.
+    fn restore_learned(&self, estate: &Estate) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         let at = self.module_time(now);
-        let id = |name: &String| state.nodes.named(name).map(|node| node.id);
+        let id = |name: &String| state.nodes.by_name(name).map(|node| node.id);
         for unit in &estate.learned {
             let learned = Learned {
                 dest: DestId(unit.dest),
@@ -201,63 +203,63 @@
         estate.recent.iter().for_each(|(id, answer)| state.recent.add(id, *answer));
     }
 
-    /// Slots of claims that another process has out are not used here.
-    pub(super) fn lend(&self) {
-        self.state.borrow_mut().courier.lend(self.borrowed.get());
+    /// Reserves the slots of claims that are in flight at another process.
+    pub(super) fn reserve_predecessor_slots(&self) {
+        self.state.borrow_mut().courier.lend(self.predecessor_claims.get());
         self.wake.notify_one();
     }
 
-    /// The life of a job whose claim is out at another process: it waits for that, and then goes on here.
-    async fn elsewhere(self: Rc<Self>, open: Open, home: oneshot::Receiver<Home>) {
+    /// Runs a job whose claim is in flight at another process: waits for the outcome, then continues here.
+    async fn await_predecessor_claim(self: Rc<Self>, open: Open, home: oneshot::Receiver<Home>) {
         let key = open.key;
         let slot = self.take_slot(&open.job);
-        let told = home.await.ok();
-        self.borrowed.set(self.borrowed.get() - 1);
-        self.lend();
-        let (job, mut course) = Course::resumed(open);
-        let outcome = told.as_ref().map_or(Outcome::Cancelled, |home| home.outcome);
-        tracing::debug!(id = job.id, ?outcome, "a claim came home to the process before");
+        let home = home.await.ok();
+        self.predecessor_claims.set(self.predecessor_claims.get() - 1);
+        self.reserve_predecessor_slots();
+        let (job, mut progress) = JobProgress::from_journal(open);
+        let outcome = home.as_ref().map_or(Outcome::Cancelled, |home| home.outcome);
+        tracing::debug!(id = job.id, ?outcome, "a claim of the previous process has ended");
         if outcome.never_ran() {
             self.record_never_ran(key, &job.id);
-            course.set_risk(self.journal.borrow().risk(key));
+            progress.set_risk(self.journal.borrow().risk(key));
         }
-        if let (Outcome::Full { wait: Some(wait) }, Some(home)) = (outcome, &told) {
-            self.heard_wait(&home.node, wait);
+        if let (Outcome::Full { wait: Some(wait) }, Some(home)) = (outcome, &home) {
+            self.apply_wait(&home.node, wait);
         }
         match outcome {
             Outcome::Delivered => {
-                self.figures.ended(&job.class, MessageResult::Delivered);
-                slot.iter().for_each(|slot| slot.left_as(Left::Delivered));
-                self.finish(&job, &course, None).await;
+                self.metrics.message_ended(&job.class, MessageResult::Delivered);
+                slot.iter().for_each(|slot| slot.set_outcome(MemoryOutcome::Delivered));
+                self.finish(&job, &progress, None).await;
             }
-            Outcome::Over => self.finish(&job, &course, None).await,
+            Outcome::Over => self.finish(&job, &progress, None).await,
             Outcome::Rejected(status) => {
                 let failed = job.failed(Some(status));
-                self.finish(&job, &course, Some(failed)).await;
+                self.finish(&job, &progress, Some(failed)).await;
             }
             _ => {
-                slot.iter().for_each(MemorySlot::pass_on);
-                self.life(job, course, None).await;
+                slot.iter().for_each(MemorySlot::disarm);
+                self.run_job(job, progress, None).await;
             }
         }
     }
 
-    /// Takes up a wait that the module does not hear of by an outcome.
-    pub(super) fn heard_wait(&self, node: &str, left: Duration) {
-        let Some(node) = self.state.borrow().nodes.named(node).cloned() else { return };
-        self.begin_wait(&node, left);
-        let route = self.is_apart(&node).then_some(node.id);
+    /// Applies a requested wait that the decision module does not learn from an outcome.
+    pub(super) fn apply_wait(&self, node: &str, left: Duration) {
+        let Some(node) = self.state.borrow().nodes.by_name(node).cloned() else { return };
+        self.extend_wait(&node, left);
+        let route = self.is_separate_route(&node).then_some(node.id);
         let now = self.module_time(Instant::now());
         self.state.borrow_mut().courier.told_wait(now, DestId(node.dest), route, nanos(left));
         self.wake.notify_one();
     }
 
-    /// When a node was last taken back by hand, as another process knew.
-    fn set_back(&self, name: &str, back_ms: u64) {
-        let node = self.state.borrow().nodes.named(name).cloned();
-        if let Some(node) = node.filter(|_| back_ms > 0) {
-            node.set_back(back_ms);
-            self.change(|_| vec![self.endpoint(&node, node.condition())]);
+    /// Sets when a node was last enabled by an operator, as known to another process.
+    fn set_enabled_ms(&self, name: &str, enabled_ms: u64) {
+        let node = self.state.borrow().nodes.by_name(name).cloned();
+        if let Some(node) = node.filter(|_| enabled_ms > 0) {
+            node.set_enabled_ms(enabled_ms);
+            self.update_list(|_| vec![self.endpoint(&node, node.condition())]);
         }
     }
 }
--- /dev/null
+++ b/relay/src/core/job_task.rs
@@ -0,0 +1,570 @@
+//! The task that runs one job, and its registration with the decision module.
+use slatethread::{Class, ClassId, DestId, EndpointId, Event, MsgId, Report, Request, Risk, ZoneId};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::{sleep, sleep_until};
+
+use onyxglade_backlog::planner::Outcome as MemoryOutcome;
+
+use super::backlog::{MemorySlot, PutBackRequest};
+use super::bundle::Share;
+use super::decision::{Decision, Refusal};
+use super::rounds::{ORDER_CAPACITY, Order};
+use super::{Core, DEFAULT_BACKOFF, IDLE_WAKEUP, Node, SendPermit, Transport};
+use crate::clock;
+use crate::estate::Home;
+use crate::job::{Job, Notice, Outcome, nanos};
+use crate::journal::{Key, MayHaveRun, Open, QueuedRequest, TakenOn};
+use crate::metrics::MessageResult;
+
+/// Delay before a claim that failed by a fault of this machine is reported to the decision module.
+const LOCAL_FAULT_DELAY: Duration = Duration::from_millis(20);
+
+/// The progress of a job.
+#[derive(Default)]
+pub(super) struct JobProgress {
+    key: Key,
+    class: usize,
+    /// The rules of its class at the time it was accepted, whatever the settings are now.
+    rules: Class,
+    /// Claims made by an earlier process.
+    tries: u32,
+    /// The first claim that may have run.
+    risk: Option<MayHaveRun>,
+    /// The rules of its class as recorded in the journal.
+    accepted_rules: Option<Class>,
+    /// Whether the relay has been restarted, as planned or not, since it accepted the job.
+    restarted: bool,
+    /// The end that an earlier process has decided on.
+    ending: Option<Notice>,
+    /// Whether it came from the backlog and may be put back there.
+    from_backlog: bool,
+    /// A deadline set by a plug-in, and when the submitter may retry if it passes.
+    hook_deadline: Option<Instant>,
+    hook_retry_after: Option<Duration>,
+}
+
+impl JobProgress {
+    pub fn key(&self) -> Key {
+        self.key
+    }
+
+    pub fn tries(&self) -> u32 {
+        self.tries
+    }
+
+    pub fn set_risk(&mut self, risk: Option<MayHaveRun>) {
+        self.risk = risk;
+    }
+
+    /// A job from the journal.
+    pub fn from_journal(open: Open) -> (Job, JobProgress) {
+        let Open { key, job, rules, tries, risk, ending, place } = open;
+        let from_backlog = place.is_some();
+        (
+            job,
+            JobProgress {
+                key,
+                accepted_rules: rules,
+                tries,
+                risk,
+                ending,
+                from_backlog,
+                ..JobProgress::default()
+            },
+        )
+    }
+
+    /// A job that was fetched from the backlog.
+    pub fn from_backlog(key: Key, request: QueuedRequest) -> (Job, JobProgress) {
+        let (accepted_rules, tries, risk) = (Some(request.rules()), request.tries(), request.risk());
+        let progress =
+            JobProgress { key, accepted_rules, tries, risk, from_backlog: true, ..JobProgress::default() };
+        (request.job, progress)
+    }
+
+    /// A job from the journal after a restart of the relay.
+    pub fn after_restart(open: Open) -> (Job, JobProgress) {
+        let (job, progress) = JobProgress::from_journal(open);
+        (job, JobProgress { restarted: true, ..progress })
+    }
+}
+
+impl<C: Transport> Core<C> {
+    /// Runs a job from admission to its end: admits it, journals it, answers the submitter, makes the claims that the
+    /// decision module orders, and reports the end. `answer` is absent for a job that was accepted before.
+    pub(super) async fn run_job(
+        self: Rc<Self>,
+        mut job: Job,
+        mut progress: JobProgress,
+        answer: Option<oneshot::Sender<Decision>>,
+    ) {
+        // Admit.
+        let mut slot = self.take_slot(&job);
+        if let Some(notice) = progress.ending.take() {
+            return self.finish(&job, &progress, Some(notice)).await;
+        }
+        if answer.is_none() && job.time_left().is_zero() {
+            // An earlier process may have reported the same end already, without recording it.
+            return self.finish(&job, &progress, Some(job.failed(None))).await;
+        }
+        let known = self.rules().class(&job.class);
+        let Some(class) = known else {
+            // Possible only for a job that was journaled before a change of the settings.
+            tracing::warn!(id = job.id, class = job.class, "class is no longer configured; the job fails");
+            return self.finish(&job, &progress, Some(job.failed(None))).await;
+        };
+        progress.class = class;
+        progress.rules =
+            progress.accepted_rules.take().unwrap_or_else(|| self.rules().settings.classes[class].clone());
+        if let (Some(hooks), Some(_)) = (&self.hooks, &answer) {
+            let ruling = hooks.admit(&job, job.time_left());
+            if ruling.refuse {
+                return self.refuse_job(&job, answer, Refusal::Refused { after: ruling.after });
+            }
+            job.deadline = ruling.left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
+            job.label = ruling.label;
+        }
+        let mut registration = self.register(&job, &progress);
+        if progress.from_backlog {
+            Self::allow_put_back(&mut slot, registration.msg);
+        }
+        let mut order = tokio::select! {
+            biased;
+            () = self.handed_over.cancelled() => return self.forward_to_successor(job, answer).await,
+            order = registration.next() => order,
+            // There will be no more rounds to decide on it.
+            () = self.no_more_rounds(), if answer.is_some() =>
+                Order::Refuse { after: Some(DEFAULT_BACKOFF), why: None },
+        };
+
+        // Journal and answer.
+        if let Some(answer) = answer {
+            let receipt = match order {
+                Order::Refuse { after, why } => {
+                    tracing::debug!(id = job.id, dest = job.dest, ?why, "job refused by the decision module");
+                    Err(Refusal::Refused { after })
+                }
+                Order::Fail => Err(Refusal::Failed),
+                _ => self
+                    .journal_job(&job, &progress.rules)
+                    .ok_or(Refusal::Refused { after: Some(DEFAULT_BACKOFF) }),
+            };
+            let receipt = match receipt {
+                Ok(receipt) => {
+                    progress.key = receipt.key().expect("a journaled job has a key");
+                    self.state.borrow_mut().ids.insert(job.id.clone(), true);
+                    self.decisions.notify_waiters();
+                    self.count(|tally| tally.accepted += 1);
+                    receipt
+                }
+                Err(refusal) => {
+                    registration.abandon(order);
+                    return self.refuse_job(&job, Some(answer), refusal);
+                }
+            };
+            if answer.send(Decision::Accepted(receipt)).is_err() {
+                // The submitter has disconnected without an answer, and will submit the message again.
+                registration.abandon(order);
+                return self.release_job(&job, &progress, None);
+            }
+        }
+
+        // Replaces an earlier job with the same replacement key that has not ended.
+        let replacement_key = self.transport.replacement_key(&job);
+        if let Some(key) = &replacement_key {
+            let mut state = self.state.borrow_mut();
+            let earlier = state.replaceable.insert(key.clone(), registration.msg);
+            earlier.into_iter().for_each(|msg| super::rounds::send_order(&state, msg, Order::Replaced));
+        }
+
+        // Claim as the decision module orders.
+        let end = loop {
+            match order {
+                // A claim in flight is not cancelled for this: the order stays pending until the outcome is known.
+                Order::Replaced => {
+                    registration.abandon(Order::Queued);
+                    break Some(job.replaced());
+                }
+                Order::Queued | Order::Cancel { .. } => {}
+                Order::PutBack(sender) => {
+                    registration.abandon(Order::Queued);
+                    slot.iter().for_each(MemorySlot::disarm);
+                    drop((registration, slot));
+                    // Fails only after a handover: the successor then has the job in the journal.
+                    let _ = sender.send(PutBackRequest { key: progress.key, job });
+                    return;
+                }
+                Order::Fail => break Some(job.failed(None)),
+                Order::Refuse { after, why } => {
+                    let tries = registration.next_attempt;
+                    tracing::debug!(
+                        id = job.id,
+                        dest = job.dest,
+                        tries,
+                        ?why,
+                        "job given up by the decision module"
+                    );
+                    break Some(job.returned(after));
+                }
+                Order::Claim { node, limit, share } => {
+                    let outcome =
+                        self.claim(&job, &mut progress, &mut registration, &node, limit, share).await;
+                    if self.is_handed_over() {
+                        // The outcome was reported to the successor, which has the job now.
+                        return;
+                    }
+                    match outcome {
+                        Outcome::Delivered => {
+                            self.metrics.message_ended(&job.class, MessageResult::Delivered);
+                            slot.iter().for_each(|slot| slot.set_outcome(MemoryOutcome::Delivered));
+                            break None;
+                        }
+                        Outcome::Over => break None,
+                        Outcome::Rejected(status) => break Some(job.failed(Some(status))),
+                        _ => {}
+                    }
+                    if let Some(hooks) = &self.hooks {
+                        let ruling = hooks.outcome(
+                            &job,
+                            job.time_left(),
+                            outcome,
+                            registration.next_attempt,
+                            &node.name,
+                        );
+                        job.label = ruling.label.or(job.label);
+                        let time_left = if ruling.refuse { Some(Duration::ZERO) } else { ruling.left };
+                        let deadline = time_left.map(|left| Instant::now() + left);
+                        progress.hook_deadline = progress.hook_deadline.into_iter().chain(deadline).min();
+                        progress.hook_retry_after = ruling.after.or(progress.hook_retry_after);
+                    }
+                }
+            }
+            // Checked before the next order, so that no claim is made once a plug-in has ended the job.
+            let hook_deadline = progress.hook_deadline.unwrap_or_else(|| Instant::now() + IDLE_WAKEUP);
+            if hook_deadline <= Instant::now() {
+                registration.abandon(Order::Queued);
+                break Some(match self.may_return(&job, &progress) {
+                    true => job.returned(progress.hook_retry_after.or(Some(DEFAULT_BACKOFF))),
+                    false => job.failed(None),
+                });
+            }
+            order = tokio::select! {
+                biased;
+                () = self.handed_over.cancelled() => return,
+                () = sleep_until(hook_deadline.into()) => Order::Queued,
+                order = registration.next() => order,
+            };
+        };
+
+        // End.
+        if let Some(key) = replacement_key {
+            let mut state = self.state.borrow_mut();
+            if state.replaceable.get(&key) == Some(&registration.msg) {
+                state.replaceable.remove(&key);
+            }
+        }
+        drop(registration);
+        self.finish(&job, &progress, end).await;
+    }
+
+    /// Makes one claim and reports its outcome to the decision module.
+    async fn claim(
+        self: &Rc<Self>,
+        job: &Job,
+        progress: &mut JobProgress,
+        registration: &mut Registration<'_, C>,
+        node: &Rc<Node>,
+        limit: Duration,
+        share: Option<Share>,
+    ) -> Outcome {
+        let sent = Instant::now();
+        let attempt = registration.next_attempt;
+        registration.next_attempt += 1;
+        let limit = share.as_ref().map_or(limit, Share::limit);
+        let limit =
+            progress.hook_deadline.map_or(limit, |end| limit.min(end.saturating_duration_since(sent)));
+        let not_after = progress.risk.as_ref().and_then(|risk| key_memory_end(&progress.rules, risk));
+        let permit = self.permit(progress.key, node, not_after);
+        self.state.borrow_mut().in_flight.insert(progress.key, permit.clone());
+        self.count_call(job.dest, true);
+        let outcome = tokio::select! {
+            biased;
+            outcome = self.call(job, node, limit, &permit, share) => outcome,
+            () = sleep(limit) => if permit.is_sent() { Outcome::TimedOut } else { Outcome::Unconnected },
+            () = registration.cancelled(attempt) => {
+                if permit.is_sent() { Outcome::Cancelled } else { Outcome::NotSent }
+            }
+            // An unsent claim is the successor's to send or not: the successor may know of a drain by now.
+            () = self.handed_over_unsent(&permit) => Outcome::NotSent,
+            never = self.watch_for_wait(node, &permit) => never,
+            () = self.claims_cancelled.cancelled() =>
+                if permit.is_sent() { Outcome::Cancelled } else { Outcome::NotSent },
+        };
+        self.state.borrow_mut().in_flight.remove(&progress.key);
+        self.count_call(job.dest, false);
+        // The node's confirmation counts even if a timeout or a cancellation came before the end of its answer.
+        let outcome = if permit.is_delivered() { Outcome::Delivered } else { outcome };
+        // A claim that this machine failed to send does not count as an attempt.
+        let failed_locally = outcome.never_ran() && !outcome.ends_job() && permit.had_local_fault();
+        let outcome = if failed_locally { Outcome::LocalFault } else { outcome };
+        let label = job.label.as_deref().unwrap_or("");
+        let (took, dest) = (sent.elapsed(), job.dest);
+        let reported_limit = permit.report().limit;
+        let first_byte = permit.begun();
+        let first_byte_after = first_byte.map(|(at, _)| at - sent);
+        let list_age = first_byte.and_then(|(_, age)| age);
+        let node_name = &*node.name;
+        tracing::debug!(
+            id = job.id,
+            dest,
+            node = node_name,
+            attempt,
+            ?outcome,
+            ?took,
+            ?first_byte_after,
+            ?list_age,
+            limit = ?reported_limit,
+            label,
+            "claim ended"
+        );
+        if let Some(successor) = &*self.successor.borrow() {
+            // A successor of another version may not know this outcome.
+            let reported = if outcome == Outcome::LocalFault { Outcome::NotSent } else { outcome };
+            successor.claim_ended(Home { key: progress.key, outcome: reported, node: node.name.to_string() });
+            return outcome;
+        }
+        if outcome == Outcome::LocalFault && !self.journal_health.is_failing() {
+            // Prevents a busy loop of retries while this machine cannot open connections.
+            sleep(LOCAL_FAULT_DELAY).await;
+        }
+        match permit.recorded() {
+            Some(_) if outcome.never_ran() => {
+                self.record_never_ran(progress.key, &job.id);
+            }
+            Some(claim) => _ = progress.risk.get_or_insert(claim),
+            // Not a byte was sent.
+            None => {}
+        }
+        if let Outcome::Full { wait: Some(wait) } = outcome {
+            self.extend_wait(node, wait);
+        } else if let Some(wait) = permit.take_requested_wait() {
+            // The wait came with another outcome, or with an answer that became invalid after its head.
+            self.apply_wait(&node.name, wait);
+        }
+        let wait = if let Outcome::Full { wait } = outcome { wait } else { None };
+        // If nodes are separate routes, a wait requested by one says nothing about the others.
+        let of_one_route = wait.is_some() && self.is_separate_route(node);
+        if !outcome.ends_job() && !of_one_route && outcome != Outcome::LocalFault {
+            self.attempt_failed(job.dest, wait);
+        }
+        self.count(|tally| {
+            tally.claims += 1;
+            tally.delivered += u32::from(outcome == Outcome::Delivered);
+        });
+        registration.report_closed(attempt, node, outcome, sent.elapsed(), permit.report());
+        outcome
+    }
+
+    /// Makes a call with one message, or joins a bundled call.
+    async fn call(
+        &self,
+        job: &Job,
+        node: &Node,
+        limit: Duration,
+        permit: &Rc<SendPermit>,
+        share: Option<Share>,
+    ) -> Outcome {
+        match share {
+            Some(share) => share.claim(&self.transport, job, node, limit, permit).await,
+            None => self.transport.claim(job, node, limit, permit).await,
+        }
+    }
+
+    /// Applies a requested wait as soon as the head of the answer has it. Otherwise rounds would send more claims to
+    /// the destination until the answer is complete, and use up the attempts of their jobs. Never returns.
+    async fn watch_for_wait(&self, node: &Node, permit: &SendPermit) -> Outcome {
+        permit.wait_requested().await;
+        permit.take_requested_wait().into_iter().for_each(|wait| self.apply_wait(&node.name, wait));
+        std::future::pending().await
+    }
+
+    /// Waits for a handover before the claim is sent.
+    async fn handed_over_unsent(&self, permit: &SendPermit) {
+        self.handed_over.cancelled().await;
+        if permit.is_sent() {
+            std::future::pending().await
+        }
+    }
+
+    /// Forwards a job whose submitter still waits for an answer to the successor.
+    async fn forward_to_successor(&self, job: Job, answer: Option<oneshot::Sender<Decision>>) {
+        let successor = self.successor.borrow().clone();
+        if let (Some(successor), Some(answer)) = (successor, answer) {
+            let id = job.id.clone();
+            let decided = successor.admit(job).await;
+            self.close_id(&id, Some(decided));
+            // Fails only if the submitter has disconnected; it will submit the message again.
+            let _ = answer.send(Decision::FromSuccessor(decided));
+        }
+    }
+
+    /// Answers a new job without accepting it.
+    fn refuse_job(&self, job: &Job, answer: Option<oneshot::Sender<Decision>>, refusal: Refusal) {
+        self.count(|tally| tally.refused += 1);
+        let failed = refusal == Refusal::Failed;
+        self.metrics
+            .message_ended(&job.class, if failed { MessageResult::Failed } else { MessageResult::Refused });
+        tracing::debug!(id = job.id, dest = job.dest, ?refusal, "job refused");
+        self.close_id(&job.id, Some(refusal.into()));
+        if let Some(answer) = answer {
+            // Fails only if the submitter has disconnected.
+            let _ = answer.send(Decision::Refused(refusal));
+        }
+    }
+
+    /// Whether submitting the job again is harmless according to the rules of its class.
+    fn may_return(&self, job: &Job, progress: &JobProgress) -> bool {
+        (progress.risk.is_none() || progress.rules.may_come_again()) && !job.time_left().is_zero()
+    }
+
+    /// Writes a new job to the journal; `None` if that is impossible.
+    fn journal_job(&self, job: &Job, rules: &Class) -> Option<TakenOn> {
+        match self.journal.borrow_mut().job(job, rules) {
+            Ok(Some(receipt)) => Some(receipt),
+            Ok(None) => {
+                tracing::warn!(id = job.id, size = job.body.len(), "journal is full; the job is refused");
+                None
+            }
+            Err(error) => {
+                tracing::debug!(id = job.id, %error, "journal cannot be written; the job is refused");
+                None
+            }
+        }
+    }
+
+    /// Registers a job with the decision module, which decides on it in the next round.
+    fn register(&self, job: &Job, progress: &JobProgress) -> Registration<'_, C> {
+        let now = clock::now();
+        let mut state = self.state.borrow_mut();
+        let risk = progress.risk.as_ref().map(|risk| {
+            let ago = risk.ago(now);
+            let zone = risk.zone.as_ref().and_then(|z| self.rules().names.zones.iter().position(|n| n == z));
+            Risk {
+                sent: self.module_time(Instant::now()).saturating_sub(nanos(ago)),
+                // A node that is no longer listed gets a number that no node has; numbers are never reused.
+                endpoint: state.nodes.by_name(&risk.node).map_or(EndpointId(u32::MAX), |node| node.id),
+                zone: zone.map(ZoneId),
+            }
+        });
+        let msg = loop {
+            state.next_msg = state.next_msg.wrapping_add(1);
+            let msg = MsgId(state.next_msg);
+            if !state.order_senders.contains_key(&msg) {
+                break msg;
+            }
+        };
+        let (sender, orders) = mpsc::channel(ORDER_CAPACITY);
+        state.order_senders.insert(msg, sender);
+        state.inbox.push(Event::Request(Request {
+            msg,
+            dest: DestId(job.dest),
+            class: ClassId(progress.class),
+            tenant: None,
+            key: None,
+            patience: nanos(job.deadline.duration_since(now).unwrap_or_default()),
+            retry: job.retry,
+            reconnect: job.reconnect,
+            tries: progress.tries,
+            risk,
+            kept: progress.restarted,
+            rules: Some(progress.rules.clone()),
+        }));
+        self.wake.notify_one();
+        Registration { core: self, msg, orders, next_attempt: progress.tries, pending_order: None }
+    }
+}
+
+/// Until when the nodes remember the idempotency key of an earlier claim; `None` if repeats are harmless.
+fn key_memory_end(rules: &Class, risk: &MayHaveRun) -> Option<Instant> {
+    let memory = Duration::from_nanos(rules.memory()?);
+    Some(Instant::now() + memory.saturating_sub(risk.ago(clock::now())))
+}
+
+/// A job's registration with the decision module, which ends when this is dropped.
+struct Registration<'a, C> {
+    core: &'a Core<C>,
+    msg: MsgId,
+    orders: mpsc::Receiver<Order>,
+    /// Number of the next claim, as the decision module counts them.
+    next_attempt: u32,
+    /// An order that was received while a claim was in flight.
+    pending_order: Option<Order>,
+}
+
+impl<C> Registration<'_, C> {
+    async fn next(&mut self) -> Order {
+        if let Some(order) = self.pending_order.take() {
+            return order;
+        }
+        // The sender stays in the core's state as long as the registration exists.
+        self.orders.recv().await.unwrap_or(Order::Fail)
+    }
+
+    /// Waits until the decision module cancels the claim.
+    async fn cancelled(&mut self, number: u32) {
+        loop {
+            match self.orders.recv().await.unwrap_or(Order::Fail) {
+                Order::Cancel { attempt } if attempt == number => return,
+                // A job with a claim in flight is not put back on disk.
+                Order::Queued | Order::Cancel { .. } | Order::PutBack(_) => {}
+                // Handled once the claim has ended.
+                order => self.pending_order = Some(order),
+            }
+        }
+    }
+
+    fn report(&self, event: Event) {
+        self.core.state.borrow_mut().inbox.push(event);
+        self.core.wake.notify_one();
+    }
+
+    fn report_closed(&self, attempt: u32, node: &Node, outcome: Outcome, took: Duration, report: Report) {
+        self.report(Event::Closed {
+            msg: self.msg,
+            attempt,
+            endpoint: node.id,
+            outcome: outcome.for_module(),
+            latency: nanos(took),
+            no_more: outcome.ends_job(),
+            report,
+        });
+    }
+
+    /// Tells the decision module that the job is abandoned, and reports ordered claims as not sent: without an outcome
+    /// they would occupy their slots for ever.
+    fn abandon(&mut self, order: Order) {
+        let mut order = Some(order);
+        while let Some(current) = order.or_else(|| self.pending_order.take()) {
+            if let Order::Claim { node, .. } = current {
+                self.report_closed(
+                    self.next_attempt,
+                    &node,
+                    Outcome::NotSent,
+                    Duration::ZERO,
+                    Report::default(),
+                );
+                self.next_attempt += 1;
+            }
+            order = self.orders.try_recv().ok();
+        }
+        self.report(Event::Expired { msg: self.msg });
+    }
+}
+
+impl<C> Drop for Registration<'_, C> {
+    fn drop(&mut self) {
+        self.core.state.borrow_mut().order_senders.remove(&self.msg);
+    }
+}
--- a/relay/src/core/list_confirmation.rs
+++ b/relay/src/core/list_confirmation.rs
@@ -1,5 +1,5 @@
-//! Whether the list of execute nodes may still be acted on: what is heard of it goes to the lease ([`ListLease`]), and each claim asks
-//! that before its first byte.
+//! The lease on the list of execute nodes: the answers of discovery extend it ([`ListLease`]), and each claim checks it
+//! before its first byte is sent.
 use slatethread::{ListLease, ListScope, Nanos};
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
@@ -9,27 +9,28 @@
 use crate::lease_record::{Confirmed, LeaseRecord};
 
 /// The lease on the list, on the system's monotonic clock.
-pub struct ListClock {
+pub struct LeaseClock {
     lease: RefCell<ListLease>,
     start: Instant,
     record: RefCell<Option<LeaseRecord>>,
-    /// The lease was over at the last look.
+    /// Whether the lease had expired at the last check.
     lapsed: Cell<bool>,
 }
 
-/// An answer of discovery, as far as its time goes.
+/// The times of an answer from discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerTimes {
-    /// When its call was begun.
+    /// When the call started.
     pub begun: Instant,
-    /// When its first byte came.
+    /// When the first byte of the answer was received.
     pub first_byte: Instant,
 }
 
-impl ListClock {
-    /// A lease without end, for lists that are not asked for. `start` is when the module's clock began.
+impl LeaseClock {
+    /// A lease that never expires, for lists that are not requested from discovery. `start` is the start of the
+    /// decision module's clock.
     pub fn new(start: Instant) -> Self {
-        ListClock {
+        LeaseClock {
             lease: RefCell::new(ListLease::endless()),
             start,
             record: RefCell::default(),
@@ -37,23 +38,24 @@
         }
     }
 
-    /// Whether a claim may begin now.
+    /// Whether a claim may be sent now.
     pub fn allows(&self, now: Instant) -> bool {
         self.lease.borrow().allows(self.module_time(now))
     }
 
-    /// When the lease ends, on the module's clock; none if it has no end.
+    /// When the lease expires, on the decision module's clock; `None` if it never does.
     pub fn ends_at(&self) -> Option<Nanos> {
         self.lease.borrow().ends_at()
     }
 
-    /// The same on the system's clock.
+    /// When the lease expires, on the system's clock.
     pub fn end(&self) -> Option<Instant> {
         let end = Duration::from_nanos(self.ends_at()?);
         Some(self.start + end.saturating_sub(CLOCK_START))
     }
 
-    /// How long ago the list was last known to be complete; none where it is not asked for, or was never confirmed.
+    /// Time since the list was last known to be complete; `None` if it is not requested from discovery, or was never
+    /// confirmed.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         let lease = self.lease.borrow();
         let confirmed = lease.confirmed().filter(|_| lease.ends_at().is_some())?;
@@ -64,14 +66,15 @@
         nanos(CLOCK_START + at.saturating_duration_since(self.start))
     }
 
-    fn change(&self, change: impl FnOnce(&mut ListLease)) {
-        change(&mut self.lease.borrow_mut());
+    fn update(&self, update: impl FnOnce(&mut ListLease)) {
+        update(&mut self.lease.borrow_mut());
     }
 }
 
 impl<C: Transport> Core<C> {
-    /// Binds the list to a lease from now on, since it is asked for: `before` is what a process before knew of the list of this version
-    /// or an older one, and `first_start` that there was none. Then what the configuration says is taken as confirmed just now.
+    /// Puts the list under a lease, since it is requested from discovery. `before` is an earlier process's confirmation
+    /// of this version of the list or an older one. On a `first_start` there is no earlier process, and the list in the
+    /// configuration counts as confirmed now.
     pub fn start_list_lease(
         &self,
         record: Option<LeaseRecord>,
@@ -85,32 +88,37 @@
             None if first_start => lease.restore(now),
             None => {}
         }
-        tracing::info!(?before, first_start, left = ?self.lease_left(&lease, now), "the list's lease");
-        *self.list_clock.lease.borrow_mut() = lease;
-        *self.list_clock.record.borrow_mut() = record;
+        tracing::info!(
+            ?before,
+            first_start,
+            left = ?self.lease_remaining(&lease, now),
+            "lease on the node list started"
+        );
+        *self.lease_clock.lease.borrow_mut() = lease;
+        *self.lease_clock.record.borrow_mut() = record;
         self.record_lease();
     }
 
-    /// The first byte of an answer with a list has come.
+    /// The first byte of an answer with a list has been received.
     pub fn list_answer_started(&self, first: Instant) {
         let first = self.module_time(first);
-        self.list_clock.change(|lease| lease.answer_begins(first));
+        self.lease_clock.update(|lease| lease.answer_begins(first));
         self.wake.notify_one();
     }
 
-    /// An answer of discovery has been taken in.
+    /// An answer from discovery has been applied.
     pub fn list_confirmed(&self, answered: AnswerTimes) {
         let (begun, first) = (self.module_time(answered.begun), self.module_time(answered.first_byte));
-        self.list_clock.change(|lease| lease.confirm(begun, first));
+        self.lease_clock.update(|lease| lease.confirm(begun, first));
         self.record_lease();
         self.wake.notify_one();
     }
 
-    /// The configuration was read anew.
+    /// The configuration has been reloaded.
     pub(super) fn list_reloaded(&self) {
         let now = self.module_time(Instant::now());
         let must_ask_in = nanos(self.rules().must_ask_in());
-        self.list_clock.change(|lease| {
+        self.lease_clock.update(|lease| {
             lease.settle(must_ask_in);
             lease.reload(now);
         });
@@ -121,29 +129,32 @@
     /// A call to discovery failed.
     pub(super) fn list_call_failed(&self, how: ListScope) {
         let now = self.module_time(Instant::now());
-        self.list_clock.change(|lease| lease.fail(now, how));
+        self.lease_clock.update(|lease| lease.fail(now, how));
         self.record_lease();
     }
 
-    /// Tells the log when the lease is over, and when it holds again.
-    pub(super) fn watch_lease(&self, now: Instant) {
-        let lapsed = !self.list_clock.allows(now);
-        if self.list_clock.lapsed.replace(lapsed) == lapsed {
+    /// Logs when the lease expires, and when it is valid again.
+    pub(super) fn log_lease_change(&self, now: Instant) {
+        let lapsed = !self.lease_clock.allows(now);
+        if self.lease_clock.lapsed.replace(lapsed) == lapsed {
             return;
         }
-        let age = self.list_clock.age(now);
+        let age = self.lease_clock.age(now);
         if lapsed {
-            self.figures.list_lapsed();
-            tracing::warn!(?age, "the list is not confirmed; nothing is sent until it is");
+            self.metrics.list_lapsed();
+            tracing::warn!(
+                ?age,
+                "the lease on the list has expired; no claims are sent until the list is confirmed"
+            );
         } else {
             tracing::info!(?age, "the list is confirmed; claims are sent again");
         }
     }
 
     fn record_lease(&self) {
-        if let Some(record) = &mut *self.list_clock.record.borrow_mut() {
+        if let Some(record) = &mut *self.lease_clock.record.borrow_mut() {
             let now = self.module_time(Instant::now());
-            let confirmed = self.list_clock.lease.borrow().inheritable();
+            let confirmed = self.lease_clock.lease.borrow().inheritable();
             let generation = self.generation.get();
             record.write(confirmed.zip(generation).map(|(confirmed, generation)| Confirmed {
                 generation,
@@ -152,7 +163,7 @@
         }
     }
 
-    fn lease_left(&self, lease: &ListLease, now: Nanos) -> Option<Duration> {
+    fn lease_remaining(&self, lease: &ListLease, now: Nanos) -> Option<Duration> {
         Some(Duration::from_nanos(lease.ends_at()?.saturating_sub(now)))
     }
 }
--- a/relay/src/core/mod.rs
+++ b/relay/src/core/mod.rs
@@ -1,14 +1,14 @@
-//! Jobs, claims and outcomes, and the drive of the decision module. No wire is known here: a front hands
-//! jobs in, and a [`Transport`] takes claims to execute nodes and notices to their readers.
+//! Runs jobs, and the rounds of the decision module (`slatethread`). Independent of any wire protocol: a front submits
+//! jobs, and a [`Transport`] carries claims to execute nodes and notices to their receivers.
 mod backlog;
 mod bundle;
 mod decision;
 mod ends;
-mod life;
+mod handover;
+mod job_task;
 mod list_confirmation;
 mod nodes;
 mod rounds;
-mod succession;
 
 use slatethread::{Courier, EndpointId, Event, MsgId, Nanos};
 use std::cell::{Cell, RefCell};
@@ -22,12 +22,12 @@
 use tokio_util::sync::CancellationToken;
 
 pub use bundle::BundledMessage;
-pub use list_confirmation::{AnswerTimes, ListClock};
+pub use handover::Successor;
+pub use list_confirmation::{AnswerTimes, LeaseClock};
 use nodes::Nodes;
 #[cfg(test)]
 pub(crate) use nodes::tests;
 pub use nodes::{Node, SendPermit, SetDisabledError};
-pub use succession::Successor;
 
 use crate::backlog::Backlog;
 use crate::config::Rules;
@@ -37,12 +37,12 @@
 use crate::journal::{Health, Journal, Key, Open, SettledEnd};
 use crate::metrics::{GaugeValues, MessageResult, Metrics};
 use decision::Decision;
-use life::Course;
+use job_task::JobProgress;
 use rounds::Order;
 
-/// A front's way out.
+/// Carries claims and notices for a front.
 pub trait Transport: 'static {
-    /// Takes a claim to a node. Dropping the future must give the claim up at once.
+    /// Sends a claim to a node. Dropping the future must cancel the claim at once.
     fn claim(
         &self,
         job: &Job,
@@ -50,61 +50,61 @@
         limit: Duration,
         permit: &Rc<SendPermit>,
     ) -> impl Future<Output = Outcome>;
-    /// Takes several claims to a node in one call; gives their outcomes in the same order. Dropping the future must
-    /// give all of them up at once.
+    /// Sends several claims to a node in one call; returns their outcomes in the same order. Dropping the future must
+    /// cancel all of them at once.
     fn claim_bundle(
         &self,
-        parts: &[BundledMessage],
+        messages: &[BundledMessage],
         _node: &Node,
         _limit: Duration,
     ) -> impl Future<Output = Vec<Outcome>> {
-        // A front whose nodes take one message in a call is not asked.
-        std::future::ready(vec![Outcome::NotSent; parts.len()])
+        // Not called for a front whose nodes accept only one message per call.
+        std::future::ready(vec![Outcome::NotSent; messages.len()])
     }
-    /// Tells how a job ended; done once it is certain to have been heard.
+    /// Delivers the notice of a job's end; completes once its receipt is certain.
     fn notify(&self, end: &SettledEnd) -> impl Future<Output = Result<(), String>>;
-    /// Under what a job that waits is replaced by a later one under the same, if by any.
+    /// The key by which a later job replaces an earlier one with the same key, if the job has one.
     fn replacement_key(&self, _job: &Job) -> Option<String> {
         None
     }
     /// Closes idle connections to a node.
     fn close_idle(&self, node: &Node);
-    /// The node is gone, or has another address.
+    /// A node was removed from the list, or has another address now.
     fn node_removed(&self, node: &Node);
 }
 
 struct State {
     courier: Courier,
-    /// What has happened since the last round.
+    /// Events since the last round.
     inbox: Vec<Event>,
     timers: BinaryHeap<Reverse<(Instant, u64)>>,
-    seats: HashMap<MsgId, mpsc::Sender<Order>>,
+    order_senders: HashMap<MsgId, mpsc::Sender<Order>>,
     next_msg: u32,
     nodes: Nodes,
-    /// Ends of told waits; looked through when there are twice as many as were left.
+    /// Ends of the waits requested by destinations or routes; pruned when twice as many as the last pruning left.
     waits: HashMap<(u64, Option<EndpointId>), Rc<Cell<Instant>>>,
-    waits_left: usize,
-    /// Ids of jobs that have no end yet, and whether they were taken on or are still being decided on.
+    waits_after_pruning: usize,
+    /// Ids of jobs that have not ended: true if the job was accepted, false while it is being decided on.
     ids: HashMap<String, bool>,
-    recent: Recent,
+    recent: RecentAnswers,
     /// Open jobs that a later one may replace.
     replaceable: HashMap<String, MsgId>,
-    /// Jobs whose claims are out.
-    out: BTreeMap<Key, Rc<SendPermit>>,
+    /// Send permits of claims in flight.
+    in_flight: BTreeMap<Key, Rc<SendPermit>>,
 }
 
-/// Answers given a moment ago, by id.
+/// Recent answers, by id.
 #[derive(Default)]
-struct Recent {
+struct RecentAnswers {
     answers: HashMap<String, Answer>,
     order: VecDeque<(Instant, String)>,
 }
 
-/// So long and so many answers are kept: a repeat right after an answer comes within this time.
-const RECENT: Duration = Duration::from_secs(3);
-const MOST_RECENT: usize = 4096;
+/// How long, and how many, answers are kept: a submission repeated right after its answer comes within this time.
+const RECENT_ANSWER_TTL: Duration = Duration::from_secs(3);
+const MAX_RECENT_ANSWERS: usize = 4096;
 
-impl Recent {
+impl RecentAnswers {
     fn add(&mut self, id: &str, answer: Answer) {
         self.answers.insert(id.to_owned(), answer);
         self.order.push_back((Instant::now(), id.to_owned()));
@@ -116,16 +116,16 @@
         self.answers.get(id).copied()
     }
 
-    /// Those that are still kept, the oldest first.
+    /// All answers that are still kept, oldest first.
     fn all(&mut self) -> Vec<(String, Answer)> {
         self.drop_old();
-        let of = |(_, id): &(Instant, String)| Some((id.clone(), *self.answers.get(id)?));
-        self.order.iter().filter_map(of).collect()
+        let with_answer = |(_, id): &(Instant, String)| Some((id.clone(), *self.answers.get(id)?));
+        self.order.iter().filter_map(with_answer).collect()
     }
 
     fn drop_old(&mut self) {
-        while self.order.len() > MOST_RECENT
-            || self.order.front().is_some_and(|(at, _)| at.elapsed() > RECENT)
+        while self.order.len() > MAX_RECENT_ANSWERS
+            || self.order.front().is_some_and(|(at, _)| at.elapsed() > RECENT_ANSWER_TTL)
         {
             let old = self.order.pop_front();
             old.and_then(|(_, id)| self.answers.remove(&id));
@@ -141,44 +141,44 @@
     journal: Rc<RefCell<Journal>>,
     journal_health: Rc<Health>,
     disabled: RefCell<DisabledNodes>,
-    /// Among how many relays limits are divided, where that follows who is there.
-    divided: Cell<Option<u32>>,
-    /// Requests that wait on disk; none where it is off, and once another process has it.
+    /// Number of relays that share the limits, if it follows the instances that are up.
+    relay_count: Cell<Option<u32>>,
+    /// Requests waiting on disk; `None` if disabled, or once another process has taken over.
     backlog: RefCell<Option<Rc<Backlog>>>,
-    figures: Rc<Metrics>,
-    /// Held while a list is taken in: lists are taken in in their order.
-    listing: tokio::sync::Mutex<()>,
+    metrics: Rc<Metrics>,
+    /// Locked while a list is applied: lists are applied in order.
+    list_lock: tokio::sync::Mutex<()>,
     wake: Notify,
-    follow: Notify,
+    list_request: Notify,
     start: Instant,
-    /// Told when the last round has been played.
-    closing: Notify,
-    /// Told with every answer.
+    /// Notified when there are no more rounds.
+    rounds_stopped: Notify,
+    /// Notified with every decision on a job.
     decisions: Notify,
     tally: Cell<Tally>,
-    /// No further rounds: what is out comes home, the rest stays in the journal.
+    /// No more rounds: claims in flight may complete, and open jobs stay in the journal.
     winding_down: Cell<bool>,
-    /// For how long the list may be acted on.
-    list_clock: Rc<ListClock>,
-    /// The version of the list that was last taken in.
+    /// The lease on the list of nodes.
+    lease_clock: Rc<LeaseClock>,
+    /// The version of the list that was last applied.
     generation: Cell<Option<u64>>,
-    /// The jobs are another process's.
-    handed: CancellationToken,
-    /// What is out is called off.
-    ended: CancellationToken,
+    /// Cancelled once the jobs belong to another process.
+    handed_over: CancellationToken,
+    /// Cancelled to cancel the claims in flight.
+    claims_cancelled: CancellationToken,
     successor: RefCell<Option<Rc<dyn Successor>>>,
-    /// Slots that are taken by claims which another process has out.
-    borrowed: Cell<usize>,
+    /// Number of claims still in flight at the previous process, whose slots are not available here.
+    predecessor_claims: Cell<usize>,
 }
 
-/// The module's clock starts at an hour: to it, zero is long ago.
+/// Start of the decision module's clock. One hour, since the module takes times near zero to be long ago.
 const CLOCK_START: Duration = Duration::from_secs(3600);
-/// The told backoff where the module did not get to decide.
+/// The backoff in refusals that the decision module did not decide on.
 const DEFAULT_BACKOFF: Duration = Duration::from_secs(1);
-/// How often the log has a line on what was done.
-const TALLY_PAUSE: Duration = Duration::from_secs(60);
-/// When nothing else is due.
-const FAR_OFF: Duration = Duration::from_secs(3600);
+/// Interval of the log's summary lines.
+const TALLY_INTERVAL: Duration = Duration::from_secs(60);
+/// Wake-up time when nothing else is scheduled.
+const IDLE_WAKEUP: Duration = Duration::from_secs(3600);
 
 impl<C: Transport> Core<C> {
     pub fn new(
@@ -188,21 +188,21 @@
         seed: u64,
         journal: Journal,
         disabled: DisabledNodes,
-        figures: Rc<Metrics>,
+        metrics: Rc<Metrics>,
     ) -> Rc<Self> {
         let state = State {
             courier: Courier::new(rules.settings.clone(), seed),
             inbox: Vec::new(),
             timers: BinaryHeap::new(),
-            seats: HashMap::new(),
+            order_senders: HashMap::new(),
             next_msg: 0,
             nodes: Nodes::default(),
             waits: HashMap::new(),
-            waits_left: 0,
+            waits_after_pruning: 0,
             ids: HashMap::new(),
-            recent: Recent::default(),
+            recent: RecentAnswers::default(),
             replaceable: HashMap::new(),
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
         };
         let start = Instant::now();
         Rc::new(Core {
@@ -213,27 +213,27 @@
             journal_health: journal.health(),
             journal: Rc::new(RefCell::new(journal)),
             disabled: RefCell::new(disabled),
-            divided: Cell::default(),
+            relay_count: Cell::default(),
             backlog: RefCell::default(),
-            figures,
-            listing: tokio::sync::Mutex::new(()),
+            metrics,
+            list_lock: tokio::sync::Mutex::new(()),
             wake: Notify::new(),
-            follow: Notify::new(),
+            list_request: Notify::new(),
             start,
-            list_clock: Rc::new(ListClock::new(start)),
-            closing: Notify::new(),
+            lease_clock: Rc::new(LeaseClock::new(start)),
+            rounds_stopped: Notify::new(),
             decisions: Notify::new(),
             tally: Cell::default(),
             winding_down: Cell::new(false),
             generation: Cell::new(None),
-            handed: CancellationToken::new(),
-            ended: CancellationToken::new(),
+            handed_over: CancellationToken::new(),
+            claims_cancelled: CancellationToken::new(),
             successor: RefCell::new(None),
-            borrowed: Cell::new(0),
+            predecessor_claims: Cell::new(0),
         })
     }
 
-    /// The version of the list that was last taken in.
+    /// The version of the list that was last applied.
     pub fn generation(&self) -> Option<u64> {
         self.generation.get()
     }
@@ -242,29 +242,29 @@
         self.rules.borrow().clone()
     }
 
-    /// Takes up new rules without a job's notice; `disk` is what the journal may fill. Classes, kinds and zones
-    /// are known to open jobs and nodes by their places in the settings, so these can't change under them.
+    /// Applies new rules without disturbing open jobs; `disk` is the size limit of the journal. Open jobs and nodes
+    /// refer to classes, kinds and zones by their indices in the settings, so rules that change these are not applied.
     pub fn apply_rules(&self, mut rules: Rules, disk: u64) {
-        // What follows who is there is not for the settings to tell.
-        rules.settings.couriers = self.divided.get().or(rules.settings.couriers);
+        // These two are not reloaded: the number of relays may follow the instances that are up.
+        rules.settings.couriers = self.relay_count.get().or(rules.settings.couriers);
         rules.settings.list_shared = self.rules().settings.list_shared;
         self.journal.borrow_mut().set_limit(disk);
         let old = self.rules();
         if rules.names != old.names {
-            tracing::warn!("classes, kinds or zones differ: the settings are taken up with the next start");
-            // Discovery may have moved all the same.
+            tracing::warn!("classes, kinds or zones differ: the settings are applied at the next start");
+            // The address of discovery may have changed even so.
             self.list_reloaded();
             return;
         }
         self.state.borrow_mut().courier.settle(rules.settings.clone());
         *self.rules.borrow_mut() = Rc::new(rules);
         self.list_reloaded();
-        self.lend();
+        self.reserve_predecessor_slots();
     }
 
-    /// Limits are divided among so many relays from now on.
+    /// Divides the limits among this number of relays from now on.
     pub fn divide_limits(&self, relays: u32) {
-        self.divided.set(Some(relays));
+        self.relay_count.set(Some(relays));
         let mut rules = (*self.rules()).clone();
         if rules.settings.couriers != Some(relays) {
             rules.settings.couriers = Some(relays);
@@ -273,24 +273,24 @@
         }
     }
 
-    /// Takes a job from a submitter. The answer comes as soon as the module has decided and, if it took the
-    /// job, the journal holds it.
+    /// Admits a job from a submitter. Answers once the decision module has decided and, if it accepted the job, the
+    /// journal or the backlog has stored it.
     pub async fn admit(self: &Rc<Self>, job: Job) -> Answer {
         let successor = self.successor.borrow().clone();
         if let Some(successor) = successor {
             return successor.admit(job).await;
         }
-        let held = self.state.borrow().seats.len() + self.borrowed.get();
-        let full = self.rules().settings.max_held.is_some_and(|m| held >= m as usize);
+        let in_memory = self.state.borrow().order_senders.len() + self.predecessor_claims.get();
+        let full = self.rules().settings.max_held.is_some_and(|m| in_memory >= m as usize);
         let winding_down = self.winding_down.get();
-        if full || winding_down || !self.knows(job.dest) {
-            tracing::debug!(id = job.id, dest = job.dest, full, winding_down, "turned away at the door");
-            self.count(|tally| tally.turned_away += 1);
-            self.figures.ended(&job.class, MessageResult::Refused);
+        if full || winding_down || !self.knows_destination(job.dest) {
+            tracing::debug!(id = job.id, dest = job.dest, full, winding_down, "job refused on arrival");
+            self.count(|tally| tally.refused += 1);
+            self.metrics.message_ended(&job.class, MessageResult::Refused);
             return Answer::Refused { after: Some(DEFAULT_BACKOFF) };
         }
         loop {
-            // The same message once more, after a close that crossed it, is in hand already or about to be.
+            // A resubmission, say after the connection was closed before the answer: the first one may still be open.
             match self.state.borrow().ids.get(&job.id) {
                 Some(true) => return Answer::Accepted,
                 Some(false) => {}
@@ -298,73 +298,79 @@
             }
             self.decisions.notified().await;
         }
-        // Guards against the work of deciding anew on what comes again right after its answer, and against
-        // sending a second time what has only just been delivered.
+        // Repeats a recent answer instead of deciding again, so that a message that was just delivered is not sent a
+        // second time.
         if let Some(answer) = self.state.borrow_mut().recent.answer(&job.id) {
             return answer;
         }
         let id = job.id.clone();
         self.state.borrow_mut().ids.insert(id.clone(), false);
-        // A task of its own: the submitter may be gone at any moment, and the id is to be decided on all the same.
+        // Spawned, since the submitter may disconnect at any time, and the id must be decided on even then.
         let (answer, answered) = oneshot::channel();
         match self.backlog() {
-            Some(backlog) => drop(actix_rt::spawn(self.clone().place(backlog, job, answer))),
-            None => drop(actix_rt::spawn(self.clone().life(job, Course::default(), Some(answer)))),
+            Some(backlog) => drop(actix_rt::spawn(self.clone().place_arrival(backlog, job, answer))),
+            None => drop(actix_rt::spawn(self.clone().run_job(job, JobProgress::default(), Some(answer)))),
         }
         let Ok(decision) = answered.await else { return Answer::Failed };
-        if let Decision::Taken(taken_on) = &decision {
-            tracing::debug!(id, key = taken_on.key(), "taken on");
+        if let Decision::Accepted(receipt) = &decision {
+            tracing::debug!(id, key = receipt.key(), "job accepted");
         }
-        decision.told()
+        decision.answer()
     }
 
-    /// The process's figures.
+    /// The metrics of the process.
     pub fn metrics(&self) -> &Metrics {
-        &self.figures
+        &self.metrics
     }
 
-    /// What there is just now, for the figures.
+    /// The current values of this front's gauges.
     pub fn gauge_values(&self) -> GaugeValues {
-        if self.is_handed() {
-            // Its successor tells them.
+        if self.is_handed_over() {
+            // The successor reports them.
             return GaugeValues::default();
         }
         let state = self.state.borrow();
         let on_disk = self.backlog().map_or(0, |backlog| backlog.on_disk() as usize);
-        let in_progress = on_disk + state.ids.values().filter(|taken| **taken).count();
-        let (known, closed) = state.nodes.count();
-        let list_age = self.list_clock.age(Instant::now());
+        let in_progress = on_disk + state.ids.values().filter(|accepted| **accepted).count();
+        let (known, unavailable) = state.nodes.count();
+        let list_age = self.lease_clock.age(Instant::now());
         let unwritten_records = self.journal_health.unwritten();
         GaugeValues {
             in_progress,
             known,
-            skipped: closed + state.courier.avoided(),
+            skipped: unavailable + state.courier.avoided(),
             list_age,
             unwritten_records,
         }
     }
 
-    /// Whether a job has no end yet.
+    /// Whether a job has not ended.
     pub fn is_open(&self, id: &str) -> bool {
         self.state.borrow().ids.contains_key(id)
     }
 
-    /// Goes on with a job that outlived its process.
+    /// Continues a job from the journal after a restart.
     pub fn recover(self: &Rc<Self>, open: Open) {
-        self.go_on(Course::kept(open));
+        self.continue_job(JobProgress::after_restart(open));
     }
 
-    /// Goes on with a job that another process had.
-    fn resume(self: &Rc<Self>, open: Open) {
-        self.go_on(Course::resumed(open));
+    /// Continues a job that another process has handed over.
+    fn continue_handed_over(self: &Rc<Self>, open: Open) {
+        self.continue_job(JobProgress::from_journal(open));
     }
 
-    fn go_on(self: &Rc<Self>, (job, course): (Job, Course)) {
-        let (id, left) = (&job.id, job.left());
-        tracing::debug!(id, dest = job.dest, tries = course.tries(), ?left, "goes on from the journal");
+    fn continue_job(self: &Rc<Self>, (job, progress): (Job, JobProgress)) {
+        let (id, left) = (&job.id, job.time_left());
+        tracing::debug!(
+            id,
+            dest = job.dest,
+            tries = progress.tries(),
+            ?left,
+            "continuing the job from the journal"
+        );
         self.state.borrow_mut().ids.insert(job.id.clone(), true);
         self.decisions.notify_waiters();
-        actix_rt::spawn(self.clone().life(job, course, None));
+        actix_rt::spawn(self.clone().run_job(job, progress, None));
     }
 
     fn count(&self, change: impl FnOnce(&mut Tally)) {
@@ -373,23 +379,23 @@
         self.tally.set(tally);
     }
 
-    /// Tells what has become of jobs and claims, every so often if there was anything.
+    /// Logs a summary of jobs and claims at regular intervals, if there were any.
     pub async fn log_tally(&self, front: &'static str) {
         loop {
-            sleep(TALLY_PAUSE).await;
+            sleep(TALLY_INTERVAL).await;
             let tally = self.tally.take();
             let Tally { latest_round, .. } = tally;
             if tally != (Tally { latest_round, ..Tally::default() }) {
-                let Tally { taken, turned_away, claims, delivered, returned, failed, replaced, .. } = tally;
-                let list_age = self.list_clock.age(Instant::now());
+                let Tally { accepted, refused, claims, delivered, returned, failed, replaced, .. } = tally;
+                let list_age = self.lease_clock.age(Instant::now());
                 let (open, kept) = {
                     let state = self.state.borrow();
                     (state.ids.len(), state.courier.kept())
                 };
                 tracing::info!(
                     front,
-                    taken,
-                    turned_away,
+                    taken = accepted,
+                    turned_away = refused,
                     claims,
                     delivered,
                     returned,
@@ -411,45 +417,45 @@
         nanos(CLOCK_START + at.duration_since(self.start))
     }
 
-    /// Done when the module wants the list to be followed.
+    /// Waits until the decision module requests the list.
     pub async fn list_requested(&self) {
-        self.follow.notified().await;
+        self.list_request.notified().await;
     }
 
-    /// Lets what is out come home, for so long at most; what is still open then stays in the journal.
-    pub async fn wind_down(&self, most: Duration) {
+    /// Stops the rounds and waits for claims in flight, at most for this time; jobs still open stay in the journal.
+    pub async fn wind_down(&self, limit: Duration) {
         self.winding_down.set(true);
-        self.closing.notify_waiters();
-        let end = Instant::now() + most;
+        self.rounds_stopped.notify_waiters();
+        let end = Instant::now() + limit;
         while !self.no_claims_in_flight() && Instant::now() < end {
             sleep(Duration::from_millis(10)).await;
         }
         let state = self.state.borrow();
         tracing::info!(
-            claims = state.out.len(),
+            claims = state.in_flight.len(),
             jobs = state.ids.len(),
             "wound down; open jobs stay journaled"
         );
     }
 
-    /// Done when no more rounds are played.
-    async fn closed(&self) {
+    /// Waits until there are no more rounds.
+    async fn no_more_rounds(&self) {
         while !self.winding_down.get() {
-            self.closing.notified().await;
+            self.rounds_stopped.notified().await;
         }
     }
 }
 
-/// What has become of jobs and claims since it was last told.
+/// Counts of jobs and claims since the last summary in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Tally {
-    taken: u32,
-    turned_away: u32,
+    accepted: u32,
+    refused: u32,
     claims: u32,
     delivered: u32,
     returned: u32,
     failed: u32,
     replaced: u32,
-    /// How late a round was at most.
+    /// The longest delay of a round.
     latest_round: Duration,
 }
--- a/relay/src/core/nodes.rs
+++ b/relay/src/core/nodes.rs
@@ -1,4 +1,4 @@
-//! Execute nodes: the list of them, the leave to send one a claim, and the waits they tell.
+//! Execute nodes: their list, the permits to send them claims, and the waits that they request.
 use compact_str::CompactString;
 use prometheus::IntCounter;
 use slatethread::{Condition, DestId, Endpoint, EndpointId, Event, KindId, ListScope, Report, ZoneId};
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 use tokio::task::yield_now;
 
-use super::{Core, ListClock, State, Transport};
+use super::{Core, LeaseClock, State, Transport};
 use crate::clock;
 use crate::config::Rules;
 use crate::disabled::DisableError;
@@ -22,45 +22,45 @@
 use crate::list::{Lifecycle, NodeEntry, NodeList};
 
 /// Longest name of a node, and of a zone together with it, that fits into a journal record.
-const LONGEST_NODE_NAME: usize = 200;
+const MAX_NODE_NAME: usize = 200;
 
-/// For so long after its last node has gone, a destination is taken to get another.
-const GONE_KEPT: Duration = Duration::from_secs(30);
+/// How long jobs are still accepted for a destination after its last node was removed, since it may get another.
+const REMOVED_DEST_TTL: Duration = Duration::from_secs(30);
 
-/// Nodes that are let go before anything else gets its turn.
-const LET_GO: usize = 250;
+/// Number of nodes that are removed before other tasks can run.
+const REMOVAL_BATCH: usize = 250;
 
 /// An execute node.
 #[derive(Debug)]
 pub struct Node {
     pub id: EndpointId,
-    /// Short ones stand in the record itself.
+    /// Stored inline if short.
     pub name: CompactString,
     pub address: SocketAddr,
     pub dest: u64,
-    /// Of its zone and its kind.
-    places: Cell<(u16, u16)>,
-    /// Not a number where none is listed.
+    /// Indices of its zone and its kind in the settings.
+    zone_kind: Cell<(u16, u16)>,
+    /// NaN if the list has no weight for it.
     weight: Cell<f64>,
-    /// Its last start, as Unix time in milliseconds; 0 is long ago.
+    /// Its last start, as Unix time in milliseconds; 0 means long ago.
     started_ms: Cell<u64>,
-    /// When it was last taken back by hand, likewise.
-    back_ms: Cell<u64>,
-    /// By the list neither draining nor gone.
+    /// When an operator last enabled it, in the same unit.
+    enabled_ms: Cell<u64>,
+    /// Whether the list has it as serving, neither draining nor deleted.
     serving: Cell<bool>,
-    /// It is out by hand.
-    out: Cell<bool>,
-    /// The last whole list that named it.
-    seen: Cell<u32>,
+    /// Whether an operator has disabled it.
+    disabled: Cell<bool>,
+    /// Number of the last full list that contained it.
+    last_full_list: Cell<u32>,
 }
 
-/// Why a node is not out by hand, or not taken back.
+/// Why a node could not be disabled or enabled.
 #[derive(Debug)]
 pub enum SetDisabledError {
-    /// Nobody has that name.
+    /// There is no node with this name.
     Unknown,
     NotStored(DisableError),
-    /// Another process has the relay.
+    /// Another process has taken over.
     HandedOver,
 }
 
@@ -68,49 +68,50 @@
     at.duration_since(SystemTime::UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-/// All execute nodes that are listed: each once, found by number and by name.
+/// All listed execute nodes, indexed by number and by name.
 #[derive(Default)]
 pub(super) struct Nodes {
     by_id: HashMap<EndpointId, Rc<Node>>,
-    by_name: HashSet<Named>,
-    /// How many nodes each destination has.
+    by_name: HashSet<ByName>,
+    /// The number of nodes of each destination.
     dests: HashMap<u64, u32>,
     last_id: u32,
-    lists: u32,
-    /// Destinations whose nodes have gone, and when; looked through when there are twice as many as were left.
-    gone: HashMap<u64, Instant>,
-    gone_left: usize,
+    last_full_list: u32,
+    /// Destinations without nodes, and when the last one was removed; pruned when twice as many as the last pruning
+    /// left.
+    removed_dests: HashMap<u64, Instant>,
+    removed_dests_after_pruning: usize,
 }
 
-/// A node by its name, so that the name is kept once.
-struct Named(Rc<Node>);
+/// A node hashed by its name, so that the name is stored only once.
+struct ByName(Rc<Node>);
 
-impl Borrow<str> for Named {
+impl Borrow<str> for ByName {
     fn borrow(&self) -> &str {
         &self.0.name
     }
 }
 
-impl Hash for Named {
+impl Hash for ByName {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.0.name.hash(state);
     }
 }
 
-impl PartialEq for Named {
+impl PartialEq for ByName {
     fn eq(&self, other: &Self) -> bool {
         self.0.name == other.0.name
     }
 }
 
-impl Eq for Named {}
+impl Eq for ByName {}
 
 impl Nodes {
     pub fn get(&self, id: EndpointId) -> Option<&Rc<Node>> {
         self.by_id.get(&id)
     }
 
-    pub fn named(&self, name: &str) -> Option<&Rc<Node>> {
+    pub fn by_name(&self, name: &str) -> Option<&Rc<Node>> {
         self.by_name.get(name).map(|named| &named.0)
     }
 
@@ -118,31 +119,31 @@
         self.by_id.values()
     }
 
-    /// How many are listed, and how many of them are closed.
+    /// The number of listed nodes, and the number of those that accept no claims.
     pub fn count(&self) -> (usize, usize) {
-        (self.by_id.len(), self.by_id.values().filter(|node| !node.is_open()).count())
+        (self.by_id.len(), self.by_id.values().filter(|node| !node.accepts_claims()).count())
     }
 
-    /// Whether there is such a destination, or was one a moment ago.
-    fn knows(&self, dest: u64) -> bool {
+    /// Whether the destination has a node or lost its last one recently; true for all while no node is listed.
+    fn knows_destination(&self, dest: u64) -> bool {
         self.by_id.is_empty()
             || self.dests.contains_key(&dest)
-            || self.gone.get(&dest).is_some_and(|at| at.elapsed() < GONE_KEPT)
+            || self.removed_dests.get(&dest).is_some_and(|at| at.elapsed() < REMOVED_DEST_TTL)
     }
 
-    /// Takes in a node in place of one of its name.
-    fn put(&mut self, node: Node) -> Rc<Node> {
+    /// Adds a node, in place of any with the same name.
+    fn insert(&mut self, node: Node) -> Rc<Node> {
         let node = Rc::new(node);
         *self.dests.entry(node.dest).or_default() += 1;
         self.by_id.insert(node.id, node.clone());
-        self.by_name.insert(Named(node.clone()));
+        self.by_name.insert(ByName(node.clone()));
         node
     }
 
-    /// The number of a whole list that is about to be taken in; never 0.
+    /// Assigns a number to a full list that is about to be applied; never 0.
     fn next_list(&mut self) -> u32 {
-        self.lists = self.lists.checked_add(1).unwrap_or(1);
-        self.lists
+        self.last_full_list = self.last_full_list.checked_add(1).unwrap_or(1);
+        self.last_full_list
     }
 
     fn remove(&mut self, node: &Node) {
@@ -154,27 +155,25 @@
         });
         if left == 0 {
             self.dests.remove(&node.dest);
-            self.gone.insert(node.dest, Instant::now());
+            self.removed_dests.insert(node.dest, Instant::now());
         }
-        // Guards against destinations that never come again being remembered for ever.
-        look_through(&mut self.gone, &mut self.gone_left, |_, at| at.elapsed() < GONE_KEPT);
+        // Otherwise destinations that never return would be kept for ever.
+        prune(&mut self.removed_dests, &mut self.removed_dests_after_pruning, |_, at| {
+            at.elapsed() < REMOVED_DEST_TTL
+        });
     }
 }
 
-/// Drops what is not to be kept, once there are twice as many entries as were left: its cost does not follow how many
-/// there are.
-fn look_through<K: Eq + Hash, V>(
-    map: &mut HashMap<K, V>,
-    left: &mut usize,
-    mut keep: impl FnMut(&K, &V) -> bool,
-) {
+/// Prunes a map once it has twice as many entries as the last pruning left, so that the amortized cost per insertion
+/// does not depend on the size of the map.
+fn prune<K: Eq + Hash, V>(map: &mut HashMap<K, V>, left: &mut usize, mut keep: impl FnMut(&K, &V) -> bool) {
     if map.len() > 2 * *left + 64 {
         map.retain(|key, value| keep(key, value));
         *left = map.len();
     }
 }
 
-/// A claim as it is put down in the journal, right before its first byte.
+/// Records a claim in the journal, right before its first byte is sent.
 pub(super) struct ClaimRecord {
     journal: Rc<RefCell<Journal>>,
     key: Key,
@@ -184,7 +183,7 @@
 }
 
 impl ClaimRecord {
-    /// False if it cannot be put down.
+    /// Writes the record, once; false if that fails.
     fn write(&self) -> bool {
         let mut written = self.written.borrow_mut();
         if written.is_none() {
@@ -199,46 +198,49 @@
     }
 }
 
-/// The leave to send one claim, asked for right before its first byte.
+/// The permit to send one claim. It is checked right before the first byte, and tracks what happens to the claim.
 pub struct SendPermit {
     node: Rc<Node>,
-    /// End of the wait told by its destination.
+    /// End of the wait requested by the claim's destination or route.
     wait: Rc<Cell<Instant>>,
-    /// For how long the list that it was decided by may be acted on.
-    list: Rc<ListClock>,
+    /// The lease on the list of nodes.
+    lease: Rc<LeaseClock>,
+    /// When the nodes may have forgotten an earlier claim's idempotency key, so that a repeat could run twice.
     not_after: Option<Instant>,
     record: Option<ClaimRecord>,
-    /// When its first byte was written, and how long ago the list had been confirmed then.
+    /// When its first byte was sent, and the age of the list's confirmation at that time.
     begun: Cell<Option<(Instant, Option<Duration>)>>,
     sent: Cell<bool>,
-    /// It was not sent by a fault of this machine.
+    /// Whether a fault of this machine prevented sending.
     local_fault: Cell<bool>,
     delivered: Cell<bool>,
-    /// What the answer tells of the node's limit, and a wait that it tells whatever became of the message.
+    /// The node's limit according to the answer.
     report: Cell<Report>,
-    told: Cell<Option<Duration>>,
-    tells: Notify,
+    /// A wait requested by the answer, whatever the outcome.
+    requested_wait: Cell<Option<Duration>>,
+    wait_notify: Notify,
     tries: IntCounter,
 }
 
 impl SendPermit {
-    /// Guards against claims that were decided on, waited for their connection, and would be sent to a
-    /// node that drains by now or may by a list that is no longer confirmed, into a wait told by now, or past the memory of an earlier
-    /// claim.
+    /// Whether the claim may still be sent. While it waited for a connection, its node may have started to drain, the
+    /// lease on the list may have expired, the destination may have requested a wait, or the nodes may have forgotten
+    /// the idempotency key of an earlier claim.
     pub fn may_begin(&self) -> bool {
-        self.node.is_open() && self.list.allows(Instant::now()) && self.may_continue()
+        self.node.accepts_claims() && self.lease.allows(Instant::now()) && self.may_continue()
     }
 
-    /// Whether the rest of what has begun may be written. Guards against a last byte that a full socket holds back into
-    /// a told wait or past the memory of an earlier claim; a claim counts from that byte. For drains its first counts.
+    /// Whether the remaining bytes of a started claim may be written. A claim counts as sent at its last byte, which a
+    /// full socket buffer can delay into a requested wait or beyond `not_after`. For drains and the lease the first
+    /// byte counts, so they are not checked again.
     pub fn may_continue(&self) -> bool {
         let now = Instant::now();
         now >= self.wait.get() && self.not_after.is_none_or(|end| now < end)
     }
 
-    /// To be called right before the first byte, and nothing is to be sent without its leave: the journal has the claim
-    /// from here on. Guards against a claim that waits for its connection counting as one that may have run, should the
-    /// process end.
+    /// Records the claim in the journal. Must be called right before the first byte; nothing may be sent if it returns
+    /// false. Recording no earlier ensures that a claim that still waits for a connection does not count as one that
+    /// may have run if the process ends.
     pub fn begin(&self) -> bool {
         if !self.may_begin() {
             return false;
@@ -247,31 +249,32 @@
             self.mark_local_fault();
             return false;
         }
-        // Guards against a record that took so long that the leave to send is over.
-        let begins = self.may_begin();
-        if begins {
+        // Checked again, since writing the record may have taken long.
+        let may_begin = self.may_begin();
+        if may_begin {
             let now = Instant::now();
-            self.begun.set(Some((now, self.list.age(now))));
+            self.begun.set(Some((now, self.lease.age(now))));
         }
-        begins
+        may_begin
     }
 
-    /// When its first byte was written, and how long ago the list had been confirmed then.
+    /// When its first byte was sent, and the age of the list's confirmation at that time.
     pub(super) fn begun(&self) -> Option<(Instant, Option<Duration>)> {
         self.begun.get()
     }
 
-    /// The claim as the journal has it, if it has begun.
+    /// The claim as recorded in the journal, if it has been.
     pub(super) fn recorded(&self) -> Option<MayHaveRun> {
         self.record.as_ref().and_then(|record| record.written.borrow().clone())
     }
 
-    /// Puts the claim down though it has not begun: who has the journal next is told by this process what became of it.
+    /// Records the claim although no byte was sent: at a handover, this process reports its outcome to the journal's
+    /// next owner.
     pub(super) fn record_unsent(&self) {
         self.record.iter().for_each(|record| _ = record.write());
     }
 
-    /// To be called once the last byte is on its way: from here on the claim may run.
+    /// Must be called once the last byte may have been sent: from now on the claim may run.
     pub fn mark_sent(&self) {
         if !self.sent.replace(true) {
             self.tries.inc();
@@ -282,7 +285,7 @@
         self.sent.get()
     }
 
-    /// To be called where a fault of this machine, not of the node, keeps it from being sent.
+    /// Must be called if a fault of this machine, not of the node, prevents sending.
     pub fn mark_local_fault(&self) {
         self.local_fault.set(true);
     }
@@ -291,7 +294,7 @@
         self.local_fault.get()
     }
 
-    /// To be called once the node has said that the message is delivered, whatever it says after that.
+    /// Must be called once the node has confirmed delivery, whatever follows in its answer.
     pub fn mark_delivered(&self) {
         self.delivered.set(true);
     }
@@ -300,21 +303,22 @@
         self.report.set(report);
     }
 
-    /// To be called as soon as an answer's head tells of a wait, whatever follows it: others are not sent from then on.
+    /// Must be called as soon as the head of an answer requests a wait, whatever follows. From then on no claim is sent
+    /// there until the wait has ended.
     pub fn set_wait(&self, wait: Duration) {
-        self.told.set(Some(wait));
-        self.tells.notify_one();
+        self.requested_wait.set(Some(wait));
+        self.wait_notify.notify_one();
         self.wait.set(self.wait.get().max(Instant::now() + wait));
     }
 
-    /// The wait that was told, once.
-    pub(super) fn take_told_wait(&self) -> Option<Duration> {
-        self.told.take()
+    /// Takes the requested wait, if any.
+    pub(super) fn take_requested_wait(&self) -> Option<Duration> {
+        self.requested_wait.take()
     }
 
-    /// Done when a wait has been told.
-    pub(super) async fn wait_is_told(&self) {
-        self.tells.notified().await;
+    /// Waits until the answer has requested a wait.
+    pub(super) async fn wait_requested(&self) {
+        self.wait_notify.notified().await;
     }
 
     pub(super) fn report(&self) -> Report {
@@ -327,113 +331,114 @@
 }
 
 impl<C: Transport> Core<C> {
-    /// Takes in news of the list of execute nodes, one list after the other. Its cost for the module follows what
-    /// changed, not what is listed; a long list is taken in by parts, between which jobs go on. What closes nodes is
-    /// taken in before what opens others.
+    /// Applies a full list or changes to it, one list after the other. The decision module receives only the changes, so
+    /// that its cost does not depend on the length of the list. A long list is applied in chunks, between which jobs can
+    /// run. Entries that close nodes are applied before all others.
     pub async fn apply_list(&self, list: &NodeList) {
-        let _turn = self.listing.lock().await;
+        let _lock = self.list_lock.lock().await;
         let number = if list.reset { self.state.borrow_mut().nodes.next_list() } else { 0 };
-        let mut news = Vec::new();
-        for part in 0..list.chunk_count() {
-            if part > 0 {
+        let mut has_updates = Vec::new();
+        for chunk in 0..list.chunk_count() {
+            if chunk > 0 {
                 yield_now().await;
             }
-            news.push(self.close(&list.chunk(part), number));
+            has_updates.push(self.apply_closures(&list.chunk(chunk), number));
         }
         if list.reset {
-            let gone = self.not_seen(number);
-            gone.iter().for_each(|node| node.serving.set(false));
-            for part in gone.chunks(LET_GO) {
-                self.change(|state| part.iter().map(|node| self.drop_node(state, node)).collect());
+            let missing = self.missing_from(number);
+            missing.iter().for_each(|node| node.serving.set(false));
+            for chunk in missing.chunks(REMOVAL_BATCH) {
+                self.update_list(|state| chunk.iter().map(|node| self.remove_node(state, node)).collect());
                 yield_now().await;
             }
         }
-        for part in (0..list.chunk_count()).filter(|part| news[*part]) {
-            if part > 0 {
+        for chunk in (0..list.chunk_count()).filter(|chunk| has_updates[*chunk]) {
+            if chunk > 0 {
                 yield_now().await;
             }
-            let entries = list.chunk(part);
+            let entries = list.chunk(chunk);
             let rules = self.rules();
-            self.change(|state| {
-                let taken = entries.iter().flat_map(|entry| self.take_entry(state, &rules, entry, number));
-                taken.collect()
+            self.update_list(|state| {
+                let updates = entries.iter().flat_map(|entry| self.apply_entry(state, &rules, entry, number));
+                updates.collect()
             });
         }
         self.generation.set(Some(list.generation));
-        // Even if nothing changed: the module hears that the list can be had.
-        self.change(|_| Vec::new());
+        // Even if nothing changed, tells the decision module that the list is available.
+        self.update_list(|_| Vec::new());
     }
 
-    /// Nodes that a whole list did not name.
-    fn not_seen(&self, list: u32) -> Vec<Rc<Node>> {
+    /// Nodes that a full list did not contain.
+    fn missing_from(&self, list: u32) -> Vec<Rc<Node>> {
         let state = self.state.borrow();
-        state.nodes.by_id.values().filter(|node| node.seen.get() != list).cloned().collect()
+        state.nodes.by_id.values().filter(|node| node.last_full_list.get() != list).cloned().collect()
     }
 
-    /// Changes what is listed, and tells the module what it is to hear of that.
-    pub(super) fn change(&self, change: impl FnOnce(&mut State) -> Vec<Endpoint>) {
+    /// Changes the listed nodes, and passes the resulting updates to the decision module.
+    pub(super) fn update_list(&self, change: impl FnOnce(&mut State) -> Vec<Endpoint>) {
         let mut state = self.state.borrow_mut();
         let entries = change(&mut state);
         state.inbox.push(Event::List { scope: ListScope::Patch, entries });
         self.wake.notify_one();
     }
 
-    /// Done once no list is being taken in.
+    /// Waits until no list is being applied.
     pub async fn lists_applied(&self) {
-        drop(self.listing.lock().await);
+        drop(self.list_lock.lock().await);
     }
 
-    /// Takes in what closes nodes, and marks those that are named as seen. True if there is more that is new.
-    fn close(&self, entries: &[NodeEntry], list: u32) -> bool {
+    /// Applies the entries that close nodes, and marks the nodes of all entries as contained in this full list. True if
+    /// other entries have changes.
+    fn apply_closures(&self, entries: &[NodeEntry], list: u32) -> bool {
         let rules = self.rules();
-        let mut news = false;
+        let mut has_updates = false;
         let mut closing = Vec::new();
         for entry in entries {
             let state = self.state.borrow();
-            let known = state.nodes.named(&entry.instance_id);
+            let known = state.nodes.by_name(&entry.instance_id);
             if let Some(node) = known.filter(|_| list > 0 && entry.lifecycle != Lifecycle::Deleted) {
-                node.seen.set(list);
+                node.last_full_list.set(list);
             }
-            // One that is closed is told again: whether draining or in a state unknown is not kept.
+            // Repeated even for a closed node, since its exact state is not stored.
             if entry.lifecycle != Lifecycle::Serving {
                 closing.push(entry);
             } else {
-                news |= !known.is_some_and(|node| node.is(entry, &rules));
+                has_updates |= !known.is_some_and(|node| node.matches(entry, &rules));
             }
         }
         if !closing.is_empty() {
-            self.change(|state| {
-                closing.iter().flat_map(|entry| self.take_entry(state, &rules, entry, list)).collect()
+            self.update_list(|state| {
+                closing.iter().flat_map(|entry| self.apply_entry(state, &rules, entry, list)).collect()
             });
         }
-        news
+        has_updates
     }
 
-    /// Takes in an entry; gives what the module is to hear of it.
-    fn take_entry(&self, state: &mut State, rules: &Rules, entry: &NodeEntry, list: u32) -> Vec<Endpoint> {
+    /// Applies an entry; returns the updates for the decision module.
+    fn apply_entry(&self, state: &mut State, rules: &Rules, entry: &NodeEntry, list: u32) -> Vec<Endpoint> {
         let serving = entry.lifecycle == Lifecycle::Serving;
-        if serving && state.nodes.named(&entry.instance_id).is_some_and(|node| node.is(entry, rules)) {
+        if serving && state.nodes.by_name(&entry.instance_id).is_some_and(|node| node.matches(entry, rules)) {
             return Vec::new();
         }
-        if entry.instance_id.len() > LONGEST_NODE_NAME {
-            // Journal records must stay within the room that is kept for them.
-            tracing::warn!(address = &*entry.host_port, "a node's name is too long; left out");
+        if entry.instance_id.len() > MAX_NODE_NAME {
+            // Journal records must stay within the space reserved for them.
+            tracing::warn!(address = &*entry.host_port, "the name of a node is too long; ignoring the node");
             return Vec::new();
         }
-        let known = state.nodes.named(&entry.instance_id).cloned();
+        let known = state.nodes.by_name(&entry.instance_id).cloned();
         if entry.lifecycle == Lifecycle::Deleted {
-            return known.iter().map(|node| self.drop_node(state, node)).collect();
+            return known.iter().map(|node| self.remove_node(state, node)).collect();
         }
         let Ok(address) = entry.host_port.parse::<SocketAddr>() else {
             let (node, address) = (&*entry.instance_id, &*entry.host_port);
-            tracing::warn!(node, address, "no address; left out");
-            // What is listed without one is no longer where it was.
-            return known.iter().map(|node| self.drop_node(state, node)).collect();
+            tracing::warn!(node, address, "invalid address; ignoring the node");
+            // The node is no longer at its previous address.
+            return known.iter().map(|node| self.remove_node(state, node)).collect();
         };
-        // One that has moved is another node: what was learned of it, and connections to it, say nothing.
-        let stays = known.as_ref().filter(|node| node.address == address && node.dest == entry.cell);
-        let stays = stays.map(|node| node.id);
-        let id = stays.unwrap_or_else(|| {
+        // A node that has moved counts as a new one: neither its learned state nor its connections are valid any more.
+        let unmoved = known.as_ref().filter(|node| node.address == address && node.dest == entry.cell);
+        let unmoved = unmoved.map(|node| node.id);
+        let id = unmoved.unwrap_or_else(|| {
             state.nodes.last_id += 1;
             EndpointId(state.nodes.last_id)
         });
@@ -442,38 +447,38 @@
             name: (&*entry.instance_id).into(),
             address,
             dest: entry.cell,
-            places: Cell::new(places(entry, rules)),
+            zone_kind: Cell::new(zone_kind_indices(entry, rules)),
             weight: Cell::new(entry.weight.unwrap_or(f64::NAN)),
             started_ms: Cell::new(entry.started_at_ms),
-            back_ms: Cell::new(known.as_ref().map_or(0, |node| node.back_ms.get())),
+            enabled_ms: Cell::new(known.as_ref().map_or(0, |node| node.enabled_ms.get())),
             serving: Cell::new(serving),
-            out: Cell::new(self.disabled.borrow().contains(&entry.instance_id)),
-            seen: Cell::new(list),
+            disabled: Cell::new(self.disabled.borrow().contains(&entry.instance_id)),
+            last_full_list: Cell::new(list),
         };
-        let heard = self.endpoint(&node, node.condition());
-        match (known, stays.is_some()) {
+        let update = self.endpoint(&node, node.condition());
+        match (known, unmoved.is_some()) {
             (Some(old), true) => {
-                // Claims that are decided on look at this very record: it is changed where it stands.
+                // Updated in place, since pending claims check this instance before they are sent.
                 old.serving.set(serving);
-                old.places.set(node.places.get());
+                old.zone_kind.set(node.zone_kind.get());
                 old.weight.set(node.weight.get());
                 old.started_ms.set(node.started_ms.get());
-                vec![heard]
+                vec![update]
             }
             (Some(old), false) => {
-                let left = self.drop_node(state, &old);
-                state.nodes.put(node);
-                vec![left, heard]
+                let removal = self.remove_node(state, &old);
+                state.nodes.insert(node);
+                vec![removal, update]
             }
             (None, _) => {
-                state.nodes.put(node);
-                vec![heard]
+                state.nodes.insert(node);
+                vec![update]
             }
         }
     }
 
-    /// Lets a node go; gives what the module is to hear of it.
-    fn drop_node(&self, state: &mut State, node: &Rc<Node>) -> Endpoint {
+    /// Removes a node; returns the update for the decision module.
+    fn remove_node(&self, state: &mut State, node: &Rc<Node>) -> Endpoint {
         node.serving.set(false);
         self.transport.node_removed(node);
         state.nodes.remove(node);
@@ -481,15 +486,16 @@
         self.endpoint(node, Condition::Left)
     }
 
-    /// Whether there is such a destination, or was one a moment ago. Guards against holding what nobody will ever
-    /// serve; while nothing is listed at all, nobody can say.
-    pub(super) fn knows(&self, dest: u64) -> bool {
-        self.state.borrow().nodes.knows(dest)
+    /// Whether a job for the destination may be accepted: it has a node or lost its last one recently. Jobs that no
+    /// node will ever serve are not queued. While no node is listed at all, every destination is accepted.
+    pub(super) fn knows_destination(&self, dest: u64) -> bool {
+        self.state.borrow().nodes.knows_destination(dest)
     }
 
-    /// A node as the module has it. Its start is put on the module's clock; one in the future is a start just now.
+    /// A node in the decision module's terms. Its start is converted to the module's clock; a start in the future
+    /// counts as now.
     pub(super) fn endpoint(&self, node: &Node, condition: Condition) -> Endpoint {
-        let started_ms = node.started_ms.get().max(node.back_ms.get());
+        let started_ms = node.started_ms.get().max(node.enabled_ms.get());
         let started = SystemTime::UNIX_EPOCH.checked_add(Duration::from_millis(started_ms));
         let ago = started.filter(|_| started_ms > 0);
         let ago = ago.map(|at| SystemTime::now().duration_since(at).unwrap_or_default());
@@ -505,43 +511,44 @@
         }
     }
 
-    /// Leaves a node out whatever the list says of it, or takes it back. To the module it drains meanwhile, and
-    /// returns as one that has just started: operators restart what they take out.
-    pub fn set_disabled(&self, name: &str, out: bool) -> Result<(), SetDisabledError> {
-        if self.is_handed() {
+    /// Disables a node, whatever the list says about it, or enables it again. The decision module sees it as draining
+    /// meanwhile and as just started afterwards, since operators restart the nodes that they disable.
+    pub fn set_disabled(&self, name: &str, disabled: bool) -> Result<(), SetDisabledError> {
+        if self.is_handed_over() {
             return Err(SetDisabledError::HandedOver);
         }
-        let was = self.disabled.borrow().contains(name);
-        let node = self.state.borrow().nodes.named(name).cloned();
-        if !was && node.is_none() {
+        let was_disabled = self.disabled.borrow().contains(name);
+        let node = self.state.borrow().nodes.by_name(name).cloned();
+        if !was_disabled && node.is_none() {
             return Err(SetDisabledError::Unknown);
         }
-        self.disabled.borrow_mut().set(name, out).map_err(SetDisabledError::NotStored)?;
-        if was != out {
-            tracing::info!(node = name, out, "an execute node is out by hand, or back");
+        self.disabled.borrow_mut().set(name, disabled).map_err(SetDisabledError::NotStored)?;
+        if was_disabled != disabled {
+            tracing::info!(node = name, out = disabled, "an operator disabled or enabled an execute node");
         }
-        if let Some(node) = node.filter(|node| node.out.replace(out) != out) {
-            if !out {
-                node.back_ms.set(unix_ms(SystemTime::now()));
+        if let Some(node) = node.filter(|node| node.disabled.replace(disabled) != disabled) {
+            if !disabled {
+                node.enabled_ms.set(unix_ms(SystemTime::now()));
             }
-            self.change(|_| vec![self.endpoint(&node, node.condition())]);
+            self.update_list(|_| vec![self.endpoint(&node, node.condition())]);
         }
         Ok(())
     }
 
-    /// The list could not be had.
+    /// A call to discovery for the list has failed.
     pub fn list_unavailable(&self, how: ListScope) {
         self.list_call_failed(how);
         self.state.borrow_mut().inbox.push(Event::List { scope: how, entries: Vec::new() });
         self.wake.notify_one();
     }
 
-    /// How long an answer of discovery is waited for that is no watch's renewal; `held` says whether it is to bring changes to a list.
-    pub fn list_call_timeout(&self, held: bool) -> Duration {
-        Duration::from_nanos(self.state.borrow().courier.list_patience(held))
+    /// The timeout of a call to discovery other than the renewal of a watch; `has_list` says whether the call requests
+    /// changes to a list rather than a full one.
+    pub fn list_call_timeout(&self, has_list: bool) -> Duration {
+        Duration::from_nanos(self.state.borrow().courier.list_patience(has_list))
     }
 
-    /// The leave of a job's claim to be sent to a node, before that time if one is given.
+    /// Creates the permit to send a job's claim to a node, valid until `not_after` if given.
     pub(super) fn permit(&self, key: Key, node: &Rc<Node>, not_after: Option<Instant>) -> Rc<SendPermit> {
         let record = ClaimRecord {
             journal: self.journal.clone(),
@@ -552,8 +559,8 @@
         };
         Rc::new(SendPermit {
             node: node.clone(),
-            wait: self.wait_of(node),
-            list: self.list_clock.clone(),
+            wait: self.wait_end(node),
+            lease: self.lease_clock.clone(),
             not_after,
             record: Some(record),
             begun: Cell::default(),
@@ -561,58 +568,58 @@
             local_fault: Cell::new(false),
             delivered: Cell::new(false),
             report: Cell::default(),
-            told: Cell::default(),
-            tells: Notify::new(),
-            tries: self.figures.tries(),
+            requested_wait: Cell::default(),
+            wait_notify: Notify::new(),
+            tries: self.metrics.tries(),
         })
     }
 
-    /// Whether nodes of its kind are routes apart.
-    pub(super) fn is_apart(&self, node: &Node) -> bool {
+    /// Whether the nodes of a destination of this kind are separate routes.
+    pub(super) fn is_separate_route(&self, node: &Node) -> bool {
         self.rules().settings.kinds.get(node.kind().0).and_then(|k| k.apart).unwrap_or(false)
     }
 
-    /// A wait was told there: nothing goes out before its end, nor before that of one told earlier.
-    pub(super) fn begin_wait(&self, node: &Node, left: Duration) {
-        let until = self.wait_of(node);
-        until.set(until.get().max(Instant::now() + left));
+    /// Applies a wait requested by a node: no claim is sent there before its end, nor before the end of an earlier one.
+    pub(super) fn extend_wait(&self, node: &Node, wait: Duration) {
+        let until = self.wait_end(node);
+        until.set(until.get().max(Instant::now() + wait));
     }
 
-    /// End of the wait told by a node's destination, or by the node where nodes are routes apart.
-    pub(super) fn wait_of(&self, node: &Node) -> Rc<Cell<Instant>> {
-        let unit = (node.dest, self.is_apart(node).then_some(node.id));
+    /// The end of the wait requested by a node's destination, or by the node itself if nodes are separate routes.
+    pub(super) fn wait_end(&self, node: &Node) -> Rc<Cell<Instant>> {
+        let key = (node.dest, self.is_separate_route(node).then_some(node.id));
         let mut state = self.state.borrow_mut();
-        let State { waits, waits_left, .. } = &mut *state;
-        // Guards against a wait kept for each destination that was ever called: one that is over, and that no claim
-        // looks at, is none.
+        let State { waits, waits_after_pruning, .. } = &mut *state;
+        // Removes waits that have ended and that no claim refers to: otherwise one would be kept for each destination
+        // ever called.
         let now = Instant::now();
-        look_through(waits, waits_left, |_, until| Rc::strong_count(until) > 1 || until.get() > now);
-        waits.entry(unit).or_insert_with(|| Rc::new(Cell::new(self.start))).clone()
+        prune(waits, waits_after_pruning, |_, until| Rc::strong_count(until) > 1 || until.get() > now);
+        waits.entry(key).or_insert_with(|| Rc::new(Cell::new(self.start))).clone()
     }
 }
 
 impl Node {
     pub fn zone(&self) -> ZoneId {
-        ZoneId(usize::from(self.places.get().0))
+        ZoneId(usize::from(self.zone_kind.get().0))
     }
 
     pub fn kind(&self) -> KindId {
-        KindId(usize::from(self.places.get().1))
+        KindId(usize::from(self.zone_kind.get().1))
     }
 
-    /// Whether anything new may go there.
-    pub(super) fn is_open(&self) -> bool {
-        self.serving.get() && !self.out.get()
+    /// Whether new claims may be sent to it.
+    pub(super) fn accepts_claims(&self) -> bool {
+        self.serving.get() && !self.disabled.get()
     }
 
-    pub(super) fn set_back(&self, at_ms: u64) {
-        self.back_ms.set(at_ms);
+    pub(super) fn set_enabled_ms(&self, at_ms: u64) {
+        self.enabled_ms.set(at_ms);
     }
 
-    /// As it is listed, without what is out by hand: that is kept beside the list.
-    pub(super) fn listed(&self, rules: &Rules) -> ListedNode {
-        let (zone, kind) = self.places.get();
-        let name = |names: &[String], place: u16| names.get(usize::from(place)).cloned().unwrap_or_default();
+    /// The node as listed, for a handover. Whether an operator has disabled it is not part of the list.
+    pub(super) fn to_listed_node(&self, rules: &Rules) -> ListedNode {
+        let (zone, kind) = self.zone_kind.get();
+        let name = |names: &[String], index: u16| names.get(usize::from(index)).cloned().unwrap_or_default();
         ListedNode {
             name: self.name.to_string(),
             address: self.address.to_string(),
@@ -622,36 +629,36 @@
             serving: self.serving.get(),
             weight: self.weight(),
             started_ms: self.started_ms.get(),
-            back_ms: self.back_ms.get(),
+            back_ms: self.enabled_ms.get(),
         }
     }
 
     pub(super) fn condition(&self) -> Condition {
-        if self.is_open() { Condition::Active } else { Condition::Leaving }
+        if self.accepts_claims() { Condition::Active } else { Condition::Leaving }
     }
 
     fn weight(&self) -> Option<f64> {
         Some(self.weight.get()).filter(|weight| !weight.is_nan())
     }
 
-    /// Whether an entry says nothing new of it.
-    fn is(&self, entry: &NodeEntry, rules: &Rules) -> bool {
+    /// Whether an entry has no changes to it.
+    fn matches(&self, entry: &NodeEntry, rules: &Rules) -> bool {
         self.serving.get() == (entry.lifecycle == Lifecycle::Serving)
             && self.dest == entry.cell
             && self.weight() == entry.weight
             && self.started_ms.get() == entry.started_at_ms
-            && self.places.get() == places(entry, rules)
+            && self.zone_kind.get() == zone_kind_indices(entry, rules)
             && entry.host_port.parse() == Ok(self.address)
     }
 }
 
-/// The places of an entry's zone and kind; one that the settings do not name is none of theirs.
-fn places(entry: &NodeEntry, rules: &Rules) -> (u16, u16) {
-    let place = |names: &[String], name: &str| {
-        let place = names.iter().position(|n| n == name).unwrap_or(names.len());
-        u16::try_from(place).unwrap_or(u16::MAX)
+/// The indices of an entry's zone and kind in the settings; an unknown name gets an index past their end.
+fn zone_kind_indices(entry: &NodeEntry, rules: &Rules) -> (u16, u16) {
+    let index = |names: &[String], name: &str| {
+        let index = names.iter().position(|n| n == name).unwrap_or(names.len());
+        u16::try_from(index).unwrap_or(u16::MAX)
     };
-    (place(&rules.names.zones, &entry.zone), place(&rules.names.kinds, &entry.machine_type))
+    (index(&rules.names.zones, &entry.zone), index(&rules.names.kinds, &entry.machine_type))
 }
 
 #[cfg(test)]
