--- a/relay/src/core/nodes/tests.rs
+++ b/relay/src/core/nodes/tests.rs
@@ -4,30 +4,30 @@
 use crate::journal::SettledEnd;
 use crate::metrics::Metrics;
 
-/// A node that is open or not.
+/// A node that accepts claims or not.
 pub(crate) fn node(address: SocketAddr, open: bool) -> Node {
     Node {
         id: EndpointId(1),
         name: "n".into(),
         address,
         dest: 7,
-        places: Cell::new((0, 0)),
+        zone_kind: Cell::new((0, 0)),
         weight: Cell::new(f64::NAN),
         started_ms: Cell::new(0),
-        back_ms: Cell::new(0),
+        enabled_ms: Cell::new(0),
         serving: Cell::new(open),
-        out: Cell::new(false),
-        seen: Cell::new(0),
+        disabled: Cell::new(false),
+        last_full_list: Cell::new(0),
     }
 }
 
-/// A permit for a node of its own.
+/// A permit for a new node.
 pub(crate) fn permit(open: bool, wait: Duration, memory: Option<Duration>) -> Rc<SendPermit> {
     let now = Instant::now();
     Rc::new(SendPermit {
         node: Rc::new(node(SocketAddr::from(([127, 0, 0, 1], 1)), open)),
         wait: Rc::new(Cell::new(now + wait)),
-        list: Rc::new(ListClock::new(now)),
+        lease: Rc::new(LeaseClock::new(now)),
         not_after: memory.map(|left| now + left),
         record: None,
         begun: Cell::default(),
@@ -35,14 +35,14 @@
         local_fault: Cell::new(false),
         delivered: Cell::new(false),
         report: Cell::default(),
-        told: Cell::default(),
-        tells: Notify::new(),
+        requested_wait: Cell::default(),
+        wait_notify: Notify::new(),
         tries: Metrics::new(&[]).tries(),
     })
 }
 
 #[test]
-fn no_claim_begins_at_a_draining_node_in_a_wait_or_past_a_memory() {
+fn no_claim_is_sent_to_a_draining_node_during_a_wait_or_after_an_earlier_claim_is_forgotten() {
     let (none, long) = (Duration::ZERO, Duration::from_secs(9));
     assert!(permit(true, none, None).may_begin());
     assert!(permit(true, none, Some(long)).may_begin());
@@ -51,9 +51,9 @@
     assert!(!permit(true, none, Some(none)).may_begin());
 }
 
-struct Nowhere;
+struct NoTransport;
 
-impl Transport for Nowhere {
+impl Transport for NoTransport {
     async fn claim(&self, _: &Job, _: &Node, _: Duration, _: &Rc<SendPermit>) -> Outcome {
         Outcome::NotSent
     }
@@ -67,10 +67,10 @@
     fn node_removed(&self, _: &Node) {}
 }
 
-fn core(folder: &std::path::Path) -> Rc<Core<Nowhere>> {
+fn core(folder: &std::path::Path) -> Rc<Core<NoTransport>> {
     let (journal, _) = Journal::open(folder, 1_000_000).expect("it opens");
     let rules = Rules { settings: slatethread::Settings::default(), names: Default::default() };
-    Core::new(Nowhere, rules, None, 1, journal, DisabledNodes::open(folder), Metrics::new(&[]))
+    Core::new(NoTransport, rules, None, 1, journal, DisabledNodes::open(folder), Metrics::new(&[]))
 }
 
 pub(crate) fn entry(name: usize, port: u16, lifecycle: Lifecycle) -> NodeEntry<'static> {
@@ -86,27 +86,31 @@
     }
 }
 
-/// Takes a list in; gives what the module hears: numbers and conditions, in their order.
-async fn take(core: &Core<Nowhere>, reset: bool, entries: Vec<NodeEntry<'static>>) -> Vec<(u32, Condition)> {
+/// Applies a list; returns the updates for the decision module in their order, as numbers and conditions.
+async fn apply(
+    core: &Core<NoTransport>,
+    reset: bool,
+    entries: Vec<NodeEntry<'static>>,
+) -> Vec<(u32, Condition)> {
     let mut list = NodeList::from_entries(entries);
     list.reset = reset;
     core.apply_list(&list).await;
     let events = std::mem::take(&mut core.state.borrow_mut().inbox);
-    let heard = events.into_iter().flat_map(|event| match event {
+    let updates = events.into_iter().flat_map(|event| match event {
         Event::List { scope: ListScope::Patch, entries } => entries,
         other => panic!("{other:?}"),
     });
-    heard.map(|e| (e.id.0, e.condition)).collect()
+    updates.map(|e| (e.id.0, e.condition)).collect()
 }
 
-/// Discovery may have moved although the settings are not taken up.
+/// The address of discovery may have changed even if the settings are not applied.
 #[test]
-fn a_reload_binds_the_list_whether_or_not_the_settings_are_taken_up() {
+fn a_reload_shortens_the_list_lease_even_if_the_settings_are_not_applied() {
     let folder = tempfile::tempdir().expect("a folder");
     for class in [None, Some("another")] {
         let core = core(folder.path());
         core.start_list_lease(None, None, true);
-        let left = || core.list_clock.end().expect("it ends") - Instant::now();
+        let left = || core.lease_clock.end().expect("it ends") - Instant::now();
         assert!(left() > Duration::from_secs(5));
         let mut rules = (*core.rules()).clone();
         rules.names.classes.extend(class.map(str::to_owned));
@@ -116,44 +120,44 @@
 }
 
 #[test]
-fn the_module_hears_what_has_changed_and_what_closes_first() {
+fn the_decision_module_receives_only_changes_and_closures_first() {
     use Condition::*;
     let folder = tempfile::tempdir().expect("a folder");
     actix_rt::System::new().block_on(async {
         let core = core(folder.path());
         let all = |count| (0..count).map(|n| entry(n, 1, Lifecycle::Serving)).collect::<Vec<_>>();
-        assert_eq!(take(&core, true, all(2500)).await.len(), 2500);
-        assert!(take(&core, true, all(2500)).await.is_empty(), "nothing is new");
+        assert_eq!(apply(&core, true, all(2500)).await.len(), 2500);
+        assert!(apply(&core, true, all(2500)).await.is_empty(), "nothing has changed");
         let mut fewer = all(2498);
         fewer[2000] = entry(2000, 1, Lifecycle::Draining);
         fewer[0] = entry(0, 2, Lifecycle::Serving);
-        let mut heard = take(&core, true, fewer).await;
-        heard[1..3].sort_by_key(|(id, _)| *id);
-        // What drains and has gone; then the one that moved, as another node.
-        assert_eq!(heard, [(2001, Leaving), (2499, Left), (2500, Left), (1, Left), (2501, Active)]);
-        assert!(core.knows(2498), "a moment ago there was one");
+        let mut updates = apply(&core, true, fewer).await;
+        updates[1..3].sort_by_key(|(id, _)| *id);
+        // The draining node and the removed ones, then the node that moved, as a new one.
+        assert_eq!(updates, [(2001, Leaving), (2499, Left), (2500, Left), (1, Left), (2501, Active)]);
+        assert!(core.knows_destination(2498), "its last node was removed only recently");
         let deleted = vec![entry(5, 1, Lifecycle::Deleted), entry(9999, 1, Lifecycle::Deleted)];
-        assert_eq!(take(&core, false, deleted).await, [(6, Left)]);
-        // A weight is taken up where the node stands: claims look at that very record.
-        let node = core.state.borrow().nodes.named("n7").cloned().expect("listed");
+        assert_eq!(apply(&core, false, deleted).await, [(6, Left)]);
+        // A weight is updated in place: pending claims refer to this instance.
+        let node = core.state.borrow().nodes.by_name("n7").cloned().expect("listed");
         let heavier = NodeEntry { weight: Some(3.0), ..entry(7, 1, Lifecycle::Serving) };
-        assert_eq!(take(&core, false, vec![heavier]).await, [(8, Active)]);
+        assert_eq!(apply(&core, false, vec![heavier]).await, [(8, Active)]);
         assert_eq!(node.weight(), Some(3.0));
-        take(&core, false, vec![entry(7, 1, Lifecycle::Draining)]).await;
-        assert!(!node.is_open());
+        apply(&core, false, vec![entry(7, 1, Lifecycle::Draining)]).await;
+        assert!(!node.accepts_claims());
     });
 }
 
 #[test]
-fn a_node_out_by_hand_drains_whatever_the_list_says_and_returns_as_just_started() {
+fn a_disabled_node_drains_whatever_the_list_says_and_counts_as_just_started_once_enabled() {
     use Condition::*;
     use Lifecycle::*;
     let folder = tempfile::tempdir().expect("a folder");
     actix_rt::System::new().block_on(async {
         let core = core(folder.path());
         let list = |lifecycle| vec![entry(1, 1, lifecycle), entry(2, 1, Serving)];
-        take(&core, true, list(Serving)).await;
-        let heard = || {
+        apply(&core, true, list(Serving)).await;
+        let updates = || {
             let events = std::mem::take(&mut core.state.borrow_mut().inbox);
             let entries = events.into_iter().flat_map(|event| match event {
                 Event::List { entries, .. } => entries,
@@ -165,31 +169,31 @@
         assert!(matches!(core.set_disabled("n9", false), Err(SetDisabledError::Unknown)));
         core.set_disabled("n1", true).expect("listed");
         core.set_disabled("n1", true).expect("listed");
-        assert_eq!(heard(), [(1, Leaving, false)]);
-        // Through lists, its leaving and its coming again, and a restart of this process.
-        assert_eq!(take(&core, true, list(Serving)).await, []);
-        assert_eq!(take(&core, true, list(Draining)).await, [(1, Leaving)]);
-        assert_eq!(take(&core, false, vec![entry(1, 1, Deleted)]).await, [(1, Left)]);
-        assert_eq!(take(&core, false, list(Serving)).await, [(3, Leaving)]);
+        assert_eq!(updates(), [(1, Leaving, false)]);
+        // It stays disabled across lists, its removal and return, and a restart of this process.
+        assert_eq!(apply(&core, true, list(Serving)).await, []);
+        assert_eq!(apply(&core, true, list(Draining)).await, [(1, Leaving)]);
+        assert_eq!(apply(&core, false, vec![entry(1, 1, Deleted)]).await, [(1, Left)]);
+        assert_eq!(apply(&core, false, list(Serving)).await, [(3, Leaving)]);
         let after = self::core(folder.path());
-        assert_eq!(take(&after, true, list(Serving)).await, [(1, Leaving), (2, Active)]);
-        core.set_disabled("n1", false).expect("out");
+        assert_eq!(apply(&after, true, list(Serving)).await, [(1, Leaving), (2, Active)]);
+        core.set_disabled("n1", false).expect("disabled");
         core.set_disabled("n1", false).expect("listed");
         core.set_disabled("n2", false).expect("listed");
-        assert_eq!(heard(), [(3, Active, true)]);
+        assert_eq!(updates(), [(3, Active, true)]);
     });
 }
 
 #[test]
-fn nothing_is_kept_for_destinations_that_come_and_go() {
+fn state_of_removed_destinations_is_pruned() {
     let folder = tempfile::tempdir().expect("a folder");
     actix_rt::System::new().block_on(async {
         let core = core(folder.path());
         for n in 0..3000 {
-            take(&core, true, vec![entry(n, 1, Lifecycle::Serving)]).await;
-            let node = core.state.borrow().nodes.named(&format!("n{n}")).cloned().expect("listed");
-            let wait = core.wait_of(&node);
-            // One wait in a thousand runs on.
+            apply(&core, true, vec![entry(n, 1, Lifecycle::Serving)]).await;
+            let node = core.state.borrow().nodes.by_name(&format!("n{n}")).cloned().expect("listed");
+            let wait = core.wait_end(&node);
+            // One wait in a thousand has not ended.
             let until = if n % 1000 == 7 { Duration::from_secs(60) } else { Duration::ZERO };
             wait.set(Instant::now() + until);
         }
--- a/relay/src/core/rounds.rs
+++ b/relay/src/core/rounds.rs
@@ -1,4 +1,5 @@
-//! The module's rounds: what has happened goes in, what it orders is carried out.
+//! Decision rounds: each passes the events since the last one to the decision module and executes the actions that it
+//! returns.
 use slatethread::{Action, EndpointId, Event, GiveUpReason, MsgId};
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -7,18 +8,18 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
 
-use super::backlog::Parked;
+use super::backlog::PutBackRequest;
 use super::bundle::{Bundle, Share};
-use super::{Core, FAR_OFF, Node, State, Transport};
+use super::{Core, IDLE_WAKEUP, Node, State, Transport};
 
-/// What the module orders for one job.
+/// An instruction to the task of one job.
 pub(super) enum Order {
-    /// The round that took it in is over.
-    Held,
+    /// The round that received the job is over: unless an earlier order says otherwise, it stays queued.
+    Queued,
     Claim {
         node: Rc<Node>,
         limit: Duration,
-        /// It travels with others.
+        /// Set if the claim travels in a bundle.
         share: Option<Share>,
     },
     Cancel {
@@ -27,55 +28,55 @@
     Fail,
     Refuse {
         after: Option<Duration>,
-        /// The module's reason; none where no round decides any more.
+        /// The decision module's reason; `None` if there are no more rounds to decide.
         why: Option<GiveUpReason>,
     },
-    /// Not the module's: a later job takes its place.
+    /// Not from the decision module: a later job replaces this one.
     Replaced,
-    /// Not the module's: its place in memory is another's, and it goes back to disk unless it is out.
-    PutBack(mpsc::UnboundedSender<Parked>),
+    /// Not from the decision module: the job returns to disk to free memory, unless it is in flight.
+    PutBack(mpsc::UnboundedSender<PutBackRequest>),
 }
 
-/// A process may be held up for so long between reading its clock and acting (the platform's rules).
-const HOLD_UP: Duration = Duration::from_millis(150);
+/// How long a process may be delayed between reading its clock and acting on it (the platform's rules).
+const MAX_ROUND_DELAY: Duration = Duration::from_millis(150);
 
-/// Orders that can be waiting for one job: held, a claim, its cancellation, an end, another in its place.
-pub(super) const ORDERS: usize = 8;
+/// Capacity of a job's order channel: queued, a claim, its cancellation, an end and a replacement can all be pending.
+pub(super) const ORDER_CAPACITY: usize = 8;
 
 impl<C: Transport> Core<C> {
-    /// Plays rounds, no closer than the settings' step, until the relay winds down.
+    /// Runs rounds, at least the configured step apart, until the relay winds down.
     pub async fn run_rounds(&self) {
         let mut last = Instant::now();
         while !self.winding_down.get() {
             let timer = self.state.borrow().timers.peek().map(|t| t.0.0);
             let now = Instant::now();
-            let lapse = self.list_clock.end().filter(|end| *end > now);
-            let due = timer.into_iter().chain(lapse).min().unwrap_or(now + FAR_OFF);
+            let lapse = self.lease_clock.end().filter(|end| *end > now);
+            let due = timer.into_iter().chain(lapse).min().unwrap_or(now + IDLE_WAKEUP);
             tokio::select! {
                 () = self.wake.notified() => {}
                 () = sleep_until(due.into()) => {}
             }
             let next = (last + self.rules().step()).max(Instant::now().min(due));
             sleep_until(next.into()).await;
-            // Guards against acting on old news: what has arrived on sockets is read before the round. A
-            // yielding task goes on after the runtime has looked at its sockets and run what they woke.
+            // Avoids decisions on outdated state: data that has arrived on sockets is processed before the round. A
+            // task that yields resumes only after the runtime has polled its sockets and run the tasks that they woke.
             for _ in 0..2 {
                 tokio::task::yield_now().await;
             }
             last = Instant::now();
-            self.watch_hold_up(last.saturating_duration_since(next));
+            self.check_round_delay(last.saturating_duration_since(next));
             if !self.winding_down.get() {
                 self.round(last);
             }
         }
     }
 
-    /// Keeps how late rounds were at most; tells the log of one that was too late for what it acts on.
-    fn watch_hold_up(&self, late: Duration) {
+    /// Records the longest delay of a round, and logs a delay beyond [`MAX_ROUND_DELAY`].
+    fn check_round_delay(&self, late: Duration) {
         self.count(|tally| tally.latest_round = tally.latest_round.max(late));
-        self.figures.round_was_late(late);
-        if late > HOLD_UP {
-            tracing::warn!(?late, "held up: a round came late");
+        self.metrics.record_round_delay(late);
+        if late > MAX_ROUND_DELAY {
+            tracing::warn!(?late, "a decision round ran late");
         }
     }
 
@@ -87,23 +88,23 @@
             state.timers.pop();
             events.push(Event::Timer { nonce });
         }
-        self.watch_lease(now);
-        state.courier.set_list_lease(self.list_clock.ends_at());
+        self.log_lease_change(now);
+        state.courier.set_list_lease(self.lease_clock.ends_at());
         state.courier.pause_calls(self.journal_health.is_failing());
         let mut actions = Vec::new();
         state.courier.on_round(self.module_time(now), &events, &mut actions);
         let mut bundles = HashMap::new();
         for action in actions {
-            self.act(state, now, action, &mut bundles);
+            self.execute(state, now, action, &mut bundles);
         }
         for event in &events {
             if let Event::Request(request) = event {
-                order(state, request.msg, Order::Held);
+                send_order(state, request.msg, Order::Queued);
             }
         }
     }
 
-    fn act(
+    fn execute(
         &self,
         state: &mut State,
         now: Instant,
@@ -113,7 +114,10 @@
         match action {
             Action::Send { msg, endpoint, limit } => {
                 let Some(node) = state.nodes.get(endpoint).cloned() else {
-                    tracing::error!(endpoint = endpoint.0, "the module named a node that is not listed");
+                    tracing::error!(
+                        endpoint = endpoint.0,
+                        "the decision module chose a node that is not listed; the claim is not sent"
+                    );
                     return;
                 };
                 let limit = Duration::from_nanos(limit);
@@ -121,19 +125,19 @@
                 let share = (most > 1).then(|| {
                     let bundle = bundles.entry(endpoint).or_insert_with(Bundle::new);
                     if bundle.size() >= most as usize {
-                        // The module has begun another call.
+                        // This claim starts another call.
                         *bundle = Bundle::new();
                     }
                     bundle.share(limit)
                 });
-                order(state, msg, Order::Claim { node, limit, share });
+                send_order(state, msg, Order::Claim { node, limit, share });
             }
             Action::Refuse { msg, backoff, why } => {
                 let after = backoff.map(Duration::from_nanos);
-                order(state, msg, Order::Refuse { after, why: Some(why) });
+                send_order(state, msg, Order::Refuse { after, why: Some(why) });
             }
-            Action::Fail { msg } => order(state, msg, Order::Fail),
-            Action::Cancel { msg, attempt } => order(state, msg, Order::Cancel { attempt }),
+            Action::Fail { msg } => send_order(state, msg, Order::Fail),
+            Action::Cancel { msg, attempt } => send_order(state, msg, Order::Cancel { attempt }),
             Action::SetTimer { nonce, after } => {
                 state.timers.push(Reverse((now + Duration::from_nanos(after), nonce)));
             }
@@ -142,29 +146,30 @@
                     self.transport.close_idle(node);
                 }
             }
-            Action::Log { line } => tracing::info!("module: {}", named(state, &line)),
-            Action::Follow { want: true } | Action::Reload => self.follow.notify_one(),
+            Action::Log { line } => tracing::info!("decision module: {}", with_node_name(state, &line)),
+            Action::Follow { want: true } | Action::Reload => self.list_request.notify_one(),
             Action::Follow { want: false } | Action::Probe { .. } | Action::Tell { .. } => {
-                tracing::error!(?action, "the module asked for what no front offers");
+                tracing::error!(?action, "the decision module requested an unsupported action; ignored");
             }
         }
     }
 }
 
-/// A line of the module's with the name of its execute node in place of the number.
-fn named(state: &State, line: &str) -> String {
-    let rest = line.strip_prefix("endpoint ").and_then(|rest| rest.split_once(' '));
-    let node = rest.and_then(|(id, _)| state.nodes.get(EndpointId(id.parse().ok()?)));
-    match (node, rest) {
+/// Replaces the number of an execute node in the decision module's log line by the node's name.
+fn with_node_name(state: &State, line: &str) -> String {
+    let parts = line.strip_prefix("endpoint ").and_then(|text| text.split_once(' '));
+    let node = parts.and_then(|(id, _)| state.nodes.get(EndpointId(id.parse().ok()?)));
+    match (node, parts) {
         (Some(node), Some((_, what))) => format!("execute node {} {what}", node.name),
         _ => line.to_owned(),
     }
 }
 
-pub(super) fn order(state: &State, msg: MsgId, order: Order) {
-    if let Some(seat) = state.seats.get(&msg)
-        && seat.try_send(order).is_err()
+/// Sends an order to the task of a job, if it still runs.
+pub(super) fn send_order(state: &State, msg: MsgId, order: Order) {
+    if let Some(sender) = state.order_senders.get(&msg)
+        && sender.try_send(order).is_err()
     {
-        tracing::error!(msg = msg.0, "a job does not take its orders");
+        tracing::error!(msg = msg.0, "cannot send an order to a job's task; the order is lost");
     }
 }
--- a/relay/src/disabled.rs
+++ b/relay/src/disabled.rs
@@ -1,18 +1,18 @@
-//! Which execute nodes are out by hand: an intention kept beside the list, not in it.
+//! The execute nodes that an operator has disabled. This is kept separately from the list of nodes.
 //!
-//! Owns the names and the file that they outlast the process in, which is written whole or not at all. It may not know
-//! what is listed. The way not taken: a record in the journal, which an older program would take for its torn end, and
-//! with it all that follows.
+//! Owns the names and the file that persists them, which is replaced atomically. It does not know which nodes are
+//! listed. The names are not journal records because an older version of the program would take such a record for a
+//! torn end of the journal, and lose it and everything after it.
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file may have so many bytes. Guards the journal's room: with its successor beside it while it is written, it
-/// stays within the reserve that the journal keeps free.
-const LARGEST: usize = 3584;
+/// Most bytes in the file. While it is replaced, the old and the new file together stay within the disk space that
+/// the journal keeps in reserve.
+const MAX_FILE_BYTES: usize = 3584;
 
-/// The form of the file; another one is not read.
+/// The format version of the file; files of other versions are not read.
 const VERSION: u32 = 1;
 
 #[derive(Serialize, Deserialize)]
@@ -26,23 +26,27 @@
     names: BTreeSet<String>,
 }
 
-/// Why nothing was changed.
+/// Why the set could not be changed.
 #[derive(Debug)]
 pub enum DisableError {
-    /// No more names fit.
+    /// The file would exceed its size limit.
     Full,
     Io(io::Error),
 }
 
 impl DisabledNodes {
-    /// Those that an earlier process left in the folder.
+    /// Reads the names that an earlier process stored in the folder; an unreadable file counts as empty.
     pub fn open(folder: &Path) -> DisabledNodes {
         let path = folder.join("out-by-hand");
         let names = match read(&path) {
             Ok(names) => names,
             Err(fault) => {
-                // A relay that does not start serves nobody; that something is amiss is told.
-                tracing::error!(path = %path.display(), fault, "cannot read which nodes are out by hand: none is");
+                // Logged rather than fatal: a relay that does not start would serve no destination at all.
+                tracing::error!(
+                    path = %path.display(),
+                    fault,
+                    "cannot read the disabled nodes; treating none as disabled"
+                );
                 BTreeSet::new()
             }
         };
@@ -53,16 +57,19 @@
         self.names.contains(name)
     }
 
-    /// Notes that a node is out, or not any more. What is said twice is said once.
-    pub fn set(&mut self, name: &str, out: bool) -> Result<(), DisableError> {
-        let changed = if out { self.names.insert(name.into()) } else { self.names.remove(name) };
+    /// Disables or enables a node. Idempotent.
+    ///
+    /// # Errors
+    /// When the change cannot be stored; then nothing has changed.
+    pub fn set(&mut self, name: &str, disabled: bool) -> Result<(), DisableError> {
+        let changed = if disabled { self.names.insert(name.into()) } else { self.names.remove(name) };
         if !changed {
             return Ok(());
         }
         let written = self.write();
         if written.is_err() {
-            // What stands in the file holds.
-            if out {
+            // Undoes the change, to match the file.
+            if disabled {
                 self.names.remove(name)
             } else {
                 self.names.insert(name.into())
@@ -74,12 +81,12 @@
     fn write(&self) -> Result<(), DisableError> {
         let file = File { version: VERSION, out: self.names.clone() };
         let text = serde_json::to_vec(&file).expect("strings and a number");
-        if text.len() > LARGEST {
+        if text.len() > MAX_FILE_BYTES {
             return Err(DisableError::Full);
         }
-        let spare = self.path.with_extension("new");
-        std::fs::write(&spare, text)
-            .and_then(|()| std::fs::rename(&spare, &self.path))
+        let temporary = self.path.with_extension("new");
+        std::fs::write(&temporary, text)
+            .and_then(|()| std::fs::rename(&temporary, &self.path))
             .map_err(DisableError::Io)
     }
 }
@@ -92,7 +99,7 @@
     let file: File = serde_json::from_slice(&text).map_err(|e| e.to_string())?;
     match file.version {
         VERSION => Ok(file.out),
-        other => Err(format!("version {other} is not known")),
+        other => Err(format!("unsupported version {other}")),
     }
 }
 
--- a/relay/src/disabled/tests.rs
+++ b/relay/src/disabled/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_out_outlasts_the_process_until_it_is_taken_back() {
+fn disabled_nodes_persist_across_restarts_until_enabled() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut disabled = DisabledNodes::open(folder.path());
     for name in ["a", "b", "a"] {
@@ -14,16 +14,16 @@
     disabled.set("a", false).expect("written");
     assert!(!DisabledNodes::open(folder.path()).contains("a"));
     std::fs::write(folder.path().join("out-by-hand"), r#"{"version":2,"out":["a"]}"#).expect("written");
-    assert!(!DisabledNodes::open(folder.path()).contains("a"), "another form is not guessed at");
+    assert!(!DisabledNodes::open(folder.path()).contains("a"), "a file of an unknown version is ignored");
 }
 
 #[test]
-fn a_name_that_cannot_be_kept_is_not_out() {
+fn a_change_that_cannot_be_stored_does_not_take_effect() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut disabled = DisabledNodes::open(folder.path());
-    let taken = (0..).take_while(|n| disabled.set(&format!("{n:0>200}"), true).is_ok()).count();
-    assert_eq!(taken, LARGEST / 204);
-    assert!(!disabled.contains(&format!("{taken:0>200}")));
+    let stored = (0..).take_while(|n| disabled.set(&format!("{n:0>200}"), true).is_ok()).count();
+    assert_eq!(stored, MAX_FILE_BYTES / 204);
+    assert!(!disabled.contains(&format!("{stored:0>200}")));
     drop(folder);
     assert!(matches!(disabled.set(&format!("{:0>200}", 1), false), Err(DisableError::Io(_))));
     assert!(disabled.contains(&format!("{:0>200}", 1)), "the file was not written");
--- a/relay/src/job.rs
+++ b/relay/src/job.rs
@@ -1,4 +1,4 @@
-//! What a job, a claim's outcome and a notice are.
+//! The basic types: jobs, answers to submitters, outcomes of claims, and notices.
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use slatethread::Nanos;
@@ -6,21 +6,21 @@
 
 use crate::clock;
 
-/// A message that a submitter hands in: what the core reads of it, and what passes through unread.
+/// A message from a submitter: the fields that the core reads, and those that it passes through unchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
     pub id: String,
     pub class: String,
-    /// Which destination.
+    /// The id of the destination.
     pub dest: u64,
     pub deadline: SystemTime,
-    /// The submitter marked it as another try.
+    /// Whether the submitter marked it as a retry.
     pub retry: bool,
-    /// A relay that had it has died.
+    /// Whether a relay that had accepted it before has crashed.
     pub reconnect: bool,
-    /// What a plug-in calls it, for the log.
+    /// A label set by a plug-in, for the log.
     pub label: Option<String>,
-    /// What passes through unchanged and only the front reads.
+    /// Name-value pairs that only the front reads; the core passes them through unchanged.
     pub fields: Vec<(String, Bytes)>,
     pub body: Bytes,
 }
@@ -28,9 +28,9 @@
 /// The answer to a submitter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// From now on the relay owes the job its end.
+    /// The relay is now responsible for the job until it ends.
     Accepted,
-    /// Handing it in again is harmless, after that time if one is told.
+    /// Submitting the job again is harmless, after the given time if there is one.
     Refused {
         after: Option<Duration>,
     },
@@ -41,12 +41,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     Delivered,
-    /// Answered for good that it cannot be delivered, with the status that said so.
+    /// The node rejected the message permanently, with this status.
     Rejected(u16),
-    /// The message is over; nothing more is owed for it.
+    /// The message is no longer wanted: the job ends without a notice.
     Over,
-    /// Not sent: it never reached the node, or the node says that it did not count.
+    /// The claim was not sent, or the node reports that it did not count.
     NotSent,
+    /// The node refused the claim because it is at its limit; `wait` is how long it asked callers to wait.
     Full {
         wait: Option<Duration>,
     },
@@ -55,7 +56,7 @@
     Reset,
     Unconnected,
     Cancelled,
-    /// Not sent, by a fault of this machine: it never reached the node, which is not to blame.
+    /// The claim was not sent because of a fault of this machine, which says nothing about the node.
     LocalFault,
 }
 
@@ -72,7 +73,7 @@
     pub fn for_module(self) -> slatethread::Outcome {
         use slatethread::Outcome as To;
         match self {
-            // The node served the call; that nobody can deliver the message is no fault of the node's.
+            // The node served the call; a permanent rejection concerns the message, not the node's health.
             Outcome::Delivered | Outcome::Rejected(_) => To::Ok,
             Outcome::Over | Outcome::NotSent => To::Moot,
             Outcome::Full { wait } => To::Full { wait: wait.map(nanos) },
@@ -86,7 +87,7 @@
     }
 }
 
-/// The end of a job that was taken on and not delivered, as it is told.
+/// Reports the end of a job that was accepted and not delivered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Notice {
     pub id: String,
@@ -95,21 +96,22 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NoticeEnd {
-    /// Given up; with the status by which a node rejected it, if one did.
+    /// The job failed; `status` is set if a node rejected it.
     Failed { status: Option<u16> },
-    /// A requeue notice: handing the job in again is harmless, after that time if one is told.
+    /// A requeue notice: submitting the job again is harmless, after the given time if there is one.
     Returned { after: Option<Duration> },
-    /// A later job took its place before it was delivered.
+    /// A later job replaced it before it was delivered.
     Replaced,
 }
 
 impl Job {
-    /// The value of a field, if it has that.
+    /// The value of a field, if the job has it.
     pub fn field(&self, name: &str) -> Option<&[u8]> {
         self.fields.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_ref())
     }
 
-    pub fn left(&self) -> Duration {
+    /// Time until the deadline; zero once it has passed.
+    pub fn time_left(&self) -> Duration {
         self.deadline.duration_since(clock::now()).unwrap_or_default()
     }
 
@@ -126,21 +128,21 @@
     }
 }
 
-/// A span as the module has it.
+/// Converts a duration to the decision module's nanoseconds, saturating.
 pub fn nanos(span: Duration) -> Nanos {
     span.as_nanos().min(u128::from(u64::MAX)) as u64
 }
 
-/// Longest wait that is believed.
-const LONGEST_WAIT: Duration = Duration::from_secs(24 * 3600);
+/// Upper bound on the waits that nodes and plug-ins request.
+const MAX_WAIT: Duration = Duration::from_secs(24 * 3600);
 
-/// A told wait, as it is kept to. Guards against figures past the end of the clock.
+/// Limits a requested wait to `MAX_WAIT`, since a huge value would overflow the clock.
 pub fn cap_wait(wait: Duration) -> Duration {
-    wait.min(LONGEST_WAIT)
+    wait.min(MAX_WAIT)
 }
 
-/// A wait told in seconds, with or without decimals.
+/// Parses a wait in seconds, with or without decimals; `None` if it is not a positive number.
 pub fn parse_wait_seconds(text: &str) -> Option<Duration> {
     let seconds: f64 = text.trim().parse().ok().filter(|s: &f64| *s > 0.0)?;
-    Some(cap_wait(Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_WAIT)))
+    Some(cap_wait(Duration::try_from_secs_f64(seconds).unwrap_or(MAX_WAIT)))
 }
--- a/relay/src/list.rs
+++ b/relay/src/list.rs
@@ -1,9 +1,9 @@
-//! The list of execute nodes in discovery's form, held as the text that it came in.
+//! The list of execute nodes in discovery's format, kept as the JSON text that was received.
 //!
-//! A whole list can be many megabytes, again and again. Decoded at once it would be held several times over, and what
-//! the allocator keeps of that would be more than all that is remembered of the nodes. So a long text stands in a
-//! mapping of its own, which goes back to the system with it; it is checked whole once, and decoded in parts as they
-//! are taken in.
+//! A full list can have many megabytes and can arrive repeatedly. Decoding it at once would hold it in memory several
+//! times over, and the allocator would retain more memory for that than all state kept about the nodes. So a long text
+//! is stored in its own memory mapping, which is returned to the system when it is dropped; the text is validated once
+//! as a whole, and decoded in chunks as they are applied.
 use memmap2::MmapMut;
 use serde::de::{SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize};
@@ -14,13 +14,13 @@
 
 use crate::json::decode;
 
-/// Entries of a list that are decoded and taken in together: well under a millisecond's work, since a job on its way
-/// gives way to several parts.
-pub const PART: usize = 250;
-/// A longer text gets a mapping of its own.
-const LONG: usize = 128 * 1024;
+/// Entries of a list that are decoded and applied together: well under a millisecond of work, since a job in progress
+/// may have to wait for several chunks.
+pub const CHUNK: usize = 250;
+/// Longer texts, in bytes, get a memory mapping of their own.
+const MAPPING_THRESHOLD: usize = 128 * 1024;
 
-/// An execute node as discovery lists it.
+/// An execute node as listed by discovery.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "camelCase")]
 pub struct NodeEntry<'a> {
@@ -35,84 +35,84 @@
     pub cell: u64,
     pub lifecycle: Lifecycle,
     pub weight: Option<f64>,
-    /// Its last start, as Unix time in milliseconds; 0 is long ago.
+    /// Its last start, as Unix time in milliseconds; 0 means long ago.
     #[serde(default, deserialize_with = "millis")]
     pub started_at_ms: u64,
 }
 
-/// What discovery says of an execute node.
+/// The state of an execute node according to discovery.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Lifecycle {
     Serving,
-    /// Finishes what it has and wants nothing new.
+    /// The node finishes the claims it has and accepts no new ones.
     Draining,
     Deleted,
-    /// A state of which nothing is known: nothing new is sent there.
+    /// An unknown state: no new claims are sent to the node.
     #[serde(other)]
     Other,
 }
 
-/// A text that grows as it comes in.
+/// A buffer for a list's text as it is received.
 #[derive(Debug, Default)]
 pub struct ListText {
-    short: Vec<u8>,
-    long: Option<MmapMut>,
+    heap: Vec<u8>,
+    mapped: Option<MmapMut>,
     length: usize,
 }
 
 impl From<Vec<u8>> for ListText {
-    fn from(short: Vec<u8>) -> Self {
-        ListText { length: short.len(), short, long: None }
+    fn from(heap: Vec<u8>) -> Self {
+        ListText { length: heap.len(), heap, mapped: None }
     }
 }
 
 impl ListText {
-    /// Adds what came, up to `limit` bytes in all; false if it does not fit.
+    /// Appends received bytes; false if the text would exceed `limit` bytes.
     pub fn append(&mut self, bytes: &[u8], limit: usize) -> io::Result<bool> {
         let length = self.length + bytes.len();
         if length > limit {
             return Ok(false);
         }
-        if self.long.is_none() && length > LONG {
-            // Only what is written to takes up memory.
-            let mut long = MmapMut::map_anon(limit)?;
-            long[..self.length].copy_from_slice(&self.short);
-            (self.long, self.short) = (Some(long), Vec::new());
+        if self.mapped.is_none() && length > MAPPING_THRESHOLD {
+            // Reserves the limit: only pages that are written to use memory.
+            let mut mapped = MmapMut::map_anon(limit)?;
+            mapped[..self.length].copy_from_slice(&self.heap);
+            (self.mapped, self.heap) = (Some(mapped), Vec::new());
         }
-        match &mut self.long {
-            Some(long) => long[self.length..length].copy_from_slice(bytes),
-            None => self.short.extend_from_slice(bytes),
+        match &mut self.mapped {
+            Some(mapped) => mapped[self.length..length].copy_from_slice(bytes),
+            None => self.heap.extend_from_slice(bytes),
         }
         self.length = length;
         Ok(true)
     }
 
     pub fn is_mapped(&self) -> bool {
-        self.long.is_some()
+        self.mapped.is_some()
     }
 
     fn bytes(&self) -> &[u8] {
-        self.long.as_ref().map_or(&self.short, |long| &long[..self.length])
+        self.mapped.as_ref().map_or(&self.heap, |mapped| &mapped[..self.length])
     }
 }
 
-/// A list, or its changes since another.
+/// A full list, or the changes since an earlier one.
 #[derive(Debug)]
 pub struct NodeList {
     pub generation: u64,
-    /// The whole list; what is not in it is gone.
+    /// Whether this is the full list, so that nodes not in it have been removed.
     pub reset: bool,
     entries: Entries,
 }
 
 #[derive(Debug)]
 enum Entries {
-    Made(Vec<NodeEntry<'static>>),
-    /// Where each part begins in the text, and how many entries there are in all.
-    Read {
+    Decoded(Vec<NodeEntry<'static>>),
+    /// The text, the offset of each chunk's first entry, and the number of entries.
+    Text {
         text: ListText,
-        parts: Vec<usize>,
+        offsets: Vec<usize>,
         count: usize,
     },
 }
@@ -124,19 +124,20 @@
 }
 
 impl NodeList {
-    /// A whole list that was not read.
+    /// A full list made of these entries.
     pub fn from_entries(entries: Vec<NodeEntry<'static>>) -> Self {
-        NodeList { generation: 0, reset: true, entries: Entries::Made(entries) }
+        NodeList { generation: 0, reset: true, entries: Entries::Decoded(entries) }
     }
 
-    /// A list, or changes, that were read one by one.
+    /// A full list, or changes, made of entries that were decoded one by one.
     pub fn new(generation: u64, reset: bool, entries: Vec<NodeEntry<'static>>) -> Self {
-        NodeList { generation, reset, entries: Entries::Made(entries) }
+        NodeList { generation, reset, entries: Entries::Decoded(entries) }
     }
 
-    /// Each entry by its name and as a text, none for one that is gone: the same for all who were told the same.
+    /// The name of each entry with its JSON text, or `None` if it is deleted. Equal entries have equal texts, however
+    /// discovery formatted them.
     pub fn entry_texts(&self) -> Vec<(String, Option<String>)> {
-        let entries = (0..self.chunk_count()).flat_map(|part| self.chunk(part));
+        let entries = (0..self.chunk_count()).flat_map(|number| self.chunk(number));
         let text = |entry: NodeEntry| {
             let name = entry.instance_id.clone().into_owned();
             let listed = entry.lifecycle != Lifecycle::Deleted;
@@ -145,23 +146,23 @@
         entries.map(text).collect()
     }
 
-    /// Checks a text whole; a fault names its path.
+    /// Validates a text as a whole; the error names the path of the fault.
     pub fn parse(text: ListText) -> Result<NodeList, String> {
-        let told: Told = decode(text.bytes())?;
-        if let Some(fault) = told.instances.fault {
+        let document: Document = decode(text.bytes())?;
+        if let Some(fault) = document.instances.fault {
             return Err(fault);
         }
         let start = text.bytes().as_ptr() as usize;
-        let parts = told.instances.parts.iter().map(|part| part.as_ptr() as usize - start).collect();
-        let (generation, reset, count) = (told.generation, told.reset, told.instances.count);
-        Ok(NodeList { generation, reset, entries: Entries::Read { text, parts, count } })
+        let offsets = document.instances.chunks.iter().map(|chunk| chunk.as_ptr() as usize - start).collect();
+        let (generation, reset, count) = (document.generation, document.reset, document.instances.count);
+        Ok(NodeList { generation, reset, entries: Entries::Text { text, offsets, count } })
     }
 
-    /// How many entries there are.
+    /// The number of entries.
     pub fn len(&self) -> usize {
         match &self.entries {
-            Entries::Made(entries) => entries.len(),
-            Entries::Read { count, .. } => *count,
+            Entries::Decoded(entries) => entries.len(),
+            Entries::Text { count, .. } => *count,
         }
     }
 
@@ -169,27 +170,27 @@
         self.len() == 0
     }
 
-    /// How many parts there are.
+    /// The number of chunks.
     pub fn chunk_count(&self) -> usize {
-        self.len().div_ceil(PART)
+        self.len().div_ceil(CHUNK)
     }
 
-    /// The entries of a part.
+    /// The entries of a chunk.
     pub fn chunk(&self, number: usize) -> Vec<NodeEntry<'_>> {
         match &self.entries {
-            Entries::Made(entries) => entries.iter().skip(number * PART).take(PART).cloned().collect(),
-            Entries::Read { text, parts, .. } => {
+            Entries::Decoded(entries) => entries.iter().skip(number * CHUNK).take(CHUNK).cloned().collect(),
+            Entries::Text { text, offsets, .. } => {
                 let bytes = text.bytes();
-                let mut at = parts.get(number).copied().unwrap_or(bytes.len());
-                let mut entries = Vec::with_capacity(PART.min(self.len()));
-                while entries.len() < PART {
+                let mut at = offsets.get(number).copied().unwrap_or(bytes.len());
+                let mut entries = Vec::with_capacity(CHUNK.min(self.len()));
+                while entries.len() < CHUNK {
                     let mut one = serde_json::Deserializer::from_slice(&bytes[at..]).into_iter::<NodeEntry>();
                     let Some(Ok(node)) = one.next() else { break };
                     entries.push(node);
                     at += one.byte_offset();
-                    // On to the next one, or to the end of them.
-                    let between = bytes[at..].iter().take_while(|b| b.is_ascii_whitespace() || **b == b',');
-                    at += between.count();
+                    // Skips to the next entry, or to the end of the array.
+                    let separator = bytes[at..].iter().take_while(|b| b.is_ascii_whitespace() || **b == b',');
+                    at += separator.count();
                 }
                 entries
             }
@@ -197,26 +198,27 @@
     }
 }
 
-/// The list as it is written.
+/// The JSON document of a list.
 #[derive(Deserialize)]
-struct Told<'a> {
+struct Document<'a> {
     generation: u64,
     reset: bool,
     #[serde(borrow)]
     instances: Instances<'a>,
 }
 
-/// Entries that were checked one by one: the text of the first of each part, and what is wrong with the first unfit.
+/// Entries that were validated one by one: the text of each chunk's first entry, and the fault of the first invalid
+/// one.
 struct Instances<'a> {
-    parts: Vec<&'a str>,
+    chunks: Vec<&'a str>,
     count: usize,
     fault: Option<String>,
 }
 
 impl<'de: 'a, 'a> Deserialize<'de> for Instances<'a> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Each;
-        impl<'de> Visitor<'de> for Each {
+        struct InstancesVisitor;
+        impl<'de> Visitor<'de> for InstancesVisitor {
             type Value = Instances<'de>;
 
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -224,10 +226,10 @@
             }
 
             fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Self::Value, A::Error> {
-                let mut all = Instances { parts: Vec::new(), count: 0, fault: None };
+                let mut all = Instances { chunks: Vec::new(), count: 0, fault: None };
                 while let Some(raw) = seq.next_element::<&'de RawValue>()? {
-                    if all.count.is_multiple_of(PART) {
-                        all.parts.push(raw.get());
+                    if all.count.is_multiple_of(CHUNK) {
+                        all.chunks.push(raw.get());
                     }
                     if all.fault.is_none() {
                         let fault = decode::<NodeEntry>(raw.get().as_bytes()).err();
@@ -238,30 +240,30 @@
                 Ok(all)
             }
         }
-        deserializer.deserialize_seq(Each)
+        deserializer.deserialize_seq(InstancesVisitor)
     }
 }
 
-/// Negative or absurd figures say as little as none.
+/// Decodes milliseconds; negative values become 0 and values out of range saturate, instead of failing the list.
 fn millis<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
-    f64::deserialize(deserializer).map(|told| told as u64)
+    f64::deserialize(deserializer).map(|value| value as u64)
 }
 
 impl NodeEntry<'static> {
-    /// An entry from its text.
+    /// Parses an entry from its JSON text.
     pub fn parse(text: &str) -> Result<Self, String> {
-        let told: NodeEntry = decode(text.as_bytes())?;
+        let entry: NodeEntry = decode(text.as_bytes())?;
         let own = |text: Cow<str>| Cow::Owned(text.into_owned());
-        let NodeEntry { cell, lifecycle, weight, started_at_ms, .. } = told;
-        let (instance_id, host_port) = (own(told.instance_id), own(told.host_port));
-        let (zone, machine_type) = (own(told.zone), own(told.machine_type));
+        let NodeEntry { cell, lifecycle, weight, started_at_ms, .. } = entry;
+        let (instance_id, host_port) = (own(entry.instance_id), own(entry.host_port));
+        let (zone, machine_type) = (own(entry.zone), own(entry.machine_type));
         Ok(NodeEntry { instance_id, host_port, zone, machine_type, cell, lifecycle, weight, started_at_ms })
     }
 
-    /// One that is gone.
+    /// An entry that reports a node as deleted.
     pub fn deleted(name: String) -> Self {
-        let none = Cow::Borrowed("");
-        let (host_port, zone, machine_type) = (none.clone(), none.clone(), none);
+        let empty = Cow::Borrowed("");
+        let (host_port, zone, machine_type) = (empty.clone(), empty.clone(), empty);
         let lifecycle = Lifecycle::Deleted;
         let instance_id = Cow::Owned(name);
         NodeEntry {
--- a/relay/src/list/tests.rs
+++ b/relay/src/list/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn an_entry_is_the_same_once_passed_on_and_its_text_whatever_the_service_wrote_round_it() {
+fn entries_and_their_texts_survive_forwarding_whatever_formatting_discovery_used() {
     let text = |space: &str, weight: &str| {
         format!(
             r#"{{"generation":1,"reset":false,"instances":[{{{space}"hostPort":"h:1",{space}"instanceId":"a\u0062","zone":"z","machineType":"k",
@@ -13,11 +13,11 @@
                 "machineType":"k","cell":7,"lifecycle":"DELETED","weight":1,"startedAtMs":0}}]}}"#
         )
     };
-    let plain = read(&text("", "1.5")).expect("sound");
+    let plain = read(&text("", "1.5")).expect("valid");
     let texts = plain.entry_texts();
-    assert_eq!(texts, read(&text("\n  ", "1.50")).expect("sound").entry_texts());
-    let passed = NodeEntry::parse(texts[0].1.as_deref().expect("listed")).expect("its own form");
-    assert_eq!(passed, plain.chunk(0)[0]);
+    assert_eq!(texts, read(&text("\n  ", "1.50")).expect("valid").entry_texts());
+    let forwarded = NodeEntry::parse(texts[0].1.as_deref().expect("listed")).expect("its own form");
+    assert_eq!(forwarded, plain.chunk(0)[0]);
     assert_eq!(texts[1], ("g".to_owned(), None));
     assert_eq!(NodeEntry::deleted("g".into()).lifecycle, Lifecycle::Deleted);
     assert!(NodeEntry::parse("{}").is_err());
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn faults_name_their_path() {
+fn parse_errors_name_the_path_of_the_fault() {
     let cases = [
         (r#"{"generation":1,"reset":true,"instances":[{"instanceId":4}]}"#, "instances[0].instanceId"),
         (r#"{"generation":1,"reset":7,"instances":[]}"#, "reset"),
@@ -49,11 +49,11 @@
 }
 
 #[test]
-fn a_list_comes_in_parts_whatever_its_length() {
-    for count in [0, 1, PART - 1, PART, PART + 1, 2 * PART + 5] {
-        let list = read(&text(count)).expect("sound");
+fn chunks_cover_all_entries_at_every_list_length() {
+    for count in [0, 1, CHUNK - 1, CHUNK, CHUNK + 1, 2 * CHUNK + 5] {
+        let list = read(&text(count)).expect("valid");
         assert_eq!((list.len(), list.generation, list.reset), (count, 2, false));
-        let all: Vec<_> = (0..list.chunk_count()).flat_map(|part| list.chunk(part)).collect();
+        let all: Vec<_> = (0..list.chunk_count()).flat_map(|number| list.chunk(number)).collect();
         assert_eq!(all.iter().map(|e| e.cell).collect::<Vec<_>>(), (0..count as u64).collect::<Vec<_>>());
         assert!(all.iter().all(|e| e.instance_id == format!("ab{}", e.cell) && e.started_at_ms == 0));
         assert!(all.iter().all(|e| e.lifecycle == Lifecycle::Other && matches!(e.zone, Cow::Borrowed("z"))));
@@ -61,12 +61,12 @@
 }
 
 #[test]
-fn a_long_text_stands_in_a_mapping_and_one_too_long_is_refused() {
+fn a_long_text_is_memory_mapped_and_one_over_the_limit_is_refused() {
     let all = text(3000);
     let mut long = ListText::default();
-    for part in all.as_bytes().chunks(5000) {
-        assert!(long.append(part, all.len()).expect("mapped"));
+    for piece in all.as_bytes().chunks(5000) {
+        assert!(long.append(piece, all.len()).expect("mapped"));
     }
     assert!(long.is_mapped() && !long.append(b" ", all.len()).expect("mapped"));
-    assert_eq!(NodeList::parse(long).expect("sound").chunk(2).len(), PART);
+    assert_eq!(NodeList::parse(long).expect("valid").chunk(2).len(), CHUNK);
 }
--- a/relay/src/metrics.rs
+++ b/relay/src/metrics.rs
@@ -1,8 +1,8 @@
-//! The figures that the second address tells, for all fronts of the process together.
+//! The metrics that the admin address serves, for all fronts of the process together.
 //!
-//! Owns counters and the form in which they are read (the Prometheus text format, which the library writes). It may
-//! know no job and no socket: who makes a thing happen counts it, at the one place where it happens; what stands at a
-//! moment ([`Census`]) is handed in when the figures are read.
+//! Owns the counters and their exposition in the Prometheus text format. It knows neither jobs nor sockets: each event
+//! is counted by the code that causes it, at one place only; the values of gauges ([`GaugeValues`]) are passed in when
+//! the metrics are rendered.
 use prometheus::{
     Counter, CounterVec, Encoder, Gauge, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder,
 };
@@ -14,14 +14,14 @@
 
 pub use backlog::{BacklogMetrics, BacklogRefusal};
 
-/// What all names begin with.
+/// The namespace of all metric names.
 const PREFIX: &str = "edge_balancer";
 
-/// How a message ended.
+/// How a message ended, as the label of a series.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageResult {
     Delivered,
-    /// Refused at the door, or taken on and handed back.
+    /// Refused on arrival, or accepted and returned by a requeue notice.
     Refused,
     Failed,
 }
@@ -38,17 +38,17 @@
     }
 }
 
-/// What was heard of a call to discovery.
+/// How a call to discovery ended, as the label of a series.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryResult {
     Answered,
-    /// Another status than 200.
+    /// The status was not 200.
     ErrorStatus,
-    /// No connection was had.
+    /// No connection could be made.
     ConnectFailed,
-    /// The answer broke off.
+    /// The answer was incomplete.
     Truncated,
-    /// Nothing in time.
+    /// There was no complete answer in time.
     TimedOut,
 }
 
@@ -72,30 +72,30 @@
     }
 }
 
-/// What a front has just now.
+/// The current values of a front's gauges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GaugeValues {
-    /// Messages taken on and not ended.
+    /// Messages accepted and not ended.
     pub in_progress: usize,
     /// Endpoints in the list.
     pub known: usize,
-    /// Those of them that are avoided, each once whatever the reasons.
+    /// Listed endpoints that are avoided, each counted once whatever the reasons.
     pub skipped: usize,
-    /// How long ago the list was last known to be complete, where it is asked for.
+    /// Time since the list was last known to be complete, if it is requested from discovery.
     pub list_age: Option<Duration>,
-    /// Records that the journal did not take since the process started, failed tries of the same one counted.
+    /// Failed writes of journal records since the process started, including retries of the same record.
     pub unwritten_records: u64,
 }
 
 pub struct Metrics {
     registry: Registry,
-    /// By class. Guards against a series for whatever text somebody calls a class.
+    /// By class. Only configured classes have a series, so that clients cannot create series with made-up names.
     classes: HashMap<String, [IntCounter; 3]>,
     tries: IntCounter,
     in_progress: IntGauge,
     known: IntGauge,
     skipped: IntGauge,
-    /// By what was heard.
+    /// By [`DiscoveryResult`].
     discovery_calls: [IntCounter; 5],
     discovery_seconds: [Counter; 5],
     list_age: Gauge,
@@ -107,124 +107,119 @@
 }
 
 impl Metrics {
-    /// All of them, at zero, for messages of these classes.
+    /// Registers all series, at zero, for messages of these classes.
     pub fn new<'a>(classes: impl IntoIterator<Item = &'a String>) -> Rc<Self> {
         let registry = Registry::new();
         let opts = |name, help| Opts::new(name, help).namespace(PREFIX);
-        let counter = |name, help| put(&registry, IntCounter::with_opts(opts(name, help)));
-        let gauge = |name, help| put(&registry, IntGauge::with_opts(opts(name, help)));
+        let counter = |name, help| register(&registry, IntCounter::with_opts(opts(name, help)));
+        let gauge = |name, help| register(&registry, IntGauge::with_opts(opts(name, help)));
         let handled =
             opts("handled_total", "Messages ended, by class and outcome, since the process started.");
-        let handled = put(&registry, IntCounterVec::new(handled, &["category", "outcome"]));
-        let discovery_calls = opts(
-            "discovery_calls_total",
-            "Calls to discovery that were no watch's renewal, by what was heard of them.",
-        );
-        let discovery_calls = put(&registry, IntCounterVec::new(discovery_calls, &["heard"]));
-        let discovery_seconds = opts(
-            "discovery_call_seconds_total",
-            "Time for which these calls were out, by what was heard of them.",
-        );
-        let discovery_seconds = put(&registry, CounterVec::new(discovery_seconds, &["heard"]));
+        let handled = register(&registry, IntCounterVec::new(handled, &["category", "outcome"]));
+        let discovery_calls =
+            opts("discovery_calls_total", "Calls to discovery other than renewals of a watch, by result.");
+        let discovery_calls = register(&registry, IntCounterVec::new(discovery_calls, &["heard"]));
+        let discovery_seconds = opts("discovery_call_seconds_total", "Duration of these calls, by result.");
+        let discovery_seconds = register(&registry, CounterVec::new(discovery_seconds, &["heard"]));
         let series =
             |class: &str| MessageResult::ALL.map(|ended| handled.with_label_values(&[class, ended.label()]));
         Rc::new(Metrics {
             classes: classes.into_iter().map(|class| (class.clone(), series(class))).collect(),
-            tries: counter("upstream_tries_total", "Messages written whole to endpoints."),
-            in_progress: gauge("in_progress", "Messages taken on and not ended."),
+            tries: counter("upstream_tries_total", "Messages written completely to endpoints."),
+            in_progress: gauge("in_progress", "Messages accepted and not ended."),
             known: gauge("known_endpoints", "Endpoints in the list."),
             skipped: gauge(
                 "skipped_endpoints",
-                "Listed endpoints that are avoided now, by hand or by choice.",
+                "Listed endpoints that are avoided now, disabled by an operator or judged unhealthy.",
             ),
             discovery_calls: DiscoveryResult::ALL
-                .map(|heard| discovery_calls.with_label_values(&[heard.label()])),
+                .map(|result| discovery_calls.with_label_values(&[result.label()])),
             discovery_seconds: DiscoveryResult::ALL
-                .map(|heard| discovery_seconds.with_label_values(&[heard.label()])),
-            list_age: put(
+                .map(|result| discovery_seconds.with_label_values(&[result.label()])),
+            list_age: register(
                 &registry,
                 Gauge::with_opts(opts(
                     "list_age_seconds",
-                    "Since when the list of endpoints is not known to be complete; 0 where it is not asked for.",
+                    "Time since the list of endpoints was known to be complete; 0 if discovery is not used.",
                 )),
             ),
             list_lapses: counter(
                 "list_lapses_total",
-                "How often nothing was sent any more since the list had not been confirmed for too long.",
+                "How often sending stopped because the list had not been confirmed for too long.",
             ),
-            latest_round: put(
+            latest_round: register(
                 &registry,
                 Gauge::with_opts(opts(
                     "latest_round_seconds",
-                    "How late a round of decisions came at most since the process started.",
+                    "Longest delay of a decision round since the process started.",
                 )),
             ),
             unwritten_records: gauge(
                 "journal_unwritten_records",
-                "Records that the journal did not take since the process started, failed tries of the same one counted.",
+                "Failed writes of journal records since the process started, retries included.",
             ),
-            loads: counter("loads_total", "Configurations taken up, the first one counted."),
-            load_errors: counter("load_errors_total", "Configurations that were faulty and not taken up."),
+            loads: counter("loads_total", "Configurations applied, including the first."),
+            load_errors: counter("load_errors_total", "Configurations that were faulty and not applied."),
             registry,
         })
     }
 
-    /// A message of a class has ended.
-    pub fn ended(&self, class: &str, ended: MessageResult) {
+    /// Counts a message of a class that has ended.
+    pub fn message_ended(&self, class: &str, result: MessageResult) {
         if let Some(series) = self.classes.get(class) {
-            series[ended as usize].inc();
+            series[result as usize].inc();
         }
     }
 
-    /// The count of messages written whole to endpoints.
+    /// The counter of messages written completely to endpoints.
     pub fn tries(&self) -> IntCounter {
         self.tries.clone()
     }
 
-    /// A call to discovery that was no watch's renewal is over.
-    pub fn discovery_call_ended(&self, heard: DiscoveryResult, took: Duration) {
-        self.discovery_calls[heard as usize].inc();
-        self.discovery_seconds[heard as usize].inc_by(took.as_secs_f64());
+    /// Counts a call to discovery that has ended, unless it renewed a watch.
+    pub fn discovery_call_ended(&self, result: DiscoveryResult, took: Duration) {
+        self.discovery_calls[result as usize].inc();
+        self.discovery_seconds[result as usize].inc_by(took.as_secs_f64());
     }
 
-    /// The list may no longer be acted on.
+    /// Counts an expiry of the list's lease: nothing is sent until the list is confirmed again.
     pub fn list_lapsed(&self) {
         self.list_lapses.inc();
     }
 
-    /// A round of decisions came so late.
-    pub fn round_was_late(&self, late: Duration) {
-        self.latest_round.set(self.latest_round.get().max(late.as_secs_f64()));
+    /// Records how late a decision round ran.
+    pub fn record_round_delay(&self, delay: Duration) {
+        self.latest_round.set(self.latest_round.get().max(delay.as_secs_f64()));
     }
 
-    /// A configuration was read.
-    pub fn config_loaded(&self, taken_up: bool) {
-        if taken_up { self.loads.inc() } else { self.load_errors.inc() }
+    /// Counts a configuration that was read.
+    pub fn config_loaded(&self, applied: bool) {
+        if applied { self.loads.inc() } else { self.load_errors.inc() }
     }
 
-    /// All figures as they are read.
+    /// All metrics in the Prometheus text format.
     pub fn render(&self, now: GaugeValues) -> String {
-        let whole = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
-        self.in_progress.set(whole(now.in_progress));
-        self.known.set(whole(now.known));
-        self.skipped.set(whole(now.skipped));
+        let as_gauge = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
+        self.in_progress.set(as_gauge(now.in_progress));
+        self.known.set(as_gauge(now.known));
+        self.skipped.set(as_gauge(now.skipped));
         self.list_age.set(now.list_age.map_or(0.0, |age| age.as_secs_f64()));
         self.unwritten_records.set(i64::try_from(now.unwritten_records).unwrap_or(i64::MAX));
         let mut text = Vec::new();
         let written = TextEncoder::new().encode(&self.registry.gather(), &mut text);
-        written.expect("memory takes all that is written");
-        String::from_utf8(text).expect("names and labels are text")
+        written.expect("writing to memory does not fail");
+        String::from_utf8(text).expect("names and labels are UTF-8")
     }
 }
 
-/// Registers what was made; names and labels are constants, so that neither fails.
-fn put<T: prometheus::core::Collector + Clone + 'static>(
+/// Registers a metric. Names and labels are constants, so neither creating nor registering it fails.
+fn register<T: prometheus::core::Collector + Clone + 'static>(
     registry: &Registry,
-    made: prometheus::Result<T>,
+    metric: prometheus::Result<T>,
 ) -> T {
-    let made = made.expect("a sound name");
-    registry.register(Box::new(made.clone())).expect("a name of its own");
-    made
+    let metric = metric.expect("valid names and labels");
+    registry.register(Box::new(metric.clone())).expect("a unique name");
+    metric
 }
 
 impl std::iter::Sum for GaugeValues {
--- a/relay/src/metrics/tests.rs
+++ b/relay/src/metrics/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 
 #[test]
-fn all_names_are_there_from_the_start_and_no_class_is_made_up() {
-    let figures = Metrics::new(&["order".to_owned(), "notice".to_owned()]);
-    figures.ended("order", MessageResult::Delivered);
-    figures.ended("nobody's", MessageResult::Failed);
-    figures.tries().inc();
-    figures.config_loaded(true);
-    figures.config_loaded(false);
-    figures.discovery_call_ended(DiscoveryResult::ErrorStatus, Duration::from_millis(2500));
-    figures.list_lapsed();
-    figures.round_was_late(Duration::from_millis(250));
-    figures.round_was_late(Duration::from_millis(50));
-    let text = figures.render(GaugeValues {
+fn all_series_exist_from_the_start_and_unknown_classes_get_none() {
+    let metrics = Metrics::new(&["order".to_owned(), "notice".to_owned()]);
+    metrics.message_ended("order", MessageResult::Delivered);
+    metrics.message_ended("nobody's", MessageResult::Failed);
+    metrics.tries().inc();
+    metrics.config_loaded(true);
+    metrics.config_loaded(false);
+    metrics.discovery_call_ended(DiscoveryResult::ErrorStatus, Duration::from_millis(2500));
+    metrics.list_lapsed();
+    metrics.record_round_delay(Duration::from_millis(250));
+    metrics.record_round_delay(Duration::from_millis(50));
+    let text = metrics.render(GaugeValues {
         in_progress: 3,
         known: 9,
         skipped: 2,
--- a/relay/src/notice.rs
+++ b/relay/src/notice.rs
@@ -1,4 +1,4 @@
-//! The form in which ends are told: a JSON object on a line.
+//! The wire format of notices: one JSON object per line.
 use serde::Serialize;
 
 use crate::job::{Notice, NoticeEnd};
@@ -9,12 +9,12 @@
     state: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
     after_ms: Option<u64>,
-    /// The status by which a gateway rejected the message for good; the platform's nodes reject none.
+    /// The status with which a gateway rejected the message permanently; the platform's nodes never do that.
     #[serde(skip_serializing_if = "Option::is_none")]
     status: Option<u16>,
 }
 
-/// Encodes a notice, once.
+/// Encodes a notice as a line of JSON.
 pub fn encode(notice: &Notice) -> Vec<u8> {
     let (state, after, status) = match notice.end {
         NoticeEnd::Failed { status } => ("failed", None, status),
--- a/relay/tests/backlog.rs
+++ b/relay/tests/backlog.rs
@@ -97,7 +97,7 @@
          send relay term
          expect relay2 log=platform_front_is_ready
          send n1 200
-         expect relay2 log=came_home
+         expect relay2 log=claim_of_the_previous_process_has_ended
          {}
          expect relay exit
          expect n1 nothing 300
--- a/relay/tests/platform/configuration.rs
+++ b/relay/tests/platform/configuration.rs
@@ -114,6 +114,6 @@
          expect relay exit
          send relay start
          expect relay log=recovered=1
-         expect relay log=goes_on_from_the_journal_id="j1""#,
+         expect relay log=continuing_the_job_from_the_journal_id="j1""#,
     );
 }
--- a/relay/tests/platform/notices.rs
+++ b/relay/tests/platform/notices.rs
@@ -25,7 +25,7 @@
          expect n1 POST
          expect relay log=list                # discovery goes down, and notices with it
          close list
-         expect relay log=could_not_be_told
+         expect relay log=could_not_deliver_a_notice
          send relay kill
          expect relay exit
          send list n1:7
--- a/relay/tests/upgrade.rs
+++ b/relay/tests/upgrade.rs
@@ -32,7 +32,7 @@
          expect n2 POST x-request-id=j3
          send n2 200
          send n1 200                                   # j1 comes home to the old process
-         expect relay2 log=came_home
+         expect relay2 log=claim_of_the_previous_process_has_ended
          expect n1 POST x-request-id=j2
          send n1 200
          expect relay exit
@@ -245,7 +245,7 @@
          send s9 POST /notice id=j9 dest=7 left=20000 size=9000
          expect s9 429
          send n1 200
-         expect relay2 log=came_home
+         expect relay2 log=claim_of_the_previous_process_has_ended
          expect n1 POST
          send n1 200
          expect n1 POST
@@ -274,7 +274,7 @@
          send b GET /-/ready
          expect b 200
          send relay term
-         expect relay2 log=came_home
+         expect relay2 log=claim_of_the_previous_process_has_ended
          expect list returned id=j1                    # its memory has ended
          send list n2:7
          expect n2 nothing 300",
