--- a/relay/src/backlog.rs
+++ b/relay/src/backlog.rs
@@ -20,9 +20,8 @@
 
 pub mod report;
 
-use crate::clock;
-use crate::config;
-use crate::figures::BacklogFigures;
+use crate::{clock, config};
+use crate::metrics::BacklogMetrics;
 use crate::journal::OpenJob;
 
 /// Most operations that may be queued for the store's thread.
@@ -68,7 +67,7 @@
     quota: u64,
     watchdog: Watchdog,
     /// The backlog's counters and gauges.
-    pub figures: BacklogFigures,
+    pub figures: BacklogMetrics,
     /// Notified after each event, since the time of the next tick may have changed.
     changed: Notify,
 }
@@ -85,7 +84,7 @@
         classes: &[BacklogClass],
         max_in_memory: Option<u32>,
         journaled: &[OpenJob],
-        figures: BacklogFigures,
+        figures: BacklogMetrics,
     ) -> Result<(Backlog, Vec<Action>), StoreError> {
         let worker = open_worker(settings, owner).await?;
         tracing::info!(folder = %settings.folder.display(), "backlog folder opened");
@@ -102,7 +101,7 @@
         classes: &[BacklogClass],
         max_in_memory: Option<u32>,
         journaled: &[OpenJob],
-        figures: BacklogFigures,
+        figures: BacklogMetrics,
     ) -> Result<(Backlog, Vec<Action>), StoreError> {
         let mut numbers = HashMap::new();
         let mut class_worth = Vec::new();
--- a/relay/src/handover/mod.rs
+++ b/relay/src/handover/mod.rs
@@ -21,11 +21,11 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-use crate::core::{Carrier, Core, Successor};
-use crate::handover_state::{FinishedClaim, HandoverState};
+use crate::core::{Core, Successor, Transport};
 use crate::job::{Answer, Job};
 use crate::journal::Key;
 use frame::{Frame, VERSION};
+use crate::handover_state::{FinishedClaim, HandoverState};
 use owners::{Action, Event, Ownership};
 
 /// Names of files in the state folder.
@@ -140,7 +140,7 @@
     /// Receives the outcomes of the predecessor's claims in flight, and admits jobs from submitters who are still connected
     /// to it, until it exits; then calls `ended`. Each outcome goes to the sender with its job's key in `waiting`. Claims
     /// whose outcome was not reported by then may have run.
-    pub async fn follow<C: Carrier>(
+    pub async fn follow<C: Transport>(
         self,
         core: Rc<Core<C>>,
         waiting: Vec<(Key, oneshot::Sender<FinishedClaim>)>,
@@ -287,7 +287,7 @@
 
     /// Hands the relay over to the waiting successor when the process receives SIGTERM. False if no successor waits, so that this
     /// process has to wind down itself.
-    pub fn terminate<C: Carrier>(&self, core: &Core<C>, drained: bool) -> bool {
+    pub fn terminate<C: Transport>(&self, core: &Core<C>, drained: bool) -> bool {
         let successor = self.successor.borrow().clone();
         let (Action::HandOver, Some(successor)) = (self.handle(Event::Terminate), successor) else {
             return false;
@@ -318,7 +318,7 @@
         })
     }
 
-    fn home(&self, claim: FinishedClaim) {
+    fn claim_ended(&self, claim: FinishedClaim) {
         // If the successor is gone, the journal still says that the claim may have run.
         drop(self.frames.send(Frame::ClaimFinished(claim)));
     }
