--- a/relay/src/backlog.rs
+++ b/relay/src/backlog.rs
@@ -20,9 +20,9 @@
 
 pub mod report;
 
-use crate::{clock, config};
-use crate::metrics::BacklogMetrics;
 use crate::journal::OpenJob;
+use crate::metrics::BacklogMetrics;
+use crate::{clock, config};
 
 /// Most operations that may be queued for the store's thread.
 const WORKER_QUEUE: usize = 4096;
--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -20,10 +20,10 @@
 use super::job_task::JobProgress;
 use super::rounds::{Order, send_order};
 use super::{Core, Transport};
-use crate::backlog::{Backlog, unix_millis, store_fault};
+use crate::backlog::{Backlog, store_fault, unix_millis};
 use crate::clock;
 use crate::job::{Answer, Job, Notice, NoticeEnd};
-use crate::journal::{Key, QueuedRequest, Acceptance, FinalNotice};
+use crate::journal::{Acceptance, FinalNotice, Key, QueuedRequest};
 use crate::metrics::{BacklogRefusal, MessageResult};
 
 /// Delay between two attempts of an operation that is retried until it succeeds.
--- a/relay/src/core/backlog/tests.rs
+++ b/relay/src/core/backlog/tests.rs
@@ -264,7 +264,8 @@
             classes.iter().map(|name| BacklogClass { name: (*name).into(), worth: 1.0 }).collect();
         let worker = worker(&site.disk, crash);
         let opened =
-            Backlog::with_worker(worker, &settings, &classes, Some(MAX_IN_MEMORY), &open, backlog_metrics).await;
+            Backlog::with_worker(worker, &settings, &classes, Some(MAX_IN_MEMORY), &open, backlog_metrics)
+                .await;
         let (backlog, actions) = match opened {
             Ok(opened) => opened,
             // Not reached by a crash during opening, which ends the run first.
--- a/relay/src/core/ends.rs
+++ b/relay/src/core/ends.rs
@@ -5,7 +5,7 @@
 use super::job_task::JobProgress;
 use super::{Core, Transport};
 use crate::job::{Answer, Job, Notice, NoticeEnd};
-use crate::journal::{Key, FinalNotice};
+use crate::journal::{FinalNotice, Key};
 use crate::metrics::MessageResult;
 
 /// Shortest and longest delay between two attempts to deliver a notice.
--- a/relay/src/core/handover.rs
+++ b/relay/src/core/handover.rs
@@ -13,11 +13,11 @@
 use super::backlog::MemorySlot;
 use super::job_task::JobProgress;
 use super::{Core, Transport};
+use crate::handover_state::{FinishedClaim, HandoverState, LearnedNode, LearnedUnit, RequestedWait};
 use crate::job::{Answer, Job, Outcome, nanos};
 use crate::journal::{Key, OpenJob};
 use crate::list::{Lifecycle, NodeEntry, NodeList};
 use crate::metrics::MessageResult;
-use crate::handover_state::{FinishedClaim, HandoverState, LearnedNode, LearnedUnit, RequestedWait};
 
 /// The process that has taken over.
 pub trait Successor {
--- a/relay/src/core/job_task.rs
+++ b/relay/src/core/job_task.rs
@@ -13,10 +13,10 @@
 use super::rounds::{ORDER_CAPACITY, Order};
 use super::{Core, DEFAULT_BACKOFF, IDLE_WAKEUP, Node, SendPermit, Transport};
 use crate::clock;
+use crate::handover_state::FinishedClaim;
 use crate::job::{Job, Notice, Outcome, nanos};
-use crate::journal::{Key, QueuedRequest, Acceptance, OpenJob, RecordedClaim};
+use crate::journal::{Acceptance, Key, OpenJob, QueuedRequest, RecordedClaim};
 use crate::metrics::MessageResult;
-use crate::handover_state::FinishedClaim;
 
 /// Delay before a claim that failed by a fault of this machine is reported to the decision module.
 const LOCAL_FAULT_DELAY: Duration = Duration::from_millis(20);
@@ -332,7 +332,11 @@
         if let Some(successor) = &*self.successor.borrow() {
             // A successor of another version may not know this outcome.
             let reported = if outcome == Outcome::LocalFault { Outcome::NotSent } else { outcome };
-            successor.claim_ended(FinishedClaim { key: progress.key, outcome: reported, node: node.name.to_string() });
+            successor.claim_ended(FinishedClaim {
+                key: progress.key,
+                outcome: reported,
+                node: node.name.to_string(),
+            });
             return outcome;
         }
         if outcome == Outcome::LocalFault && !self.journal_health.is_failing() {
--- a/relay/src/core/mod.rs
+++ b/relay/src/core/mod.rs
@@ -34,7 +34,7 @@
 use crate::disabled::DisabledNodes;
 use crate::hook::Hooks;
 use crate::job::{Answer, Job, Outcome, nanos};
-use crate::journal::{Journal, Key, FinalNotice, JournalHealth, OpenJob};
+use crate::journal::{FinalNotice, Journal, JournalHealth, Key, OpenJob};
 use crate::metrics::{GaugeValues, MessageResult, Metrics};
 use decision::Decision;
 use job_task::JobProgress;
--- a/relay/src/core/nodes.rs
+++ b/relay/src/core/nodes.rs
@@ -16,10 +16,10 @@
 use crate::clock;
 use crate::config::Rules;
 use crate::disabled::DisableError;
+use crate::handover_state::ListedNode;
 use crate::job::nanos;
 use crate::journal::{Journal, Key, RecordedClaim};
 use crate::list::{Lifecycle, NodeEntry, NodeList};
-use crate::handover_state::ListedNode;
 
 /// Longest name of a node, and of a zone together with it, that fits into a journal record.
 const MAX_NODE_NAME: usize = 200;
@@ -187,7 +187,8 @@
     fn write(&self) -> bool {
         let mut written = self.written.borrow_mut();
         if written.is_none() {
-            let claim = RecordedClaim { sent: clock::now(), node: self.node.clone(), zone: self.zone.clone() };
+            let claim =
+                RecordedClaim { sent: clock::now(), node: self.node.clone(), zone: self.zone.clone() };
             if let Err(error) = self.journal.borrow_mut().record_claim(self.key, claim.clone()) {
                 tracing::debug!(key = self.key, %error, "journal cannot record a claim; it is not sent");
                 return false;
--- a/relay/src/core/nodes/tests.rs
+++ b/relay/src/core/nodes/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::disabled::DisabledNodes;
 use crate::job::{Job, Outcome};
-use crate::metrics::Metrics;
 use crate::journal::FinalNotice;
+use crate::metrics::Metrics;
 
 /// A node that accepts claims or not.
 pub(crate) fn node(address: SocketAddr, open: bool) -> Node {
@@ -121,7 +121,7 @@
 
 #[test]
 fn the_decision_module_receives_only_changes_and_closures_first() {
-use Condition::*;
+    use Condition::*;
     let folder = tempfile::tempdir().expect("a folder");
     actix_rt::System::new().block_on(async {
         let core = core(folder.path());
@@ -150,7 +150,7 @@
 
 #[test]
 fn a_disabled_node_drains_whatever_the_list_says_and_counts_as_just_started_once_enabled() {
-use Condition::*;
+    use Condition::*;
     use Lifecycle::*;
     let folder = tempfile::tempdir().expect("a folder");
     actix_rt::System::new().block_on(async {
--- a/relay/src/handover/mod.rs
+++ b/relay/src/handover/mod.rs
@@ -22,10 +22,10 @@
 use tokio::time::{sleep, timeout};
 
 use crate::core::{Core, Successor, Transport};
+use crate::handover_state::{FinishedClaim, HandoverState};
 use crate::job::{Answer, Job};
 use crate::journal::Key;
 use frame::{Frame, VERSION};
-use crate::handover_state::{FinishedClaim, HandoverState};
 use owners::{Action, Event, Ownership};
 
 /// Names of files in the state folder.
--- a/relay/src/push/gateways.rs
+++ b/relay/src/push/gateways.rs
@@ -22,11 +22,11 @@
 
 use super::pool::{ClaimId, Denial, Left, LineId, Order, Pool};
 use super::{PATH, TOPIC, TTL};
-use crate::{clock, tls};
 use crate::config::{PoolLimits, Secured, Trust};
 use crate::core::{Core, Node, SendPermit, Transport};
 use crate::job::{Job, Outcome};
 use crate::journal::FinalNotice;
+use crate::{clock, tls};
 
 /// Streams of claims given up that a late answer may still come for without ending the connection.
 const RESET_STREAMS: usize = 1024;
