--- a/relay/src/admin/mod.rs
+++ b/relay/src/admin/mod.rs
@@ -17,7 +17,9 @@
 
 use crate::availability::Word;
 use crate::backlog::Backlog;
-use crate::connection_limiter::{self, ConnectionPolicy, ConnectionState, Places, TrackedStream, Yields};
+use crate::connection_limiter::{
+    self, ConnectionLimiter, ConnectionPolicy, ConnectionState, EvictionPolicy, TrackedStream,
+};
 use crate::core::NotOut;
 use crate::disabled::Refused;
 use crate::figures::{Census, Figures};
@@ -26,10 +28,10 @@
 
 /// A call is short: one that is not whole within this time is none.
 const CONNECTION_POLICY: ConnectionPolicy = ConnectionPolicy {
-    first: Duration::from_secs(1),
-    whole: Some(Duration::from_secs(1)),
-    idle: Duration::from_secs(1),
-    yields: Yields::Unfinished,
+    first_request_timeout: Duration::from_secs(1),
+    request_timeout: Some(Duration::from_secs(1)),
+    idle_timeout: Duration::from_secs(1),
+    eviction: EvictionPolicy::IdleOrIncomplete,
 };
 /// What a caller goes on sending after its answer is read for so long.
 const LINGER: Duration = Duration::from_millis(200);
@@ -93,7 +95,7 @@
     }
 
     /// Takes calls, one to a connection.
-    pub async fn accept(self: Rc<Self>, listener: TcpListener, places: Rc<Places>) {
+    pub async fn accept(self: Rc<Self>, listener: TcpListener, places: Rc<ConnectionLimiter>) {
         let service = HttpService::build()
             .keep_alive(KeepAlive::Disabled)
             .client_request_timeout(Duration::ZERO)
--- a/relay/src/connection_limiter.rs
+++ b/relay/src/connection_limiter.rs
@@ -24,7 +24,7 @@
 
 mod state;
 
-pub use state::{CloseReason, ConnectionPolicy, ConnectionState, Yields};
+pub use state::{CloseReason, ConnectionPolicy, ConnectionState, EvictionPolicy};
 use state::{FAREWELL, OpenConnections, Phase};
 
 /// After a connection could not be taken, above all for want of descriptors.
@@ -39,7 +39,7 @@
 const LINGER: Duration = Duration::from_millis(500);
 
 /// How many connections there may be; the number may change while they are taken.
-pub struct Places {
+pub struct ConnectionLimiter {
     free: Arc<Semaphore>,
     number: Cell<usize>,
     /// From then on connections are closed between requests.
@@ -50,9 +50,9 @@
     shut: CancellationToken,
 }
 
-impl Places {
+impl ConnectionLimiter {
     pub fn new(number: usize) -> Self {
-        Places {
+        ConnectionLimiter {
             free: Arc::new(Semaphore::new(number)),
             number: Cell::new(number),
             leaving: Cell::new(None),
@@ -228,8 +228,12 @@
 }
 
 /// Takes connections, each for a free place.
-pub async fn accept<F>(listener: TcpListener, places: Rc<Places>, policy: ConnectionPolicy, factory: F)
-where
+pub async fn accept<F>(
+    listener: TcpListener,
+    places: Rc<ConnectionLimiter>,
+    policy: ConnectionPolicy,
+    factory: F,
+) where
     F: ServiceFactory<(TrackedStream, Option<SocketAddr>), Config = (), InitError = ()>,
     F::Service: 'static,
     F::Error: Debug,
@@ -259,7 +263,7 @@
                 match timeout(ROOM_LOOK, places.free.clone().acquire_owned()).await {
                     Ok(Ok(place)) => break place,
                     Ok(Err(_)) => return,
-                    Err(_) => guests.make_room(Instant::now(), policy.yields),
+                    Err(_) => guests.make_room(Instant::now(), policy.eviction),
                 }
             };
             let mut waited = false;
--- a/relay/src/connection_limiter/state.rs
+++ b/relay/src/connection_limiter/state.rs
@@ -26,22 +26,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionPolicy {
     /// The first request must be whole within this time of connecting.
-    pub first: Duration,
+    pub first_request_timeout: Duration,
     /// A later one must be whole within this time of its first byte; unless set, the front sees to it itself.
-    pub whole: Option<Duration>,
+    pub request_timeout: Option<Duration>,
     /// A connection may stand idle for so long.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// What makes room for the next connection where there is none.
-    pub yields: Yields,
+    pub eviction: EvictionPolicy,
 }
 
 /// Which connections make room for others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Yields {
+pub enum EvictionPolicy {
     /// Those on which no request is open.
-    Silent,
+    IdleOnly,
     /// Those on which the first request is not whole, too.
-    Unfinished,
+    IdleOrIncomplete,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -168,10 +168,10 @@
     /// Whether its time is up by its front's policy.
     pub(super) fn overdue(&self, now: Instant, policy: &ConnectionPolicy) -> bool {
         let most = match (self.phase.get(), self.known.get()) {
-            (Phase::Waiting, false) => Some(policy.first),
-            (Phase::Waiting, true) => Some(policy.idle),
-            (Phase::Reading, false) => policy.whole.map(|_| policy.first),
-            (Phase::Reading, true) => policy.whole,
+            (Phase::Waiting, false) => Some(policy.first_request_timeout),
+            (Phase::Waiting, true) => Some(policy.idle_timeout),
+            (Phase::Reading, false) => policy.request_timeout.map(|_| policy.first_request_timeout),
+            (Phase::Reading, true) => policy.request_timeout,
             (Phase::Serving, _) => None,
         };
         most.is_some_and(|most| now >= self.since.get() + most)
@@ -184,11 +184,11 @@
     }
 
     /// Whether it may be closed in favour of another.
-    pub(super) fn may_make_room(&self, now: Instant, yields: Yields) -> bool {
+    pub(super) fn may_make_room(&self, now: Instant, yields: EvictionPolicy) -> bool {
         let least = if self.known.get() { ROOM_IDLE } else { ROOM_SILENT };
         let waits = match self.phase.get() {
             Phase::Waiting => true,
-            Phase::Reading => yields == Yields::Unfinished && !self.known.get(),
+            Phase::Reading => yields == EvictionPolicy::IdleOrIncomplete && !self.known.get(),
             Phase::Serving => false,
         };
         waits && self.closed.get().is_none() && now >= self.since.get() + least
@@ -234,7 +234,7 @@
 
     /// Closes connections that are not in use: several that never asked anything, or one that did. Guards against hundreds of
     /// silent ones keeping submitters out.
-    pub(super) fn make_room(&self, now: Instant, yields: Yields) {
+    pub(super) fn make_room(&self, now: Instant, yields: EvictionPolicy) {
         // One that only waits for its client to close has nothing more to give.
         if let Some(seen) = self.here().into_iter().find(|seen| seen.parting.get() && !seen.hurried.get()) {
             seen.hurried.set(true);
--- a/relay/src/connection_limiter/tests.rs
+++ b/relay/src/connection_limiter/tests.rs
@@ -16,12 +16,12 @@
     serving.serving();
     let later = start + Duration::from_secs(9);
     let closed = || [&first, &second, &serving].map(|seen| seen.closed.get().is_some());
-    guests.make_room(later, Yields::Silent);
+    guests.make_room(later, EvictionPolicy::IdleOnly);
     assert_eq!(closed(), [false, false, false]);
-    guests.make_room(later, Yields::Unfinished);
+    guests.make_room(later, EvictionPolicy::IdleOrIncomplete);
     assert_eq!(closed(), [true, false, false]);
-    guests.make_room(later, Yields::Unfinished);
-    guests.make_room(later, Yields::Unfinished);
+    guests.make_room(later, EvictionPolicy::IdleOrIncomplete);
+    guests.make_room(later, EvictionPolicy::IdleOrIncomplete);
     assert_eq!(closed(), [true, true, false]);
 }
 
@@ -132,9 +132,9 @@
     parting.parting.set(true);
     parting.closed.set(Some(Instant::now()));
     let later = Instant::now() + Duration::from_secs(9);
-    guests.make_room(later, Yields::Silent);
+    guests.make_room(later, EvictionPolicy::IdleOnly);
     assert!(parting.hurried.get() && idle.closed.get().is_none());
-    guests.make_room(later, Yields::Silent);
+    guests.make_room(later, EvictionPolicy::IdleOnly);
     assert!(idle.closed.get().is_some());
     actix_rt::System::new().block_on(async {
         let (guest, _client) = answered_over_unread().await;
@@ -155,10 +155,10 @@
     serving.came();
     serving.serving();
     let policy = ConnectionPolicy {
-        first: Duration::from_secs(9),
-        whole: Some(Duration::from_secs(9)),
-        idle: Duration::from_secs(9),
-        yields: Yields::Silent,
+        first_request_timeout: Duration::from_secs(9),
+        request_timeout: Some(Duration::from_secs(9)),
+        idle_timeout: Duration::from_secs(9),
+        eviction: EvictionPolicy::IdleOnly,
     };
     let closed = || [&waiting, &reading, &serving].map(|seen| seen.closed.get().is_some());
     guests.look(Instant::now(), &policy, true, false);
@@ -175,11 +175,11 @@
     asked.iter().for_each(|seen| seen.answered());
     let later = Instant::now() + Duration::from_secs(9);
     let closed = |all: &[Rc<ConnectionState>]| all.iter().filter(|seen| seen.closed.get().is_some()).count();
-    guests.make_room(later, Yields::Silent);
+    guests.make_room(later, EvictionPolicy::IdleOnly);
     assert_eq!((closed(&silent), closed(&asked)), (ROOM_AT_ONCE, 0));
-    guests.make_room(later, Yields::Silent);
+    guests.make_room(later, EvictionPolicy::IdleOnly);
     assert_eq!((closed(&silent), closed(&asked)), (ROOM_AT_ONCE + 4, 0));
-    guests.make_room(later, Yields::Silent);
+    guests.make_room(later, EvictionPolicy::IdleOnly);
     assert_eq!((closed(&silent), closed(&asked)), (ROOM_AT_ONCE + 4, 1));
     assert_eq!(silent[0].reason.get(), Some(CloseReason::MakesRoom));
 }
@@ -187,7 +187,7 @@
 /// Takes connections, each for as long as its client keeps it; tells how long it may have stood in the queue.
 async fn take_connections(
     listener: TcpListener,
-    places: Rc<Places>,
+    places: Rc<ConnectionLimiter>,
     told: tokio::sync::mpsc::UnboundedSender<Duration>,
 ) {
     let service = actix_service::fn_service(move |(gate, _): (TrackedStream, Option<SocketAddr>)| {
@@ -200,10 +200,10 @@
         }
     });
     let policy = ConnectionPolicy {
-        first: Duration::from_secs(9),
-        whole: None,
-        idle: Duration::from_secs(9),
-        yields: Yields::Silent,
+        first_request_timeout: Duration::from_secs(9),
+        request_timeout: None,
+        idle_timeout: Duration::from_secs(9),
+        eviction: EvictionPolicy::IdleOnly,
     };
     accept(listener, places, policy, service).await;
 }
@@ -215,7 +215,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let (told, mut queued) = tokio::sync::mpsc::unbounded_channel();
-        let taking = actix_rt::spawn(take_connections(listener, Rc::new(Places::new(1)), told));
+        let taking = actix_rt::spawn(take_connections(listener, Rc::new(ConnectionLimiter::new(1)), told));
         let first = tokio::net::TcpStream::connect(address).await.expect("connected");
         assert_eq!(queued.recv().await, Some(Duration::ZERO), "the queue was empty before it came");
         let begun = Instant::now();
@@ -239,7 +239,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let (told, mut taken) = tokio::sync::mpsc::unbounded_channel();
-        let places = Rc::new(Places::new(4));
+        let places = Rc::new(ConnectionLimiter::new(4));
         let _clients: Vec<_> =
             (0..3).map(|_| std::net::TcpStream::connect(address).expect("connected")).collect();
         // In this order: they come, no more are to be taken, the front looks.
--- a/relay/src/platform/server.rs
+++ b/relay/src/platform/server.rs
@@ -13,7 +13,9 @@
 use super::KEY;
 use crate::availability::Availability;
 use crate::clock;
-use crate::connection_limiter::{self, ConnectionPolicy, ConnectionState, Places, TrackedStream, Yields};
+use crate::connection_limiter::{
+    self, ConnectionLimiter, ConnectionPolicy, ConnectionState, EvictionPolicy, TrackedStream,
+};
 use crate::core::{Carrier, Core};
 use crate::job::{Answer, Job};
 
@@ -25,10 +27,10 @@
 const LONGEST_TIME: Duration = Duration::from_secs(24 * 3600);
 /// How long connections may take. They end silently: a 408 would be taken for the answer to what is sent just then.
 const CONNECTION_POLICY: ConnectionPolicy = ConnectionPolicy {
-    first: Duration::from_millis(2500),
-    whole: Some(Duration::from_millis(2500)),
-    idle: Duration::from_secs(5),
-    yields: Yields::Silent,
+    first_request_timeout: Duration::from_millis(2500),
+    request_timeout: Some(Duration::from_millis(2500)),
+    idle_timeout: Duration::from_secs(5),
+    eviction: EvictionPolicy::IdleOnly,
 };
 /// What a submitter goes on sending after its answer is read for so long, so that it gets to see the answer.
 const LINGER: Duration = Duration::from_millis(500);
@@ -44,7 +46,7 @@
     }
 
     /// Takes connections.
-    pub async fn accept(self: Rc<Self>, listener: TcpListener, places: Rc<Places>) {
+    pub async fn accept(self: Rc<Self>, listener: TcpListener, places: Rc<ConnectionLimiter>) {
         let taken = places.clone();
         let service = HttpService::build()
             // The connection limiter sees to time, by the policy above.
@@ -61,7 +63,7 @@
 }
 
 impl<C: Carrier> Server<C> {
-    async fn serve(&self, mut request: Request, places: &Places) -> Response<&'static str> {
+    async fn serve(&self, mut request: Request, places: &ConnectionLimiter) -> Response<&'static str> {
         let seen = request.conn_data::<Rc<ConnectionState>>().cloned();
         let mut response = match (request.method(), request.path()) {
             (&Method::GET, "/ready") if self.availability.get().is_ready() => {
--- a/relay/src/push/server.rs
+++ b/relay/src/push/server.rs
@@ -21,7 +21,7 @@
 use super::{PATH, TOPIC, TTL};
 use crate::clock;
 use crate::config::{Location, Push, Urgency};
-use crate::connection_limiter::{self, ConnectionPolicy, Places, TrackedStream, Yields};
+use crate::connection_limiter::{self, ConnectionLimiter, ConnectionPolicy, EvictionPolicy, TrackedStream};
 use crate::core::{Carrier, Core};
 use crate::job::{Answer, Job};
 use crate::tls;
@@ -31,8 +31,12 @@
 /// HTTP/2's opening must be done, and a body be whole, within this time.
 const READ_TIME: Duration = Duration::from_millis(2500);
 /// Silent connections make room; the rest is HTTP/2's own, with pings.
-const CONNECTION_POLICY: ConnectionPolicy =
-    ConnectionPolicy { first: READ_TIME, whole: None, idle: KEEP_ALIVE, yields: Yields::Silent };
+const CONNECTION_POLICY: ConnectionPolicy = ConnectionPolicy {
+    first_request_timeout: READ_TIME,
+    request_timeout: None,
+    idle_timeout: KEEP_ALIVE,
+    eviction: EvictionPolicy::IdleOnly,
+};
 /// Where a message that was taken on can be asked for while it is open.
 const MESSAGE: &str = "/message/";
 /// All header names and values that a job carries.
@@ -85,7 +89,7 @@
         *self.locations.borrow_mut() = locations;
     }
 
-    pub async fn accept(self: Rc<Self>, listener: TcpListener, places: Rc<Places>) {
+    pub async fn accept(self: Rc<Self>, listener: TcpListener, places: Rc<ConnectionLimiter>) {
         let greeter = self.clone();
         let service = HttpService::build()
             .keep_alive(KeepAlive::Timeout(KEEP_ALIVE))
--- a/relay/src/run.rs
+++ b/relay/src/run.rs
@@ -13,7 +13,7 @@
 use crate::backlog::{Backlog, BacklogClass};
 use crate::clock;
 use crate::config::{self, Idle, Limits, Rules};
-use crate::connection_limiter::Places;
+use crate::connection_limiter::ConnectionLimiter;
 use crate::core::{Carrier, Core, NotOut};
 use crate::disabled::Disabled;
 use crate::figures::{BacklogFigures, Census, Figures};
@@ -88,7 +88,7 @@
     if let Some(address) = admin {
         let listener = listen("BALANCER_ADMIN", address)?;
         tracing::info!(listen = %listener.local_addr().unwrap_or(address), "second address is ready");
-        actix_rt::spawn(desk.clone().accept(listener, Rc::new(Places::new(CALLERS))));
+        actix_rt::spawn(desk.clone().accept(listener, Rc::new(ConnectionLimiter::new(CALLERS))));
     }
     let name = platform.as_ref().map(|platform| platform.name.clone());
     // Lists pass between instances of the platform's front only: the second one's gateways are in the file.
@@ -192,7 +192,7 @@
 }
 
 /// Ends a front: requests that are whole by now are still answered, and what is out comes home.
-async fn wind_down<C: Carrier>(core: &Core<C>, places: &Places) {
+async fn wind_down<C: Carrier>(core: &Core<C>, places: &ConnectionLimiter) {
     places.end();
     core.wind_down(COMING_HOME).await;
     let end = Instant::now() + LAST_ANSWERS;
@@ -205,7 +205,7 @@
 #[derive(Default)]
 struct Standing {
     availability: Rc<Cell<Availability>>,
-    places: RefCell<Option<Rc<Places>>>,
+    places: RefCell<Option<Rc<ConnectionLimiter>>>,
 }
 
 impl Process for Standing {
@@ -228,7 +228,7 @@
 
 struct PlatformFront {
     core: Rc<Core<crate::platform::carrier::ToNodes>>,
-    places: Rc<Places>,
+    places: Rc<ConnectionLimiter>,
     budget: Rc<Budget>,
     elder: Option<Rc<Elder>>,
     following: actix_rt::task::JoinHandle<()>,
@@ -238,7 +238,7 @@
 struct PushFront {
     core: Rc<Core<crate::push::gateways::Gateways>>,
     server: Rc<crate::push::server::Server<crate::push::gateways::Gateways>>,
-    places: Rc<Places>,
+    places: Rc<ConnectionLimiter>,
     listen: std::net::SocketAddr,
     state: PathBuf,
 }
@@ -384,7 +384,7 @@
         settings.check_folder(Some(&config.state))?;
         attach_backlog(&core, settings, &config.name, &open).await?;
     }
-    let places = Rc::new(Places::new(budget.submitters()));
+    let places = Rc::new(ConnectionLimiter::new(budget.submitters()));
     *process.places.borrow_mut() = Some(places.clone());
     let mut held = None;
     match legacy {
@@ -570,7 +570,7 @@
     let listener = listen("push.listen", config.listen)?;
     let address = listener.local_addr().unwrap_or(config.listen);
     let server = crate::push::server::Server::new(core.clone(), &config, seed);
-    let places = Rc::new(Places::new(config.connections));
+    let places = Rc::new(ConnectionLimiter::new(config.connections));
     actix_rt::spawn(server.clone().accept(listener, places.clone()));
     tracing::info!(listen = %address, "push front is ready");
     Ok(PushFront { core, server, places, listen: config.listen, state: config.state })
