--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -1,9 +1,11 @@
-//! A relay that hands messages on to partner systems; `slatethread` decides, this program acts.
+//! A relay for messages to partner systems. The `slatethread` crate, called the decision module, decides what is sent when and where;
+//! this program does the I/O.
 //!
-//! The rooms, each importing only those before it: plain values ([`clock`], [`job`]), what is read and written ([`config`],
-//! [`list`], [`tls`], [`journal`], [`notice`], [`import`], [`figures`], [`disabled`]), plug-ins ([`hook`]), what waits on disk ([`backlog`]), jobs' lives ([`core`]), what fronts
-//! share ([`availability`], [`connection_limiter`], [`discovery`]), the fronts ([`platform`], [`push`]), the second address ([`admin`]; `admin_client` calls it), and the program that
-//! wires them ([`run`]).
+//! A frontend accepts messages over one protocol and sends them to execute nodes. The modules form layers, each of which imports
+//! only those before it: plain values ([`clock`], [`job`]); data that is read and written ([`config`], [`list`], [`tls`], [`journal`],
+//! [`notice`], [`import`], [`figures`], [`disabled`]); plug-ins ([`hook`]); messages queued on disk ([`backlog`]); the processing of
+//! jobs ([`core`]); what frontends share ([`availability`], [`connection_limiter`], [`discovery`]); the frontends ([`platform`],
+//! [`push`]); the admin address ([`admin`], and `admin_client` to call it); and startup and shutdown ([`run`]).
 #![forbid(unsafe_code)]
 
 pub mod admin;
