--- a/relay/src/admin/call.rs
+++ b/relay/src/admin/call.rs
@@ -1,74 +1,77 @@
-//! What a call to the second address asks for. Owns its form only: no socket, and no relay.
+//! Parses calls to the admin address.
 use actix_http::Method;
 
-/// Longest id of an endpoint; the list has none longer.
-const LONGEST_ID: usize = 200;
+/// Longest id of an endpoint; the list contains none longer.
+const MAX_ID_LEN: usize = 200;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     Ready,
-    Figures,
-    /// The other instances, as this one sees them.
+    Metrics,
+    /// The other instances as this one sees them.
     Instances,
-    /// What waits on disk, of all destinations or of one.
+    /// The messages queued on disk, for all destinations or for one.
     Backlog {
         destination: Option<u64>,
     },
-    /// Leave an endpoint out, or take it back.
+    /// Disable an endpoint, or enable it again.
     Endpoint {
         id: String,
-        out: bool,
+        disabled: bool,
     },
     Drain,
     Resume,
 }
 
-/// Why a call is none.
+/// Why a call is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
-    NoSuchPath,
-    /// The path has another method.
+pub enum InvalidCall {
+    UnknownPath,
+    /// The path requires this method.
     Method(&'static str),
+    /// The id of an endpoint, and why it is invalid.
     Id(&'static str),
-    /// It is no number.
+    /// The destination is not a number.
     Destination,
 }
 
 impl Call {
-    pub fn read(method: &Method, path: &str) -> Result<Call, Unfit> {
-        let (wanted, call) = match path.strip_prefix("/-/") {
+    pub fn parse(method: &Method, path: &str) -> Result<Call, InvalidCall> {
+        let (expected, call) = match path.strip_prefix("/-/") {
             Some("ready") => (Method::GET, Call::Ready),
-            Some("metrics") => (Method::GET, Call::Figures),
+            Some("metrics") => (Method::GET, Call::Metrics),
             Some("instances") => (Method::GET, Call::Instances),
             Some("drain") => (Method::PUT, Call::Drain),
             Some("resume") => (Method::PUT, Call::Resume),
             Some("backlog") => (Method::GET, Call::Backlog { destination: None }),
             Some(rest) if rest.starts_with("backlog/") => {
                 let number = rest.trim_start_matches("backlog/");
-                let destination = number.parse().map_err(|_| Unfit::Destination)?;
+                let destination = number.parse().map_err(|_| InvalidCall::Destination)?;
                 (Method::GET, Call::Backlog { destination: Some(destination) })
             }
             rest => {
-                let of = rest.and_then(|rest| rest.strip_prefix("endpoints/"));
-                let (id, what) = of.and_then(|of| of.rsplit_once('/')).ok_or(Unfit::NoSuchPath)?;
-                let out = match what {
+                let endpoint = rest.and_then(|rest| rest.strip_prefix("endpoints/"));
+                let (id, action) = endpoint
+                    .and_then(|endpoint| endpoint.rsplit_once('/'))
+                    .ok_or(InvalidCall::UnknownPath)?;
+                let disabled = match action {
                     "disable" => true,
                     "enable" => false,
-                    _ => return Err(Unfit::NoSuchPath),
+                    _ => return Err(InvalidCall::UnknownPath),
                 };
-                (Method::PUT, Call::Endpoint { id: decoded(id)?, out })
+                (Method::PUT, Call::Endpoint { id: percent_decode(id)?, disabled })
             }
         };
-        match method == wanted {
+        match method == expected {
             true => Ok(call),
-            false if wanted == Method::GET => Err(Unfit::Method("GET")),
-            false => Err(Unfit::Method("PUT")),
+            false if expected == Method::GET => Err(InvalidCall::Method("GET")),
+            false => Err(InvalidCall::Method("PUT")),
         }
     }
 }
 
-/// An id as it stands in a path, percent signs decoded.
-fn decoded(id: &str) -> Result<String, Unfit> {
+/// Decodes the percent-encoded id of an endpoint in a path.
+fn percent_decode(id: &str) -> Result<String, InvalidCall> {
     let mut bytes = Vec::with_capacity(id.len());
     let mut rest = id.bytes();
     while let Some(byte) = rest.next() {
@@ -76,18 +79,18 @@
         bytes.push(match byte {
             b'%' => match (digit(), digit()) {
                 (Some(high), Some(low)) => (high * 16 + low) as u8,
-                _ => return Err(Unfit::Id("a percent sign without two hexadecimal digits")),
+                _ => return Err(InvalidCall::Id("a percent sign without two hexadecimal digits")),
             },
-            b'/' => return Err(Unfit::Id("it has a slash")),
+            b'/' => return Err(InvalidCall::Id("it has a slash")),
             byte => byte,
         });
     }
-    let id = String::from_utf8(bytes).map_err(|_| Unfit::Id("it is not UTF-8"))?;
+    let id = String::from_utf8(bytes).map_err(|_| InvalidCall::Id("it is not UTF-8"))?;
     match id.len() {
-        0 => Err(Unfit::Id("it is empty")),
-        1..=LONGEST_ID if !id.chars().any(char::is_control) => Ok(id),
-        1..=LONGEST_ID => Err(Unfit::Id("it has control characters")),
-        _ => Err(Unfit::Id("it is longer than 200 bytes")),
+        0 => Err(InvalidCall::Id("it is empty")),
+        1..=MAX_ID_LEN if !id.chars().any(char::is_control) => Ok(id),
+        1..=MAX_ID_LEN => Err(InvalidCall::Id("it has control characters")),
+        _ => Err(InvalidCall::Id("it is longer than 200 bytes")),
     }
 }
 
--- a/relay/src/admin/mod.rs
+++ b/relay/src/admin/mod.rs
@@ -1,7 +1,7 @@
-//! The second address, for those who run the relay: it asks the fronts, and decides nothing.
+//! The admin address, for the operators of the relay. It passes calls on to the frontends, and decides nothing itself.
 //!
-//! It has a listener, places and a connection policy of its own: who connects and finishes no call, thousands of submitters, or a
-//! busy relay never keep a call waiting.
+//! It has its own listener, connection limit and connection policy, so that neither callers that do not complete a call, nor
+//! thousands of submitters, nor a busy relay delay a call.
 mod call;
 
 use actix_http::header::{self, HeaderValue};
@@ -24,53 +24,53 @@
 use crate::disabled::Refused;
 use crate::figures::{Census, Figures};
 use crate::instances::Instances;
-use call::{Call, Unfit};
+use call::{Call, InvalidCall};
 
-/// A call is short: one that is not whole within this time is none.
+/// Calls are short: one that is not complete within 1 s is dropped.
 const CONNECTION_POLICY: ConnectionPolicy = ConnectionPolicy {
     first_request_timeout: Duration::from_secs(1),
     request_timeout: Some(Duration::from_secs(1)),
     idle_timeout: Duration::from_secs(1),
     eviction: EvictionPolicy::IdleOrIncomplete,
 };
-/// What a caller goes on sending after its answer is read for so long.
+/// How long data is read that a caller still sends after its response.
 const LINGER: Duration = Duration::from_millis(200);
 
-/// So long a call waits for the relay to become this process's: its caller waits a second.
-const PATIENCE: Duration = Duration::from_millis(800);
+/// How long a call waits until this process has taken over the relay; its caller waits for a second.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A front as those who run the relay see it.
-pub trait Front {
+/// What operators can see of a frontend and do to it.
+pub trait Frontend {
     fn census(&self) -> Census;
-    /// Leaves an endpoint out, or takes it back.
-    fn set_out(&self, id: &str, out: bool) -> Result<(), NotOut>;
-    /// What waits on disk, if anything may.
+    /// Disables an endpoint, or enables it again.
+    fn set_disabled(&self, id: &str, disabled: bool) -> Result<(), NotOut>;
+    /// The messages queued on disk, if the frontend has a backlog.
     fn backlog(&self) -> Option<Rc<Backlog>>;
 }
 
-/// The process, as far as it is theirs to send clients away.
-pub trait Process {
-    /// False if that can't be had any more.
-    fn turn(&self, word: Word) -> bool;
+/// Lets operators drain the process's client connections.
+pub trait AvailabilityControl {
+    /// Applies an event to the process's availability; false if it is no longer possible.
+    fn apply(&self, event: Word) -> bool;
 }
 
 pub struct Admin {
     figures: Rc<Figures>,
-    /// None until the relay is this process's.
-    fronts: RefCell<Vec<Rc<dyn Front>>>,
+    /// Empty until this process runs the relay.
+    frontends: RefCell<Vec<Rc<dyn Frontend>>>,
     opened: Notify,
-    /// It can serve, be it only once another process has let go.
+    /// This process can serve, though perhaps only after another process has handed over.
     ready: Cell<bool>,
-    /// None where this instance talks to no others.
+    /// `None` if this instance has no connections to others.
     instances: RefCell<Option<Rc<Instances>>>,
-    process: Rc<dyn Process>,
+    process: Rc<dyn AvailabilityControl>,
 }
 
 impl Admin {
-    pub fn new(figures: Rc<Figures>, process: Rc<dyn Process>) -> Rc<Self> {
+    pub fn new(figures: Rc<Figures>, process: Rc<dyn AvailabilityControl>) -> Rc<Self> {
         Rc::new(Admin {
             figures,
-            fronts: RefCell::default(),
+            frontends: RefCell::default(),
             opened: Notify::new(),
             ready: Cell::new(false),
             instances: RefCell::default(),
@@ -78,7 +78,7 @@
         })
     }
 
-    /// The process can serve as soon as another one, which knows of it, lets go.
+    /// Marks the process as ready: it can serve now, or as soon as another process, which knows of it, has handed over.
     pub fn set_ready(&self) {
         self.ready.set(true);
     }
@@ -87,137 +87,153 @@
         *self.instances.borrow_mut() = instances;
     }
 
-    /// The fronts can serve.
-    pub fn open(&self, fronts: Vec<Rc<dyn Front>>) {
+    /// To be called when the frontends can serve.
+    pub fn open(&self, frontends: Vec<Rc<dyn Frontend>>) {
         self.set_ready();
-        *self.fronts.borrow_mut() = fronts;
+        *self.frontends.borrow_mut() = frontends;
         self.opened.notify_waiters();
     }
 
-    /// Takes calls, one to a connection.
-    pub async fn accept(self: Rc<Self>, listener: TcpListener, places: Rc<ConnectionLimiter>) {
+    /// Serves calls, one per connection.
+    pub async fn accept(self: Rc<Self>, listener: TcpListener, limiter: Rc<ConnectionLimiter>) {
         let service = HttpService::build()
             .keep_alive(KeepAlive::Disabled)
             .client_request_timeout(Duration::ZERO)
             .client_disconnect_timeout(LINGER)
-            .on_connect_ext(|gate: &TrackedStream, data| drop(data.insert(gate.seen())))
+            .on_connect_ext(|stream: &TrackedStream, data| drop(data.insert(stream.state())))
             .h1(fn_service(move |request: Request| {
                 let admin = self.clone();
                 async move {
-                    let seen = request.conn_data::<Rc<ConnectionState>>().cloned();
-                    seen.iter().for_each(|seen| seen.serving());
-                    let response = admin.answer(&request).await;
-                    seen.iter().for_each(|seen| seen.answered());
+                    let state = request.conn_data::<Rc<ConnectionState>>().cloned();
+                    state.iter().for_each(|state| state.request_complete());
+                    let response = admin.respond(&request).await;
+                    state.iter().for_each(|state| state.response_ready());
                     Ok::<_, Infallible>(response)
                 }
             }));
-        connection_limiter::accept(listener, places, CONNECTION_POLICY, service).await;
+        connection_limiter::accept(listener, limiter, CONNECTION_POLICY, service).await;
     }
 
-    async fn answer(&self, request: &Request) -> Response<String> {
-        let call = Call::read(request.method(), request.path());
-        tracing::debug!(method = %request.method(), path = request.path(), ?call, "call to the second address");
+    async fn respond(&self, request: &Request) -> Response<String> {
+        let call = Call::parse(request.method(), request.path());
+        tracing::debug!(method = %request.method(), path = request.path(), ?call, "call to the admin address");
         match call {
             Ok(Call::Ready) if !self.ready.get() => {
-                said(StatusCode::SERVICE_UNAVAILABLE, "not yet: it starts")
+                text_response(StatusCode::SERVICE_UNAVAILABLE, "starting: not ready yet")
             }
-            Ok(Call::Ready) => said(StatusCode::OK, "ready"),
-            Ok(Call::Figures) => {
-                let census = self.fronts.borrow().iter().map(|front| front.census()).sum();
-                let text = Response::with_body(StatusCode::OK, self.figures.text(census));
-                of_type(text, prometheus::TEXT_FORMAT)
+            Ok(Call::Ready) => text_response(StatusCode::OK, "ready"),
+            Ok(Call::Metrics) => {
+                let census = self.frontends.borrow().iter().map(|frontend| frontend.census()).sum();
+                let response = Response::with_body(StatusCode::OK, self.figures.text(census));
+                with_content_type(response, prometheus::TEXT_FORMAT)
             }
             Ok(Call::Instances) => match &*self.instances.borrow() {
                 Some(instances) => {
-                    let view = Response::with_body(StatusCode::OK, instances.view().to_string());
-                    of_type(view, "application/json")
-                }
-                None => {
-                    said(StatusCode::NOT_FOUND, "this relay talks to no others: its file has no [instances]")
+                    let response = Response::with_body(StatusCode::OK, instances.view().to_string());
+                    with_content_type(response, "application/json")
                 }
+                None => text_response(
+                    StatusCode::NOT_FOUND,
+                    "this relay is not connected to other instances: its file has no [instances]",
+                ),
             },
-            Ok(_) if !self.is_open().await => {
-                said(StatusCode::SERVICE_UNAVAILABLE, "another process still runs the relay: ask there")
-            }
+            Ok(_) if !self.is_open().await => text_response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "another process still runs the relay: call that process",
+            ),
             Ok(Call::Backlog { destination }) => self.backlog(destination).await,
-            Ok(Call::Endpoint { id, out }) => self.set_out(&id, out),
-            Ok(Call::Drain) => self.turn(Word::Drain, "clients are sent away"),
-            Ok(Call::Resume) => self.turn(Word::Resume, "clients are taken"),
-            Err(Unfit::NoSuchPath) => said(StatusCode::NOT_FOUND, "there is no such call"),
-            Err(Unfit::Destination) => said(StatusCode::BAD_REQUEST, "the destination is no number"),
-            Err(Unfit::Id(why)) => said(StatusCode::BAD_REQUEST, &format!("the id of the endpoint: {why}")),
-            Err(Unfit::Method(wanted)) => {
-                let mut answer = said(StatusCode::METHOD_NOT_ALLOWED, &format!("this call is a {wanted}"));
-                answer.headers_mut().insert(header::ALLOW, HeaderValue::from_static(wanted));
-                answer
+            Ok(Call::Endpoint { id, disabled }) => self.set_disabled(&id, disabled),
+            Ok(Call::Drain) => self.apply(Word::Drain, "client connections are drained"),
+            Ok(Call::Resume) => self.apply(Word::Resume, "client connections are accepted"),
+            Err(InvalidCall::UnknownPath) => text_response(StatusCode::NOT_FOUND, "unknown path"),
+            Err(InvalidCall::Destination) => {
+                text_response(StatusCode::BAD_REQUEST, "the destination is not a number")
+            }
+            Err(InvalidCall::Id(reason)) => {
+                text_response(StatusCode::BAD_REQUEST, &format!("invalid endpoint id: {reason}"))
+            }
+            Err(InvalidCall::Method(method)) => {
+                let mut response =
+                    text_response(StatusCode::METHOD_NOT_ALLOWED, &format!("this path requires {method}"));
+                response.headers_mut().insert(header::ALLOW, HeaderValue::from_static(method));
+                response
             }
         }
     }
 }
 
 impl Admin {
-    /// Whether the relay is this process's, now or in a moment.
+    /// Whether this process runs the relay, or takes it over within [`TAKEOVER_TIMEOUT`].
     async fn is_open(&self) -> bool {
         let opened = self.opened.notified();
-        !self.fronts.borrow().is_empty() || timeout(PATIENCE, opened).await.is_ok()
+        !self.frontends.borrow().is_empty() || timeout(TAKEOVER_TIMEOUT, opened).await.is_ok()
     }
 
     async fn backlog(&self, destination: Option<u64>) -> Response<String> {
-        let backlog = self.fronts.borrow().iter().find_map(|front| front.backlog());
+        let backlog = self.frontends.borrow().iter().find_map(|frontend| frontend.backlog());
         let Some(backlog) = backlog else {
-            return said(StatusCode::NOT_FOUND, "nothing waits on disk: the relay's file has no [backlog]");
+            return text_response(
+                StatusCode::NOT_FOUND,
+                "no messages are queued on disk: the relay's file has no [backlog]",
+            );
         };
         match backlog.report(destination).await {
             Ok(report) => {
-                let text = serde_json::to_string(&report).expect("a report has only plain values");
-                of_type(Response::with_body(StatusCode::OK, text), "application/json")
+                let text = serde_json::to_string(&report).expect("a report can be serialized");
+                with_content_type(Response::with_body(StatusCode::OK, text), "application/json")
             }
-            Err(fault) => said(StatusCode::SERVICE_UNAVAILABLE, &fault.to_string()),
+            Err(error) => text_response(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()),
         }
     }
 
-    /// Where two fronts know the id, it is out on both.
-    fn set_out(&self, id: &str, out: bool) -> Response<String> {
-        let mut answer = said(StatusCode::NOT_FOUND, "nobody has this id");
-        for front in self.fronts.borrow().iter() {
-            match front.set_out(id, out) {
-                Ok(()) => answer = said(StatusCode::OK, if out { "out by hand" } else { "not out by hand" }),
+    /// Disables or enables an endpoint. If several frontends know its id, on all of them.
+    fn set_disabled(&self, id: &str, disabled: bool) -> Response<String> {
+        let mut response = text_response(StatusCode::NOT_FOUND, "no endpoint has this id");
+        for frontend in self.frontends.borrow().iter() {
+            match frontend.set_disabled(id, disabled) {
+                Ok(()) => {
+                    response =
+                        text_response(StatusCode::OK, if disabled { "disabled" } else { "not disabled" })
+                }
                 Err(NotOut::Unknown) => {}
                 Err(NotOut::Handed) => {
-                    return said(StatusCode::SERVICE_UNAVAILABLE, "its successor has the relay: ask there");
+                    return text_response(
+                        StatusCode::SERVICE_UNAVAILABLE,
+                        "a successor process runs the relay: call that process",
+                    );
                 }
                 Err(NotOut::Unkept(Refused::Full)) => {
-                    return said(
+                    return text_response(
                         StatusCode::INSUFFICIENT_STORAGE,
-                        "too many are out by hand: take some back",
+                        "too many endpoints are disabled: enable some first",
                     );
                 }
-                Err(NotOut::Unkept(Refused::Unwritten(fault))) => {
-                    tracing::error!(%fault, id, "cannot write which nodes are out by hand");
-                    return said(
+                Err(NotOut::Unkept(Refused::Unwritten(error))) => {
+                    tracing::error!(fault = %error, id, "cannot write the list of disabled nodes; nothing changes");
+                    return text_response(
                         StatusCode::INTERNAL_SERVER_ERROR,
-                        "it cannot be written: nothing has changed",
+                        "the change cannot be stored: nothing has changed",
                     );
                 }
             }
         }
-        answer
+        response
     }
 
-    fn turn(&self, word: Word, done: &str) -> Response<String> {
-        match self.process.turn(word) {
-            true => said(StatusCode::OK, done),
-            false => said(StatusCode::CONFLICT, "the process has been told to end"),
+    fn apply(&self, event: Word, done: &str) -> Response<String> {
+        match self.process.apply(event) {
+            true => text_response(StatusCode::OK, done),
+            false => text_response(StatusCode::CONFLICT, "the process is shutting down"),
         }
     }
 }
 
-/// An answer with a line that says why.
-fn said(status: StatusCode, line: &str) -> Response<String> {
-    of_type(Response::with_body(status, format!("{line}\n")), "text/plain; charset=utf-8")
+/// A response with one line of plain text.
+fn text_response(status: StatusCode, line: &str) -> Response<String> {
+    with_content_type(Response::with_body(status, format!("{line}\n")), "text/plain; charset=utf-8")
 }
 
-fn of_type(mut answer: Response<String>, kind: &'static str) -> Response<String> {
-    answer.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
-    answer
+fn with_content_type(mut response: Response<String>, content_type: &'static str) -> Response<String> {
+    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
+    response
 }
--- a/relay/src/connection_limiter.rs
+++ b/relay/src/connection_limiter.rs
@@ -1,5 +1,5 @@
-//! Takes clients' connections for a front: as many at once as there are places, each for as long as the front's policy allows
-//! ([`ConnectionPolicy`]). One that says nothing, or no longer, makes room for the next.
+//! Accepts client connections for a frontend: at most as many at once as there are permits, each for as long as the frontend's
+//! policy allows ([`ConnectionPolicy`]). Idle connections are closed to make room for new ones.
 use actix_rt::net::TcpStream;
 use actix_service::{Service, ServiceFactory};
 use futures_util::FutureExt;
@@ -24,182 +24,184 @@
 
 mod state;
 
+use state::{CLOSE_GRACE, OpenConnections, Phase};
 pub use state::{CloseReason, ConnectionPolicy, ConnectionState, EvictionPolicy};
-use state::{FAREWELL, OpenConnections, Phase};
 
-/// After a connection could not be taken, above all for want of descriptors.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Once no more are to be taken, those that wait in the system's queue are taken for so long at most.
-const LAST_TAKEN: Duration = Duration::from_millis(200);
-/// How often connections are looked at.
-const LOOK: Duration = Duration::from_millis(100);
-/// While all places are taken, it is looked for one to make free as often as this.
-const ROOM_LOOK: Duration = Duration::from_millis(5);
-/// An answer may still be on its way to the client for so long after it was written.
+/// Delay after a connection could not be accepted, most often because no file descriptor was available.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// After [`ConnectionLimiter::stop_accepting`], connections that are still in the kernel's accept queue are accepted for at most
+/// this long.
+const FINAL_ACCEPT_TIME: Duration = Duration::from_millis(200);
+/// How often the connections are checked against the policy.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How often connections are evicted while all permits are taken.
+const EVICTION_INTERVAL: Duration = Duration::from_millis(5);
+/// How long after it was written a response may still be on its way to the client.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// How many connections there may be; the number may change while they are taken.
+/// Bounds the number of open client connections. The limit may change while connections are open.
 pub struct ConnectionLimiter {
-    free: Arc<Semaphore>,
-    number: Cell<usize>,
-    /// From then on connections are closed between requests.
-    leaving: Cell<Option<Instant>>,
-    /// The process is about to end: what is not a whole request by now is not waited for.
-    ending: Cell<bool>,
-    /// No more connections are taken.
-    shut: CancellationToken,
+    permits: Arc<Semaphore>,
+    limit: Cell<usize>,
+    /// From this time on, connections are closed between requests.
+    drain_from: Cell<Option<Instant>>,
+    /// The process is about to exit: requests that are still incomplete are no longer waited for.
+    terminating: Cell<bool>,
+    /// Cancelled once no more connections are to be accepted.
+    stop: CancellationToken,
 }
 
 impl ConnectionLimiter {
-    pub fn new(number: usize) -> Self {
+    pub fn new(limit: usize) -> Self {
         ConnectionLimiter {
-            free: Arc::new(Semaphore::new(number)),
-            number: Cell::new(number),
-            leaving: Cell::new(None),
-            ending: Cell::new(false),
-            shut: CancellationToken::new(),
+            permits: Arc::new(Semaphore::new(limit)),
+            limit: Cell::new(limit),
+            drain_from: Cell::new(None),
+            terminating: Cell::new(false),
+            stop: CancellationToken::new(),
         }
     }
 
-    /// From that time on connections are closed between requests, or not any more.
-    pub fn leave(&self, from: Option<Instant>) {
-        self.leaving.set(from);
+    /// Closes connections between requests from the given time on; with `None`, no longer.
+    pub fn drain(&self, from: Option<Instant>) {
+        self.drain_from.set(from);
     }
 
-    /// The process is about to end: connections on which no whole request is open are closed.
-    pub fn end(&self) {
-        self.ending.set(true);
+    /// The process is about to exit: closes all connections except those with a complete request that is still unanswered.
+    pub fn terminate(&self) {
+        self.terminating.set(true);
     }
 
-    /// No connection is left.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
-        self.free.available_permits() >= self.number.get()
+        self.permits.available_permits() >= self.limit.get()
     }
 
-    /// No more connections are taken; those that there are go on.
-    pub fn shut(&self) {
-        self.shut.cancel();
+    /// Accepts no more connections; open ones are served on.
+    pub fn stop_accepting(&self) {
+        self.stop.cancel();
     }
 
-    /// Most places are taken. What is answered from then on should say that its connection ends: guards against
-    /// submitters that ask once and stay, of whom more may come in the 2 s for which each must be let be than
-    /// there are places.
-    pub fn crowded(&self) -> bool {
-        self.free.available_permits() * 2 < self.number.get()
+    /// Whether more than half of the permits are taken. Responses should then announce that their connection closes. Guards against
+    /// submitters that send one request and keep the connection open: within the 2 s in which an idle connection may not be
+    /// evicted, more of them may connect than there are permits.
+    pub fn is_mostly_full(&self) -> bool {
+        self.permits.available_permits() * 2 < self.limit.get()
     }
 
-    /// Sets the number. Places that are taken and too many go as their connections end.
-    pub fn set(&self, number: usize) {
-        let old = self.number.replace(number);
-        self.free.add_permits(number.saturating_sub(old));
-        let surplus = old.saturating_sub(number);
-        let free = self.free.clone();
+    /// Sets the limit. If more connections than that are open, the surplus permits are removed as connections close.
+    pub fn set_limit(&self, limit: usize) {
+        let old = self.limit.replace(limit);
+        self.permits.add_permits(limit.saturating_sub(old));
+        let surplus = old.saturating_sub(limit);
+        let permits = self.permits.clone();
         actix_rt::spawn(async move {
             for _ in 0..surplus {
-                free.acquire().await.into_iter().for_each(|place| place.forget());
+                permits.acquire().await.into_iter().for_each(|permit| permit.forget());
             }
         });
     }
 }
 
-/// A submitter's connection, from its taking to its close.
+/// A client connection, from accept to close.
 struct ClientConnection {
     stream: RefCell<TcpStream>,
-    seen: Rc<ConnectionState>,
-    /// When something was last written to it.
-    spoken: Cell<Option<Instant>>,
-    /// Its server has read its end.
-    over: Cell<bool>,
-    _place: OwnedSemaphorePermit,
+    state: Rc<ConnectionState>,
+    /// When data was last written to the client.
+    last_write: Cell<Option<Instant>>,
+    /// The HTTP server has read end of file.
+    read_closed: Cell<bool>,
+    _permit: OwnedSemaphorePermit,
 }
 
 impl ClientConnection {
-    /// Whether something has come that nobody has read. Asks the system, not the runtime, which may not have looked yet.
+    /// Whether unread bytes have arrived. Asks the kernel, since the runtime may not have polled the socket yet.
     fn has_unread(&self) -> bool {
         let peeked = SockRef::from(&*self.stream.borrow()).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_ok_and(|bytes| bytes > 0)
     }
 
-    /// Whether its server is to read on; once not, never again. A connection that was closed between requests stays open if the next one has
-    /// come before that; of one that came too slowly, what is here is taken into account.
-    fn reads_on(&self) -> bool {
-        let Some(closed) = self.seen.closed.get() else { return true };
-        if self.over.get() || closed.elapsed() >= FAREWELL || !self.has_unread() {
-            self.over.set(true);
+    /// Whether the HTTP server may go on reading; once false, it stays false. A connection that was closed between requests stays open
+    /// if the next request arrived before the close. If a request was too slow, the bytes that have already arrived are still read.
+    fn may_read(&self) -> bool {
+        let Some(closed_at) = self.state.closed_at.get() else { return true };
+        if self.read_closed.get() || closed_at.elapsed() >= CLOSE_GRACE || !self.has_unread() {
+            self.read_closed.set(true);
             return false;
         }
-        if self.seen.phase.get() == Phase::Waiting {
-            self.seen.closed.set(None);
+        if self.state.phase.get() == Phase::Idle {
+            self.state.closed_at.set(None);
         }
         true
     }
 
-    /// Ends the connection. Where something was answered a moment ago, writing ends first, and the client has its time to take the
-    /// answer and to close as well. Nothing is read meanwhile: a request that crosses the close is the client's to send again, and
-    /// one that was read and never answered is lost. Guards against a close over unread bytes, which resets the connection and may
-    /// take the answer with it.
-    async fn part(self) {
-        let ClientConnection { stream, seen, spoken, over: _, _place } = self;
+    /// Closes the connection. If a response was written within [`LINGER`], the write side is shut down first, and the client has that
+    /// long to read the response and to close its side. Nothing is read meanwhile: a client may retry a request that crosses the
+    /// close, whereas one that was read and never answered would be lost. Guards against closing with unread bytes, which resets the
+    /// connection and may discard the response.
+    async fn close(self) {
+        let ClientConnection { stream, state, last_write, read_closed: _, _permit } = self;
         let mut stream = stream.into_inner();
-        if spoken.get().is_none_or(|at| at.elapsed() >= LINGER) || stream.shutdown().await.is_err() {
+        if last_write.get().is_none_or(|at| at.elapsed() >= LINGER) || stream.shutdown().await.is_err() {
             return;
         }
-        seen.closed.set(Some(Instant::now()));
-        seen.parting.set(true);
-        let mut crossed = false;
-        let gone = poll_fn(|cx| {
-            *seen.waker.borrow_mut() = Some(cx.waker().clone());
-            if seen.hurried.get() {
+        state.closed_at.set(Some(Instant::now()));
+        state.lingering.set(true);
+        let mut has_unread = false;
+        let client_closed = poll_fn(|cx| {
+            *state.waker.borrow_mut() = Some(cx.waker().clone());
+            if state.evicted.get() {
                 return Poll::Ready(());
             }
-            if crossed {
+            if has_unread {
                 return Poll::Pending;
             }
-            let mut room = [0; 1];
-            match ready!(stream.poll_peek(cx, &mut ReadBuf::new(&mut room))) {
-                // What is behind it, the client's close among it, cannot be seen without reading it.
+            let mut buffer = [0; 1];
+            match ready!(stream.poll_peek(cx, &mut ReadBuf::new(&mut buffer))) {
+                // Anything behind these bytes, including the client's close, cannot be seen without reading them.
                 Ok(bytes) if bytes > 0 => {
-                    crossed = true;
+                    has_unread = true;
                     Poll::Pending
                 }
                 _ => Poll::Ready(()),
             }
         });
-        let _ = timeout(LINGER, gone).await;
+        let _ = timeout(LINGER, client_closed).await;
     }
 }
 
-/// A submitter's connection, as the server sees it.
+/// A client connection as the HTTP server reads and writes it.
 pub struct TrackedStream(Rc<ClientConnection>);
 
 impl TrackedStream {
-    pub fn seen(&self) -> Rc<ConnectionState> {
-        self.0.seen.clone()
+    pub fn state(&self) -> Rc<ConnectionState> {
+        self.0.state.clone()
     }
 
-    fn wake_with(&self, cx: &Context<'_>) {
-        *self.0.seen.waker.borrow_mut() = Some(cx.waker().clone());
+    fn store_waker(&self, cx: &Context<'_>) {
+        *self.0.state.waker.borrow_mut() = Some(cx.waker().clone());
     }
 
-    fn gone(&self) -> bool {
-        self.0.seen.closed.get().is_some_and(|closed| closed.elapsed() >= FAREWELL)
+    /// Whether the connection was closed from this side, and the time for a last response is over.
+    fn is_expired(&self) -> bool {
+        self.0.state.closed_at.get().is_some_and(|closed_at| closed_at.elapsed() >= CLOSE_GRACE)
     }
 
-    fn with<T>(&self, act: impl FnOnce(Pin<&mut TcpStream>) -> T) -> T {
+    fn with_stream<T>(&self, act: impl FnOnce(Pin<&mut TcpStream>) -> T) -> T {
         act(Pin::new(&mut *self.0.stream.borrow_mut()))
     }
 }
 
 impl AsyncRead for TrackedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        self.wake_with(cx);
-        if !self.0.reads_on() {
+        self.store_waker(cx);
+        if !self.0.may_read() {
             return Poll::Ready(Ok(()));
         }
         let before = buf.filled().len();
-        let read = self.with(|stream| stream.poll_read(cx, buf));
+        let read = self.with_stream(|stream| stream.poll_read(cx, buf));
         if read.is_ready() && buf.filled().len() > before {
-            self.0.seen.came();
+            self.0.state.bytes_received();
         }
         read
     }
@@ -207,30 +209,30 @@
 
 impl AsyncWrite for TrackedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.wake_with(cx);
-        if self.gone() {
+        self.store_waker(cx);
+        if self.is_expired() {
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
-        let written = self.with(|stream| stream.poll_write(cx, buf));
+        let written = self.with_stream(|stream| stream.poll_write(cx, buf));
         if written.is_ready() {
-            self.0.spoken.set(Some(Instant::now()));
+            self.0.last_write.set(Some(Instant::now()));
         }
         written
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.with(|stream| stream.poll_flush(cx))
+        self.with_stream(|stream| stream.poll_flush(cx))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.with(|stream| stream.poll_shutdown(cx))
+        self.with_stream(|stream| stream.poll_shutdown(cx))
     }
 }
 
-/// Takes connections, each for a free place.
+/// Accepts connections, each with a permit of `limiter`, and serves them with a service of `factory`.
 pub async fn accept<F>(
     listener: TcpListener,
-    places: Rc<ConnectionLimiter>,
+    limiter: Rc<ConnectionLimiter>,
     policy: ConnectionPolicy,
     factory: F,
 ) where
@@ -239,89 +241,89 @@
     F::Error: Debug,
 {
     let Ok(service) = factory.new_service(()).await else {
-        tracing::error!("cannot serve submitters");
+        tracing::error!("cannot create the HTTP service; no client connections are accepted");
         return;
     };
     let service = Rc::new(service);
-    let guests = Rc::new(OpenConnections::default());
-    let looking = async {
+    let connections = Rc::new(OpenConnections::default());
+    let check_loop = async {
         loop {
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
             let now = Instant::now();
-            let leaving = places.leaving.get().is_some_and(|from| now >= from);
-            guests.look(now, &policy, leaving, places.ending.get());
+            let draining = limiter.drain_from.get().is_some_and(|from| now >= from);
+            connections.close_expired(now, &policy, draining, limiter.terminating.get());
         }
     };
-    let taking = async {
-        // Dropped with this, not with what looks after connections.
+    let accept_loop = async {
+        // Moved in here so that it is dropped when this loop ends, while the open connections are still checked.
         let listener = listener;
-        // Since when something may have stood in the queue of connections; none once it was seen empty.
-        let mut unseen = None;
+        // Since when a connection may have been in the accept queue; `None` once the queue was seen empty.
+        let mut queued_since = None;
         loop {
-            let since = *unseen.get_or_insert_with(Instant::now);
-            let place = loop {
-                match timeout(ROOM_LOOK, places.free.clone().acquire_owned()).await {
-                    Ok(Ok(place)) => break place,
+            let since = *queued_since.get_or_insert_with(Instant::now);
+            let permit = loop {
+                match timeout(EVICTION_INTERVAL, limiter.permits.clone().acquire_owned()).await {
+                    Ok(Ok(permit)) => break permit,
                     Ok(Err(_)) => return,
-                    Err(_) => guests.make_room(Instant::now(), policy.eviction),
+                    Err(_) => connections.evict(Instant::now(), policy.eviction),
                 }
             };
-            let mut waited = false;
+            let mut queue_was_empty = false;
             let mut accept = poll_fn(|cx| {
                 let accepted = listener.poll_accept(cx);
-                waited |= accepted.is_pending();
+                queue_was_empty |= accepted.is_pending();
                 accepted
             });
-            let taken = tokio::select! {
+            let polled = tokio::select! {
                 biased;
                 accepted = &mut accept => Some(accepted),
-                // What has come by now is taken: with the listener it would be reset, and its request lost.
-                () = places.shut.cancelled() => {
+                // What is in the accept queue by now is still accepted: dropping the listener would reset it and lose its request.
+                () = limiter.stop.cancelled() => {
                     yield_now().await;
                     yield_now().await;
                     accept.now_or_never()
                 }
             };
-            let Some(accepted) = taken else { return };
-            let queued = if waited { Duration::ZERO } else { since.elapsed() };
-            unseen = unseen.filter(|_| !waited);
+            let Some(accepted) = polled else { return };
+            let queued = if queue_was_empty { Duration::ZERO } else { since.elapsed() };
+            queued_since = queued_since.filter(|_| !queue_was_empty);
             match accepted {
                 Ok((stream, address)) => {
                     let _ = stream.set_nodelay(true);
-                    let (stream, seen) = (RefCell::new(stream), guests.add(queued));
-                    let guest = Rc::new(ClientConnection {
+                    let (stream, state) = (RefCell::new(stream), connections.add(queued));
+                    let connection = Rc::new(ClientConnection {
                         stream,
-                        seen,
-                        spoken: Cell::new(None),
-                        over: Cell::new(false),
-                        _place: place,
+                        state,
+                        last_write: Cell::new(None),
+                        read_closed: Cell::new(false),
+                        _permit: permit,
                     });
                     let service = service.clone();
                     actix_rt::spawn(async move {
-                        let served = service.call((TrackedStream(guest.clone()), Some(address))).await;
-                        guest.seen.tell_end(address, served.err());
-                        // Its server has let it go.
-                        if let Some(guest) = Rc::into_inner(guest) {
-                            guest.part().await;
+                        let served = service.call((TrackedStream(connection.clone()), Some(address))).await;
+                        connection.state.log_end(address, served.err());
+                        // The HTTP server has dropped its reference.
+                        if let Some(connection) = Rc::into_inner(connection) {
+                            connection.close().await;
                         }
                     });
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "cannot take a connection");
-                    sleep(PAUSE).await;
+                    tracing::warn!(%error, "cannot accept a connection; retrying");
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     };
-    // Its end drops the listener, while connections are looked after.
-    let shut = async {
-        places.shut.cancelled().await;
-        sleep(LAST_TAKEN).await;
+    // When this ends, the listener is dropped; open connections are still checked.
+    let stopped = async {
+        limiter.stop.cancelled().await;
+        sleep(FINAL_ACCEPT_TIME).await;
     };
-    tokio::join!(looking, async move {
+    tokio::join!(check_loop, async move {
         tokio::select! {
-            () = taking => {}
-            () = shut => {}
+            () = accept_loop => {}
+            () = stopped => {}
         }
     });
 }
--- a/relay/src/connection_limiter/state.rs
+++ b/relay/src/connection_limiter/state.rs
@@ -1,5 +1,5 @@
-//! What is known of each client's connection, and which are to be closed: by the policy, to make room, as the process ends. No sockets
-//! here; a connection that is to be closed is marked and woken.
+//! The state of each client connection, and which connections to close: by the policy, to make room, or because the process exits.
+//! Touches no sockets; a connection to be closed is marked, and its task is woken.
 use std::cell::{Cell, RefCell};
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -7,155 +7,154 @@
 use std::task::Waker;
 use std::time::{Duration, Instant};
 
-/// Silent new connections that are closed at one such look. Guards against a crowd of them that comes again faster than it is sent
-/// away, behind which a request would stand for longer than its client waits.
-pub(super) const ROOM_AT_ONCE: usize = 16;
-/// No client waits longer for its answer: what stood in the queue for longer is nobody's any more.
-const LONGEST_QUEUED: Duration = Duration::from_millis(400);
-/// A new connection may be silent for so long before it has to make room: a submitter that opens one sends at
-/// once.
-const ROOM_SILENT: Duration = Duration::from_millis(30);
-/// A connection without an open request may be closed once it has been one for so long.
-const ROOM_IDLE: Duration = Duration::from_millis(2050);
-/// A new connection is not sent away before it has had so long for its first word.
-const FIRST_WORD: Duration = Duration::from_millis(300);
-/// What is closed has so long to take its last answer.
-pub(super) const FAREWELL: Duration = Duration::from_secs(1);
-
-/// What a front lets connections do.
+/// How many new connections without a request are closed by one eviction. Guards against clients that reconnect faster than they
+/// are evicted, so that a request behind them would wait in the accept queue for longer than its client does.
+pub(super) const EVICTED_AT_ONCE: usize = 16;
+/// Bound on the time in the accept queue that is charged to a request: no client waits longer for its response.
+const MAX_QUEUED: Duration = Duration::from_millis(400);
+/// How old a new connection without a request must be before it may be evicted: a submitter that connects sends at once.
+const MIN_NEW_AGE: Duration = Duration::from_millis(30);
+/// How long a connection must have had no open request before it may be evicted.
+const MIN_IDLE_TIME: Duration = Duration::from_millis(2050);
+/// How long a new connection may wait for its first bytes before a drain closes it.
+const FIRST_BYTES_TIME: Duration = Duration::from_millis(300);
+/// How long a closed connection may take to receive its last response.
+pub(super) const CLOSE_GRACE: Duration = Duration::from_secs(1);
+
+/// For how long a frontend lets connections stay open.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionPolicy {
-    /// The first request must be whole within this time of connecting.
+    /// The first request must be complete within this time after the connection was accepted.
     pub first_request_timeout: Duration,
-    /// A later one must be whole within this time of its first byte; unless set, the front sees to it itself.
+    /// A later request must be complete within this time after its first byte. `None` if the frontend enforces a time itself.
     pub request_timeout: Option<Duration>,
-    /// A connection may stand idle for so long.
+    /// How long a connection may be idle.
     pub idle_timeout: Duration,
-    /// What makes room for the next connection where there is none.
+    /// Which connections may be closed to make room for new ones.
     pub eviction: EvictionPolicy,
 }
 
-/// Which connections make room for others.
+/// Which connections may be closed to make room for new ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionPolicy {
-    /// Those on which no request is open.
+    /// Connections without an open request.
     IdleOnly,
-    /// Those on which the first request is not whole, too.
+    /// These, and connections whose first request is still incomplete.
     IdleOrIncomplete,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Phase {
     /// No request is open.
-    Waiting,
-    /// A request is coming in.
+    Idle,
+    /// A request has begun to arrive.
     Reading,
-    /// A request is whole and has no answer yet.
+    /// A request is complete and not answered yet.
     Serving,
 }
 
 /// Why a connection is closed from this side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its request was not whole in time, or did not begin.
-    TooSlow,
-    /// It stood idle for too long.
+    /// Its request did not begin or was not complete in time.
+    RequestTimeout,
+    /// It was idle for too long.
     Idle,
-    /// Its place is wanted.
-    MakesRoom,
-    /// Clients are sent away between requests.
-    SentAway,
-    /// The process is about to end.
-    ProcessEnds,
+    /// It makes room for a new connection.
+    Evicted,
+    /// Connections are being drained: they are closed between requests.
+    Draining,
+    /// The process is about to exit.
+    Terminating,
 }
 
-/// What is known of a connection.
+/// The state of a client connection.
 pub struct ConnectionState {
     pub(super) phase: Cell<Phase>,
-    /// When the phase began; while the first request comes in, when it was connected.
+    /// When the phase began; while the first request arrives, when the connection was accepted.
     pub(super) since: Cell<Instant>,
-    /// It has had an answer.
-    pub(super) known: Cell<bool>,
-    /// When it was closed from this side: from then on it reads as ended.
-    pub(super) closed: Cell<Option<Instant>>,
-    /// Its last answer is written, and only its client's close is waited for.
-    pub(super) parting: Cell<bool>,
-    /// Its place is wanted.
-    pub(super) hurried: Cell<bool>,
+    /// A request on it has been answered.
+    pub(super) has_answered: Cell<bool>,
+    /// When it was closed from this side; reading then yields end of file.
+    pub(super) closed_at: Cell<Option<Instant>>,
+    /// Its last response is written, and it only waits for the client to close.
+    pub(super) lingering: Cell<bool>,
+    /// Its permit is needed: it no longer waits for the client to close.
+    pub(super) evicted: Cell<bool>,
     pub(super) waker: RefCell<Option<Waker>>,
     /// Why it was last closed from this side.
-    pub(super) reason: Cell<Option<CloseReason>>,
-    /// Requests that were whole, and answers.
+    pub(super) close_reason: Cell<Option<CloseReason>>,
+    /// Numbers of complete requests and of responses.
     pub(super) requests: Cell<u32>,
     pub(super) answers: Cell<u32>,
-    /// How long it may have stood in the system's queue before it was taken.
+    /// How long it may have been in the kernel's accept queue.
     pub(super) queued: Duration,
 }
 
 impl ConnectionState {
     pub(super) fn new(queued: Duration) -> Rc<Self> {
         Rc::new(ConnectionState {
-            phase: Cell::new(Phase::Waiting),
+            phase: Cell::new(Phase::Idle),
             since: Cell::new(Instant::now()),
-            known: Cell::new(false),
-            closed: Cell::new(None),
-            parting: Cell::new(false),
-            hurried: Cell::new(false),
+            has_answered: Cell::new(false),
+            closed_at: Cell::new(None),
+            lingering: Cell::new(false),
+            evicted: Cell::new(false),
             waker: RefCell::new(None),
-            reason: Cell::new(None),
+            close_reason: Cell::new(None),
             requests: Cell::new(0),
             answers: Cell::new(0),
-            queued: queued.min(LONGEST_QUEUED),
+            queued: queued.min(MAX_QUEUED),
         })
     }
 
-    pub(super) fn turn(&self, phase: Phase) {
+    pub(super) fn enter(&self, phase: Phase) {
         self.phase.set(phase);
         self.since.set(Instant::now());
     }
 
-    /// A request is whole; its answer is owed now.
-    pub fn serving(&self) {
+    /// To be called once a request is complete and must be answered.
+    pub fn request_complete(&self) {
         self.requests.set(self.requests.get() + 1);
-        self.turn(Phase::Serving);
+        self.enter(Phase::Serving);
     }
 
-    /// The answer is about to be written.
-    pub fn answered(&self) {
+    /// To be called when the response is about to be written.
+    pub fn response_ready(&self) {
         self.answers.set(self.answers.get() + 1);
-        self.known.set(true);
-        self.turn(Phase::Waiting);
+        self.has_answered.set(true);
+        self.enter(Phase::Idle);
     }
 
-    /// Tells the log how the connection ended.
-    pub(super) fn tell_end(&self, client: SocketAddr, error: Option<impl Debug>) {
+    /// Logs how the connection ended, unless the client closed it between requests and nothing went wrong.
+    pub(super) fn log_end(&self, client: SocketAddr, error: Option<impl Debug>) {
         let (requests, answers) = (self.requests.get(), self.answers.get());
-        let (reason, queued) = (self.reason.get().filter(|_| self.closed.get().is_some()), self.queued);
+        let (reason, queued) =
+            (self.close_reason.get().filter(|_| self.closed_at.get().is_some()), self.queued);
         let error = error.map(|error| format!("{error:?}"));
-        // Nothing was owed, and nothing went wrong, where a client leaves between requests.
         if reason.is_some() || error.is_some() || requests > answers {
-            tracing::debug!(%client, ?reason, requests, answers, ?queued, error, "a client's connection ends");
+            tracing::debug!(%client, ?reason, requests, answers, ?queued, error, "a client connection has ended");
         }
     }
 
-    pub(super) fn came(&self) {
-        if self.phase.get() == Phase::Waiting {
-            let connected = self.since.get();
-            self.turn(Phase::Reading);
-            if !self.known.get() {
-                self.since.set(connected);
+    pub(super) fn bytes_received(&self) {
+        if self.phase.get() == Phase::Idle {
+            let accepted_at = self.since.get();
+            self.enter(Phase::Reading);
+            if !self.has_answered.get() {
+                self.since.set(accepted_at);
             }
         }
     }
 
-    /// How long its present request may have waited to be read: the first came with the connection at the earliest.
+    /// How long the current request may have been in the accept queue. Only the first request of a connection can have been there.
     pub fn queued(&self) -> Duration {
-        if self.known.get() { Duration::ZERO } else { self.queued }
+        if self.has_answered.get() { Duration::ZERO } else { self.queued }
     }
 
     pub(super) fn close(&self, now: Instant, reason: CloseReason) {
-        self.reason.set(Some(reason));
-        self.closed.set(Some(now));
+        self.close_reason.set(Some(reason));
+        self.closed_at.set(Some(now));
         self.wake();
     }
 
@@ -165,87 +164,102 @@
         }
     }
 
-    /// Whether its time is up by its front's policy.
-    pub(super) fn overdue(&self, now: Instant, policy: &ConnectionPolicy) -> bool {
-        let most = match (self.phase.get(), self.known.get()) {
-            (Phase::Waiting, false) => Some(policy.first_request_timeout),
-            (Phase::Waiting, true) => Some(policy.idle_timeout),
+    /// Whether a time limit of the frontend's policy is exceeded.
+    pub(super) fn is_overdue(&self, now: Instant, policy: &ConnectionPolicy) -> bool {
+        let limit = match (self.phase.get(), self.has_answered.get()) {
+            (Phase::Idle, false) => Some(policy.first_request_timeout),
+            (Phase::Idle, true) => Some(policy.idle_timeout),
             (Phase::Reading, false) => policy.request_timeout.map(|_| policy.first_request_timeout),
             (Phase::Reading, true) => policy.request_timeout,
             (Phase::Serving, _) => None,
         };
-        most.is_some_and(|most| now >= self.since.get() + most)
+        limit.is_some_and(|limit| now >= self.since.get() + limit)
     }
 
-    /// Whether it may be closed since all are sent away.
-    pub(super) fn may_leave(&self, now: Instant) -> bool {
-        let least = if self.known.get() { Duration::ZERO } else { FIRST_WORD };
-        self.phase.get() == Phase::Waiting && now >= self.since.get() + least
+    /// Whether a drain may close it.
+    pub(super) fn may_drain(&self, now: Instant) -> bool {
+        let min_age = if self.has_answered.get() { Duration::ZERO } else { FIRST_BYTES_TIME };
+        self.phase.get() == Phase::Idle && now >= self.since.get() + min_age
     }
 
-    /// Whether it may be closed in favour of another.
-    pub(super) fn may_make_room(&self, now: Instant, yields: EvictionPolicy) -> bool {
-        let least = if self.known.get() { ROOM_IDLE } else { ROOM_SILENT };
-        let waits = match self.phase.get() {
-            Phase::Waiting => true,
-            Phase::Reading => yields == EvictionPolicy::IdleOrIncomplete && !self.known.get(),
+    /// Whether it may be closed to make room for a new connection.
+    pub(super) fn may_evict(&self, now: Instant, eviction: EvictionPolicy) -> bool {
+        let min_age = if self.has_answered.get() { MIN_IDLE_TIME } else { MIN_NEW_AGE };
+        let evictable = match self.phase.get() {
+            Phase::Idle => true,
+            Phase::Reading => eviction == EvictionPolicy::IdleOrIncomplete && !self.has_answered.get(),
             Phase::Serving => false,
         };
-        waits && self.closed.get().is_none() && now >= self.since.get() + least
+        evictable && self.closed_at.get().is_none() && now >= self.since.get() + min_age
     }
 }
 
-/// The connections that a front has.
+/// The open connections of a frontend.
 #[derive(Default)]
 pub(super) struct OpenConnections(RefCell<Vec<Weak<ConnectionState>>>);
 
 impl OpenConnections {
     pub(super) fn add(&self, queued: Duration) -> Rc<ConnectionState> {
-        let seen = ConnectionState::new(queued);
-        self.0.borrow_mut().push(Rc::downgrade(&seen));
-        seen
+        let state = ConnectionState::new(queued);
+        self.0.borrow_mut().push(Rc::downgrade(&state));
+        state
     }
 
-    pub(super) fn here(&self) -> Vec<Rc<ConnectionState>> {
-        let mut guests = self.0.borrow_mut();
-        guests.retain(|seen| seen.strong_count() > 0);
-        guests.iter().filter_map(Weak::upgrade).collect()
+    pub(super) fn all(&self) -> Vec<Rc<ConnectionState>> {
+        let mut states = self.0.borrow_mut();
+        states.retain(|state| state.strong_count() > 0);
+        states.iter().filter_map(Weak::upgrade).collect()
     }
 
-    /// Closes what has overstayed. Guards against connections that send half a request or none, or were left
-    /// open for good.
-    pub(super) fn look(&self, now: Instant, policy: &ConnectionPolicy, leaving: bool, ending: bool) {
-        let over = |seen: &ConnectionState| match () {
-            () if seen.overdue(now, policy) && seen.known.get() && seen.phase.get() == Phase::Waiting => {
+    /// Closes connections that exceed a time limit, or that a drain or the process's exit closes. Guards against clients that send
+    /// an incomplete request or none, or that leave connections open forever.
+    pub(super) fn close_expired(
+        &self,
+        now: Instant,
+        policy: &ConnectionPolicy,
+        draining: bool,
+        terminating: bool,
+    ) {
+        let reason_to_close = |state: &ConnectionState| match () {
+            () if state.is_overdue(now, policy)
+                && state.has_answered.get()
+                && state.phase.get() == Phase::Idle =>
+            {
                 Some(CloseReason::Idle)
             }
-            () if seen.overdue(now, policy) => Some(CloseReason::TooSlow),
-            () if leaving && seen.may_leave(now) => Some(CloseReason::SentAway),
-            () if ending && seen.phase.get() != Phase::Serving => Some(CloseReason::ProcessEnds),
+            () if state.is_overdue(now, policy) => Some(CloseReason::RequestTimeout),
+            () if draining && state.may_drain(now) => Some(CloseReason::Draining),
+            () if terminating && state.phase.get() != Phase::Serving => Some(CloseReason::Terminating),
             () => None,
         };
-        for seen in self.here().into_iter().filter(|seen| seen.closed.get().is_none()) {
-            over(&seen).into_iter().for_each(|reason| seen.close(now, reason));
+        for state in self.all().into_iter().filter(|state| state.closed_at.get().is_none()) {
+            reason_to_close(&state).into_iter().for_each(|reason| state.close(now, reason));
         }
-        // One that takes no bytes from us either is woken to be dropped.
-        let stuck = self.here().into_iter().filter(|s| s.closed.get().is_some_and(|c| now >= c + FAREWELL));
-        stuck.for_each(|seen| seen.wake());
-    }
-
-    /// Closes connections that are not in use: several that never asked anything, or one that did. Guards against hundreds of
-    /// silent ones keeping submitters out.
-    pub(super) fn make_room(&self, now: Instant, yields: EvictionPolicy) {
-        // One that only waits for its client to close has nothing more to give.
-        if let Some(seen) = self.here().into_iter().find(|seen| seen.parting.get() && !seen.hurried.get()) {
-            seen.hurried.set(true);
-            return seen.wake();
+        // The task of a client that does not read its last response either is woken, so that it drops the connection.
+        let stuck = self
+            .all()
+            .into_iter()
+            .filter(|state| state.closed_at.get().is_some_and(|closed_at| now >= closed_at + CLOSE_GRACE));
+        stuck.for_each(|state| state.wake());
+    }
+
+    /// Makes room for new connections: closes one that lingers, else several that never sent a request, else one that is idle after
+    /// an answered request. Guards against hundreds of silent connections that keep submitters out.
+    pub(super) fn evict(&self, now: Instant, eviction: EvictionPolicy) {
+        // A lingering connection has no request left to serve.
+        if let Some(state) =
+            self.all().into_iter().find(|state| state.lingering.get() && !state.evicted.get())
+        {
+            state.evicted.set(true);
+            return state.wake();
         }
-        let mut may: Vec<_> =
-            self.here().into_iter().filter(|seen| seen.may_make_room(now, yields)).collect();
-        // Those that never asked anything first, then the longest idle.
-        may.sort_by_key(|seen| (seen.known.get(), seen.since.get()));
-        let silent = |seen: &Rc<ConnectionState>| !seen.known.get() && seen.phase.get() == Phase::Waiting;
-        let several = may.iter().take_while(|seen| silent(seen)).count().min(ROOM_AT_ONCE);
-        may.iter().take(several.max(1)).for_each(|seen| seen.close(now, CloseReason::MakesRoom));
+        let mut candidates: Vec<_> =
+            self.all().into_iter().filter(|state| state.may_evict(now, eviction)).collect();
+        // Connections without an answered request first, then the longest idle.
+        candidates.sort_by_key(|state| (state.has_answered.get(), state.since.get()));
+        let is_silent =
+            |state: &Rc<ConnectionState>| !state.has_answered.get() && state.phase.get() == Phase::Idle;
+        let silent = candidates.iter().take_while(|state| is_silent(state)).count().min(EVICTED_AT_ONCE);
+        candidates.iter().take(silent.max(1)).for_each(|state| state.close(now, CloseReason::Evicted));
     }
 }
--- a/relay/src/connection_limiter/tests.rs
+++ b/relay/src/connection_limiter/tests.rs
@@ -1,201 +1,202 @@
-use super::state::ROOM_AT_ONCE;
+use super::state::EVICTED_AT_ONCE;
 use super::*;
 use std::io::{Read, Write};
 use tokio::io::AsyncReadExt;
 
 #[test]
-fn where_unfinished_calls_yield_the_oldest_goes_first_and_an_answer_is_never_cut() {
-    let guests = OpenConnections::default();
+fn incomplete_first_requests_are_evicted_oldest_first_and_a_complete_one_never() {
+    let connections = OpenConnections::default();
     let start = Instant::now();
     let [first, second, serving] = [0, 10, 20].map(|ms| {
-        let seen = guests.add(Duration::ZERO);
-        seen.since.set(start + Duration::from_millis(ms));
-        seen.came();
-        seen
+        let state = connections.add(Duration::ZERO);
+        state.since.set(start + Duration::from_millis(ms));
+        state.bytes_received();
+        state
     });
-    serving.serving();
+    serving.request_complete();
     let later = start + Duration::from_secs(9);
-    let closed = || [&first, &second, &serving].map(|seen| seen.closed.get().is_some());
-    guests.make_room(later, EvictionPolicy::IdleOnly);
+    let closed = || [&first, &second, &serving].map(|state| state.closed_at.get().is_some());
+    connections.evict(later, EvictionPolicy::IdleOnly);
     assert_eq!(closed(), [false, false, false]);
-    guests.make_room(later, EvictionPolicy::IdleOrIncomplete);
+    connections.evict(later, EvictionPolicy::IdleOrIncomplete);
     assert_eq!(closed(), [true, false, false]);
-    guests.make_room(later, EvictionPolicy::IdleOrIncomplete);
-    guests.make_room(later, EvictionPolicy::IdleOrIncomplete);
+    connections.evict(later, EvictionPolicy::IdleOrIncomplete);
+    connections.evict(later, EvictionPolicy::IdleOrIncomplete);
     assert_eq!(closed(), [true, true, false]);
 }
 
-/// A connection as a front has it, and the client's end of it. Nothing is read on either but by the test.
+/// A connection as a frontend tracks it, and the client's end of it. Only the test reads from either.
 async fn connected() -> (Rc<ClientConnection>, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = std::net::TcpStream::connect(listener.local_addr().expect("an address")).expect("connected");
     let stream = RefCell::new(listener.accept().await.expect("accepted").0);
-    let place = Arc::new(Semaphore::new(1)).acquire_owned().await.expect("a place");
-    let guest = ClientConnection {
+    let permit = Arc::new(Semaphore::new(1)).acquire_owned().await.expect("a permit");
+    let connection = ClientConnection {
         stream,
-        seen: ConnectionState::new(Duration::ZERO),
-        spoken: Cell::new(None),
-        over: Cell::new(false),
-        _place: place,
+        state: ConnectionState::new(Duration::ZERO),
+        last_write: Cell::new(None),
+        read_closed: Cell::new(false),
+        _permit: permit,
     };
-    (Rc::new(guest), client)
+    (Rc::new(connection), client)
 }
 
-/// What the server reads next; nothing where it reads an end.
-async fn next(gate: &mut TrackedStream) -> String {
-    let mut room = [0; 64];
-    let read = gate.read(&mut room).await.expect("no error");
-    String::from_utf8_lossy(&room[..read]).into_owned()
+/// What the HTTP server reads next; empty at end of file.
+async fn next(stream: &mut TrackedStream) -> String {
+    let mut buffer = [0; 64];
+    let read = stream.read(&mut buffer).await.expect("no error");
+    String::from_utf8_lossy(&buffer[..read]).into_owned()
 }
 
 #[test]
-fn a_request_that_came_before_its_idle_connection_is_closed_is_served_and_the_connection_stays() {
+fn a_request_that_arrives_before_an_idle_close_is_served_and_the_connection_stays_open() {
     actix_rt::System::new().block_on(async {
-        let (guest, mut client) = connected().await;
-        let mut gate = TrackedStream(guest.clone());
-        guest.seen.answered();
-        // In this order: the client writes, the front closes, the server looks.
+        let (connection, mut client) = connected().await;
+        let mut stream = TrackedStream(connection.clone());
+        connection.state.response_ready();
+        // In this order: the client writes, the connection is closed as idle, the server reads.
         client.write_all(b"next").expect("written");
-        guest.seen.close(Instant::now(), CloseReason::Idle);
-        assert_eq!(next(&mut gate).await, "next");
-        assert_eq!((guest.seen.phase.get(), guest.seen.closed.get()), (Phase::Reading, None));
-        // The other way round nothing of it is read.
-        guest.seen.answered();
-        guest.seen.close(Instant::now(), CloseReason::Idle);
-        assert_eq!(next(&mut gate).await, "");
+        connection.state.close(Instant::now(), CloseReason::Idle);
+        assert_eq!(next(&mut stream).await, "next");
+        assert_eq!((connection.state.phase.get(), connection.state.closed_at.get()), (Phase::Reading, None));
+        // In the opposite order none of it is read.
+        connection.state.response_ready();
+        connection.state.close(Instant::now(), CloseReason::Idle);
+        assert_eq!(next(&mut stream).await, "");
         client.write_all(b"late").expect("written");
-        assert_eq!(next(&mut gate).await, "", "what was read as ended stays so");
-        drop(gate);
-        let guest = Rc::into_inner(guest).expect("nobody else has it");
-        assert!(guest.has_unread(), "read by nobody");
+        assert_eq!(next(&mut stream).await, "", "after end of file nothing more is read");
+        drop(stream);
+        let connection = Rc::into_inner(connection).expect("the only reference");
+        assert!(connection.has_unread(), "the bytes stay unread");
     });
 }
 
 #[test]
-fn a_request_that_came_too_slowly_is_read_as_far_as_it_is_here_and_no_further() {
+fn of_a_request_that_timed_out_only_the_bytes_that_have_arrived_are_read() {
     actix_rt::System::new().block_on(async {
-        let (guest, mut client) = connected().await;
-        let mut gate = TrackedStream(guest.clone());
-        guest.seen.came();
+        let (connection, mut client) = connected().await;
+        let mut stream = TrackedStream(connection.clone());
+        connection.state.bytes_received();
         client.write_all(b"the rest").expect("written");
-        guest.seen.close(Instant::now(), CloseReason::Idle);
-        assert_eq!(next(&mut gate).await, "the rest");
-        assert_eq!(next(&mut gate).await, "");
-        // Nor for ever, however much comes.
+        connection.state.close(Instant::now(), CloseReason::Idle);
+        assert_eq!(next(&mut stream).await, "the rest");
+        assert_eq!(next(&mut stream).await, "");
+        // Nothing is read after the grace period, even if more bytes arrive.
         client.write_all(b"and more").expect("written");
-        guest.seen.closed.set(Instant::now().checked_sub(FAREWELL));
-        assert_eq!(next(&mut gate).await, "");
+        connection.state.closed_at.set(Instant::now().checked_sub(CLOSE_GRACE));
+        assert_eq!(next(&mut stream).await, "");
     });
 }
 
-/// What a future is after one look at it.
+/// Polls a future once.
 async fn poll_once<F: Future<Output = ()>>(mut future: Pin<&mut F>) -> Poll<()> {
     poll_fn(|cx| Poll::Ready(future.as_mut().poll(cx))).await
 }
 
-/// A connection on which an answer is just written over bytes that nobody has read, and the client's end of it.
-async fn answered_over_unread() -> (ClientConnection, std::net::TcpStream) {
-    let (guest, mut client) = connected().await;
+/// A connection with unread bytes on which a response was just written, and the client's end of it.
+async fn answered_with_unread_bytes() -> (ClientConnection, std::net::TcpStream) {
+    let (connection, mut client) = connected().await;
     client.write_all(b"read and unread").expect("written");
-    let mut gate = TrackedStream(guest.clone());
-    gate.read_exact(&mut [0; 4]).await.expect("read");
-    gate.write_all(b"answer").await.expect("written");
-    drop(gate);
-    (Rc::into_inner(guest).expect("nobody else has it"), client)
+    let mut stream = TrackedStream(connection.clone());
+    stream.read_exact(&mut [0; 4]).await.expect("read");
+    stream.write_all(b"answer").await.expect("written");
+    drop(stream);
+    (Rc::into_inner(connection).expect("the only reference"), client)
 }
 
 #[test]
-fn a_close_over_unread_bytes_takes_no_answer_with_it() {
+fn closing_with_unread_bytes_does_not_lose_the_response() {
     actix_rt::System::new().block_on(async {
-        let (guest, mut client) = answered_over_unread().await;
-        let seen = guest.seen.clone();
-        let parting = actix_rt::spawn(guest.part());
+        let (connection, mut client) = answered_with_unread_bytes().await;
+        let state = connection.state.clone();
+        let closing = actix_rt::spawn(connection.close());
         let reading = tokio::task::spawn_blocking(move || {
             let mut answer = [0; 6];
             client.read_exact(&mut answer).expect("the answer");
             let end = client.read(&mut [0]);
-            // It takes the close in, and closes too.
+            // The client sees the close, and closes its side when it is dropped.
             (answer, end)
         });
         let (answer, end) = reading.await.expect("read");
-        assert_eq!((&answer, end.expect("an end, no reset")), (b"answer", 0));
-        parting.await.expect("no panic");
-        assert!(seen.closed.get().is_some());
+        assert_eq!((&answer, end.expect("end of file, no reset")), (b"answer", 0));
+        closing.await.expect("no panic");
+        assert!(state.closed_at.get().is_some());
     });
 }
 
 #[test]
-fn connections_that_only_wait_for_their_client_make_room_first_and_at_once() {
-    let guests = OpenConnections::default();
-    let [idle, parting] = [guests.add(Duration::ZERO), guests.add(Duration::ZERO)];
-    idle.answered();
-    parting.parting.set(true);
-    parting.closed.set(Some(Instant::now()));
+fn connections_that_linger_are_evicted_first_and_without_further_delay() {
+    let connections = OpenConnections::default();
+    let [idle, lingering] = [connections.add(Duration::ZERO), connections.add(Duration::ZERO)];
+    idle.response_ready();
+    lingering.lingering.set(true);
+    lingering.closed_at.set(Some(Instant::now()));
     let later = Instant::now() + Duration::from_secs(9);
-    guests.make_room(later, EvictionPolicy::IdleOnly);
-    assert!(parting.hurried.get() && idle.closed.get().is_none());
-    guests.make_room(later, EvictionPolicy::IdleOnly);
-    assert!(idle.closed.get().is_some());
+    connections.evict(later, EvictionPolicy::IdleOnly);
+    assert!(lingering.evicted.get() && idle.closed_at.get().is_none());
+    connections.evict(later, EvictionPolicy::IdleOnly);
+    assert!(idle.closed_at.get().is_some());
     actix_rt::System::new().block_on(async {
-        let (guest, _client) = answered_over_unread().await;
-        let seen = guest.seen.clone();
-        let mut part = std::pin::pin!(guest.part());
-        assert!(poll_once(part.as_mut()).await.is_pending(), "the client is still there");
-        seen.hurried.set(true);
-        assert!(poll_once(part.as_mut()).await.is_ready());
+        let (connection, _client) = answered_with_unread_bytes().await;
+        let state = connection.state.clone();
+        let mut closing = std::pin::pin!(connection.close());
+        assert!(poll_once(closing.as_mut()).await.is_pending(), "the client has not closed yet");
+        state.evicted.set(true);
+        assert!(poll_once(closing.as_mut()).await.is_ready());
     });
 }
 
 #[test]
-fn a_process_that_ends_closes_all_but_what_it_owes_an_answer() {
-    let guests = OpenConnections::default();
-    let [waiting, reading, serving] =
-        [guests.add(Duration::ZERO), guests.add(Duration::ZERO), guests.add(Duration::ZERO)];
-    reading.came();
-    serving.came();
-    serving.serving();
+fn a_process_that_exits_closes_all_connections_but_those_with_an_unanswered_request() {
+    let connections = OpenConnections::default();
+    let [idle, reading, serving] =
+        [connections.add(Duration::ZERO), connections.add(Duration::ZERO), connections.add(Duration::ZERO)];
+    reading.bytes_received();
+    serving.bytes_received();
+    serving.request_complete();
     let policy = ConnectionPolicy {
         first_request_timeout: Duration::from_secs(9),
         request_timeout: Some(Duration::from_secs(9)),
         idle_timeout: Duration::from_secs(9),
         eviction: EvictionPolicy::IdleOnly,
     };
-    let closed = || [&waiting, &reading, &serving].map(|seen| seen.closed.get().is_some());
-    guests.look(Instant::now(), &policy, true, false);
+    let closed = || [&idle, &reading, &serving].map(|state| state.closed_at.get().is_some());
+    connections.close_expired(Instant::now(), &policy, true, false);
     assert_eq!(closed(), [false; 3]);
-    guests.look(Instant::now(), &policy, true, true);
+    connections.close_expired(Instant::now(), &policy, true, true);
     assert_eq!(closed(), [true, true, false]);
 }
 
 #[test]
-fn silent_newcomers_make_room_several_at_once_and_what_has_asked_one_by_one() {
-    let guests = OpenConnections::default();
-    let silent: Vec<_> = (0..ROOM_AT_ONCE + 4).map(|_| guests.add(Duration::ZERO)).collect();
-    let asked: Vec<_> = (0..3).map(|_| guests.add(Duration::ZERO)).collect();
-    asked.iter().for_each(|seen| seen.answered());
+fn new_connections_without_a_request_are_evicted_several_at_once_and_used_ones_singly() {
+    let connections = OpenConnections::default();
+    let silent: Vec<_> = (0..EVICTED_AT_ONCE + 4).map(|_| connections.add(Duration::ZERO)).collect();
+    let used: Vec<_> = (0..3).map(|_| connections.add(Duration::ZERO)).collect();
+    used.iter().for_each(|state| state.response_ready());
     let later = Instant::now() + Duration::from_secs(9);
-    let closed = |all: &[Rc<ConnectionState>]| all.iter().filter(|seen| seen.closed.get().is_some()).count();
-    guests.make_room(later, EvictionPolicy::IdleOnly);
-    assert_eq!((closed(&silent), closed(&asked)), (ROOM_AT_ONCE, 0));
-    guests.make_room(later, EvictionPolicy::IdleOnly);
-    assert_eq!((closed(&silent), closed(&asked)), (ROOM_AT_ONCE + 4, 0));
-    guests.make_room(later, EvictionPolicy::IdleOnly);
-    assert_eq!((closed(&silent), closed(&asked)), (ROOM_AT_ONCE + 4, 1));
-    assert_eq!(silent[0].reason.get(), Some(CloseReason::MakesRoom));
+    let closed =
+        |all: &[Rc<ConnectionState>]| all.iter().filter(|state| state.closed_at.get().is_some()).count();
+    connections.evict(later, EvictionPolicy::IdleOnly);
+    assert_eq!((closed(&silent), closed(&used)), (EVICTED_AT_ONCE, 0));
+    connections.evict(later, EvictionPolicy::IdleOnly);
+    assert_eq!((closed(&silent), closed(&used)), (EVICTED_AT_ONCE + 4, 0));
+    connections.evict(later, EvictionPolicy::IdleOnly);
+    assert_eq!((closed(&silent), closed(&used)), (EVICTED_AT_ONCE + 4, 1));
+    assert_eq!(silent[0].close_reason.get(), Some(CloseReason::Evicted));
 }
 
-/// Takes connections, each for as long as its client keeps it; tells how long it may have stood in the queue.
-async fn take_connections(
+/// Accepts connections, each until its client closes it, and sends how long each may have been in the accept queue.
+async fn accept_connections(
     listener: TcpListener,
-    places: Rc<ConnectionLimiter>,
-    told: tokio::sync::mpsc::UnboundedSender<Duration>,
+    limiter: Rc<ConnectionLimiter>,
+    queue_times: tokio::sync::mpsc::UnboundedSender<Duration>,
 ) {
-    let service = actix_service::fn_service(move |(gate, _): (TrackedStream, Option<SocketAddr>)| {
-        let told = told.clone();
+    let service = actix_service::fn_service(move |(stream, _): (TrackedStream, Option<SocketAddr>)| {
+        let queue_times = queue_times.clone();
         async move {
-            let mut gate: TrackedStream = gate;
-            let _ = told.send(gate.seen().queued());
-            let _ = gate.read(&mut [0; 1]).await;
+            let mut stream: TrackedStream = stream;
+            let _ = queue_times.send(stream.state().queued());
+            let _ = stream.read(&mut [0; 1]).await;
             Ok::<_, io::Error>(())
         }
     });
@@ -205,75 +206,76 @@
         idle_timeout: Duration::from_secs(9),
         eviction: EvictionPolicy::IdleOnly,
     };
-    accept(listener, places, policy, service).await;
+    accept(listener, limiter, policy, service).await;
 }
 
-/// Guards against a request whose time begins when it is read, however long its connection stood in the queue.
+/// Guards against a request whose time limit begins when it is read, however long its connection was in the accept queue.
 #[test]
-fn a_connection_is_told_how_long_it_may_have_stood_in_the_queue() {
+fn a_connection_records_how_long_it_may_have_been_in_the_accept_queue() {
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (told, mut queued) = tokio::sync::mpsc::unbounded_channel();
-        let taking = actix_rt::spawn(take_connections(listener, Rc::new(ConnectionLimiter::new(1)), told));
+        let (queue_times, mut queued) = tokio::sync::mpsc::unbounded_channel();
+        let accepting =
+            actix_rt::spawn(accept_connections(listener, Rc::new(ConnectionLimiter::new(1)), queue_times));
         let first = tokio::net::TcpStream::connect(address).await.expect("connected");
-        assert_eq!(queued.recv().await, Some(Duration::ZERO), "the queue was empty before it came");
-        let begun = Instant::now();
+        assert_eq!(queued.recv().await, Some(Duration::ZERO), "the queue was empty before it connected");
+        let started = Instant::now();
         let _second = tokio::net::TcpStream::connect(address).await.expect("connected");
-        // Only its place is missing: it is taken when the first has gone.
+        // It is accepted once the first one has released the only permit.
         tokio::time::sleep(Duration::from_millis(20)).await;
         drop(first);
-        let stood = queued.recv().await.expect("taken");
+        let waited = queued.recv().await.expect("accepted");
         assert!(
-            stood >= Duration::from_millis(20) && stood <= begun.elapsed() + Duration::from_secs(1),
-            "{stood:?}"
+            waited >= Duration::from_millis(20) && waited <= started.elapsed() + Duration::from_secs(1),
+            "{waited:?}"
         );
-        taking.abort();
+        accepting.abort();
     });
 }
 
-/// Guards against a connection that is reset with the listener though its client has written a whole request.
+/// Guards against resetting a connection together with the listener although its client has written a complete request.
 #[test]
-fn connections_that_came_before_no_more_are_taken_are_taken() {
+fn connections_in_the_accept_queue_are_accepted_before_the_listener_closes() {
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (told, mut taken) = tokio::sync::mpsc::unbounded_channel();
-        let places = Rc::new(ConnectionLimiter::new(4));
+        let (queue_times, mut accepted) = tokio::sync::mpsc::unbounded_channel();
+        let limiter = Rc::new(ConnectionLimiter::new(4));
         let _clients: Vec<_> =
             (0..3).map(|_| std::net::TcpStream::connect(address).expect("connected")).collect();
-        // In this order: they come, no more are to be taken, the front looks.
-        places.shut();
-        let taking = actix_rt::spawn(take_connections(listener, places, told));
+        // In this order: clients connect, accepting is stopped, the accept loop runs.
+        limiter.stop_accepting();
+        let accepting = actix_rt::spawn(accept_connections(listener, limiter, queue_times));
         for _ in 0..3 {
-            let taken = timeout(Duration::from_secs(5), taken.recv()).await;
-            assert!(taken.expect("a connection in the queue is not left there").is_some());
+            let received = timeout(Duration::from_secs(5), accepted.recv()).await;
+            assert!(received.expect("a connection in the queue is accepted").is_some());
         }
-        // Then the listener goes.
+        // Then the listener is closed.
         while tokio::net::TcpStream::connect(address).await.is_ok() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        taking.abort();
+        accepting.abort();
     });
 }
 
-/// Incident 44: a request that crossed the close behind an answer was read and never answered.
+/// Incident 44: a request that crossed the close behind a response was read and never answered.
 #[test]
-fn a_request_that_crosses_the_close_behind_an_answer_is_read_by_nobody() {
+fn a_request_that_crosses_the_close_behind_a_response_is_not_read() {
     actix_rt::System::new().block_on(async {
-        let (guest, mut client) = connected().await;
-        let mut gate = TrackedStream(guest.clone());
-        gate.write_all(b"answer").await.expect("written");
-        drop(gate);
-        let guest = Rc::into_inner(guest).expect("nobody else has it");
-        let socket = SockRef::from(&*guest.stream.borrow()).try_clone().expect("a second handle");
-        let mut parting = std::pin::pin!(guest.part());
-        assert!(poll_once(parting.as_mut()).await.is_pending(), "the client is still there");
-        // In this order: writing ends, the client has not seen it and writes, the front looks.
+        let (connection, mut client) = connected().await;
+        let mut stream = TrackedStream(connection.clone());
+        stream.write_all(b"answer").await.expect("written");
+        drop(stream);
+        let connection = Rc::into_inner(connection).expect("the only reference");
+        let socket = SockRef::from(&*connection.stream.borrow()).try_clone().expect("a second handle");
+        let mut closing = std::pin::pin!(connection.close());
+        assert!(poll_once(closing.as_mut()).await.is_pending(), "the client has not closed yet");
+        // In this order: the write side is shut down, the client writes before it has seen that, the connection is polled.
         client.write_all(b"a whole request").expect("written");
         tokio::time::sleep(Duration::from_millis(20)).await;
-        assert!(poll_once(parting.as_mut()).await.is_pending(), "the answer has its time");
+        assert!(poll_once(closing.as_mut()).await.is_pending(), "the client has time to read the response");
         let mut unread = [MaybeUninit::uninit(); 64];
-        assert_eq!(socket.recv(&mut unread).expect("it is here"), b"a whole request".len());
+        assert_eq!(socket.recv(&mut unread).expect("the request has arrived"), b"a whole request".len());
     });
 }
--- a/relay/src/discovery.rs
+++ b/relay/src/discovery.rs
@@ -1,6 +1,5 @@
-//! Follows the platform's list of execute nodes by a watch that is renewed at once: from the list that is held on, or
-//! from the whole one where none is.
-//! When to ask again after a failure is the module's decision.
+//! Follows the platform's list of execute nodes by long polling: each watch is renewed as soon as it is answered. Watching starts from
+//! the known list, or from the whole list where none is known. When to retry after a failure is up to the decision module.
 use awc::error::{ConnectError, SendRequestError};
 use futures_util::StreamExt;
 use slatethread::ListScope;
@@ -16,114 +15,121 @@
 use crate::instances::Sharing;
 use crate::list::{ListText, NodeList};
 
-/// How long a watch is held where nothing changes, as a part of the time in which the settings want the list
-/// asked for. Guards against a discovery that goes silent: only the end of a wait shows that.
-const WAIT_PART: u32 = 5;
-/// The same where lists pass between instances: few hold watches, and what they say is the older the longer these are.
-const SHARED_PART: u32 = 10;
-/// However long that is, a watch is held no longer: each of its answers renews the lease on the list, from its call's beginning on.
-/// After its wait [`PATIENCE`] goes by before a silent one is given up, and most of the lease is left in which discovery can answer anew.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
-/// How long the answer of a watch that goes on may take beyond its wait: it stands in no queue.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// The wait of a call that begins a watch: its answer confirms the list as soon as discovery comes to it.
-const FIRST_WAIT: Duration = Duration::from_millis(1);
-/// After so many answers in a row that broke off or did not come, the whole list is asked for: it may be watches alone that fail.
-const DOUBTS: u32 = 2;
+/// How long a watch waits for a change: the configured time within which the list must be requested, divided by this. Guards against
+/// a discovery service that stops answering, which only the end of the wait reveals.
+const WATCH_DIVISOR: u32 = 5;
+/// The same where instances share lists: only few of them watch, and the longer a watch is, the older is the list that they pass on.
+const SHARED_WATCH_DIVISOR: u32 = 10;
+/// Upper bound on the wait of a watch. Each response renews the lease on the list, counted from the start of its call. A silent watch
+/// is given up [`RESPONSE_MARGIN`] after its wait, while most of the lease is left for discovery to answer another call.
+const MAX_WATCH: Duration = Duration::from_secs(1);
+/// How long the response to a renewed watch may take beyond its wait: such a call is not queued at discovery.
+const RESPONSE_MARGIN: Duration = Duration::from_secs(1);
+/// The wait of a call that begins a watch: its response confirms the list as soon as discovery serves the call.
+const FIRST_WATCH: Duration = Duration::from_millis(1);
+/// After this many consecutive responses that were interrupted or missing, the whole list is requested: it may be that only watches
+/// fail.
+const MAX_DOUBTFUL_FAILURES: u32 = 2;
 
-/// A watch that is answered at once though nothing changed is asked anew after so long: soon enough for it to go on.
-/// Guards against a discovery that holds no watch keeping both sides busy.
-const EMPTY_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a watch is renewed that was answered at once although nothing changed: short enough for the watch to continue. Guards
+/// against keeping both sides busy if discovery answers watches without waiting.
+const EMPTY_RESPONSE_DELAY: Duration = Duration::from_millis(50);
 
-/// Where discovery is, and a client whose connections lead there.
+/// The address of the discovery service, and the HTTP client for it.
 #[derive(Clone)]
-pub struct Place {
-    /// For the list alone: one call at a time, so that after a silent one, whose connection is left, none rests here that
-    /// may be as silent.
+pub struct DiscoveryServer {
+    /// Used for the list alone, one call at a time: after a call that was not answered, whose connection is dropped, there is no idle
+    /// connection left that may be dead as well.
     pub client: awc::Client,
     pub address: SocketAddr,
     /// The longest list that is read, in bytes.
     pub list_limit: usize,
 }
 
-/// Follows the list whenever the module asks for it, for as long as that goes well, and from its first word on
-/// wherever discovery has moved to. `held` is the generation of the list that is known already. Where lists pass between instances
-/// (`sharing`), only while it is this one's turn, and what comes is theirs before it is taken in.
+/// Follows the list each time the decision module requests it, until a call fails, and without a request as soon as discovery has
+/// moved. `known_generation` is the generation of the list that is already known. Where instances share lists (`sharing`), the list is
+/// followed only while it is this instance's turn, and what is received is shared before it is applied.
 pub async fn follow<C: Carrier>(
     core: Rc<Core<C>>,
-    mut place: watch::Receiver<Place>,
-    mut held: Option<u64>,
+    mut server: watch::Receiver<DiscoveryServer>,
+    mut known_generation: Option<u64>,
     sharing: Option<Sharing>,
 ) {
-    // Where lists are pushed, who has them is on this machine and keeps nobody waiting: the module does not ask for them.
+    // Where lists are pushed, their source is on this machine and has no queue: the module does not request them.
     let mut pushed = !core.rules().settings.list_on_request;
-    let mut moved = false;
-    let mut doubts = 0;
+    let mut restart = false;
+    let mut doubtful_failures = 0;
     loop {
-        if !moved && !std::mem::take(&mut pushed) {
+        if !restart && !std::mem::take(&mut pushed) {
             tokio::select! {
                 () = core.asked_to_follow() => {}
-                Ok(()) = place.changed() => moved = true,
+                Ok(()) = server.changed() => restart = true,
             }
         }
-        if std::mem::take(&mut moved) {
-            doubts = 0;
+        if std::mem::take(&mut restart) {
+            doubtful_failures = 0;
         }
         if let Some(sharing) = &sharing {
             sharing.turn().await;
         }
-        let now = place.borrow_and_update().clone();
+        let current = server.borrow_and_update().clone();
         tokio::select! {
-            // Another has it now; this one waits for its turn again, whatever the module asks for.
-            () = over(&sharing) => moved = true,
-            // Guards against following the old one to its end, or asking the new one only after a pause.
-            Ok(()) = place.changed() => moved = true,
-            fault = session(&core, &now, &mut held, &mut doubts, sharing.as_ref()) => {
-                let Fault { text, how, unconnected, waited } = fault;
-                let doubtful = matches!(how, ListScope::Torn | ListScope::Silent) && !unconnected;
-                doubts = if doubtful { doubts + 1 } else { 0 };
-                held = held.filter(|_| doubts < DOUBTS);
+            // It is another instance's turn now; this one waits for its next turn, whatever the module requests.
+            () = turn_ended(&sharing) => restart = true,
+            // Guards against following the old server to its end, or calling the new one only after a backoff.
+            Ok(()) = server.changed() => restart = true,
+            error = follow_until_error(
+                &core,
+                &current,
+                &mut known_generation,
+                &mut doubtful_failures,
+                sharing.as_ref(),
+            ) => {
+                let CallError { message, kind, not_connected, elapsed } = error;
+                let doubtful = matches!(kind, ListScope::Torn | ListScope::Silent) && !not_connected;
+                doubtful_failures = if doubtful { doubtful_failures + 1 } else { 0 };
+                known_generation = known_generation.filter(|_| doubtful_failures < MAX_DOUBTFUL_FAILURES);
                 tracing::warn!(
-                    fault = text,
-                    ?how,
-                    ?waited,
-                    "discovery cannot be followed; the module asks again later"
+                    fault = message,
+                    how = ?kind,
+                    waited = ?elapsed,
+                    "discovery cannot be followed; the decision module schedules a retry"
                 );
                 if let Some(sharing) = &sharing {
-                    sharing.failed(how == ListScope::Torn);
+                    sharing.failed(kind == ListScope::Torn);
                 }
-                core.list_broken(how);
+                core.list_broken(kind);
             }
         }
     }
 }
 
-async fn over(sharing: &Option<Sharing>) {
+async fn turn_ended(sharing: &Option<Sharing>) {
     match sharing {
         Some(sharing) => sharing.over().await,
         None => std::future::pending().await,
     }
 }
 
-/// What went wrong with a call.
-struct Fault {
-    text: String,
-    /// What was heard: nothing since no call was taken, that it was turned away, an answer that broke off, silence.
-    how: ListScope,
-    /// The call did not go out.
-    unconnected: bool,
-    /// How long the call had been out.
-    waited: Duration,
+/// Why a call to discovery failed.
+struct CallError {
+    message: String,
+    /// Whether the connection was refused, the call was rejected, the response was interrupted, or there was none in time.
+    kind: ListScope,
+    /// The call was not sent.
+    not_connected: bool,
+    /// How long the call took until it failed.
+    elapsed: Duration,
 }
 
-impl Fault {
-    fn new(how: ListScope, text: impl ToString) -> Self {
-        Fault { text: text.to_string(), how, unconnected: false, waited: Duration::ZERO }
+impl CallError {
+    fn new(kind: ListScope, message: impl ToString) -> Self {
+        CallError { message: message.to_string(), kind, not_connected: false, elapsed: Duration::ZERO }
     }
 
-    /// The same for the figures.
-    fn heard(&self) -> Heard {
-        match self.how {
+    /// The kind of failure for the metrics.
+    fn outcome(&self) -> Heard {
+        match self.kind {
             ListScope::Broken => Heard::Refused,
             ListScope::Busy => Heard::TurnedAway,
             ListScope::Torn => Heard::BrokeOff,
@@ -131,70 +137,75 @@
         }
     }
 
-    /// No connection was had. Only one that is refused says that nobody is there: one that does not come up may be cut off from a
-    /// discovery that others reach, and a descriptor that is not to be had is the relay's own affair.
-    fn unconnected(error: &ConnectError) -> Self {
+    /// No connection could be made. Only a refused connection shows that discovery is down: if it cannot be established otherwise,
+    /// discovery may still be reachable for others, and a missing file descriptor is a problem of this relay.
+    fn connect_failed(error: &ConnectError) -> Self {
         let refused =
             matches!(error, ConnectError::Io(e) if e.kind() == std::io::ErrorKind::ConnectionRefused);
-        let how = if refused { ListScope::Broken } else { ListScope::Silent };
-        Fault { unconnected: true, ..Fault::new(how, error) }
+        let kind = if refused { ListScope::Broken } else { ListScope::Silent };
+        CallError { not_connected: true, ..CallError::new(kind, error) }
     }
 
-    fn torn(text: impl ToString) -> Self {
-        Fault::new(ListScope::Torn, text)
+    fn interrupted(message: impl ToString) -> Self {
+        CallError::new(ListScope::Torn, message)
     }
 }
 
-/// Ends with what went wrong. A list is taken in while the next watch is already under way, since a watch goes on
-/// only if it is renewed at once; but no more than one at a time. Where a list is held, what it lacks is asked for and
-/// no more, first by a call that does not wait: its answer is the smallest that confirms the list. Guards against a fleet that starts, or
-/// whose discovery has moved, having the whole list written to every relay first. What counts otherwise tells a lower generation.
-async fn session<C: Carrier>(
+/// Follows the list until a call fails, and returns why. A list is applied while the next watch is already open, since a watch
+/// continues only if it is renewed at once; but no more than one list at a time. Where a list is known, only its changes are requested,
+/// first by a call that does not wait: its response is the smallest one that confirms the list. Guards against discovery writing the
+/// whole list to every relay when a fleet starts or discovery has moved. If the new server counts generations differently, it reports a
+/// lower one.
+async fn follow_until_error<C: Carrier>(
     core: &Rc<Core<C>>,
-    place: &Place,
-    held: &mut Option<u64>,
-    doubts: &mut u32,
+    server: &DiscoveryServer,
+    known_generation: &mut Option<u64>,
+    doubtful_failures: &mut u32,
     sharing: Option<&Sharing>,
-) -> Fault {
+) -> CallError {
     let mut first = true;
-    // The last answer was a watch's, so that the next one goes on from it.
-    let mut goes_on = false;
+    // Whether the last response was to a watch, which the next call renews.
+    let mut renewal = false;
     loop {
         let shared = sharing.and_then(|sharing| Some((sharing, sharing.asks()?)));
-        let index = shared.as_ref().map_or(*held, |(_, index)| *index);
-        let longest = core.rules().must_ask_in() / if shared.is_some() { SHARED_PART } else { WAIT_PART };
-        let longest = longest.min(LONGEST_WAIT);
-        let wait = if goes_on || shared.is_some() { longest } else { FIRST_WAIT };
-        let patience = if goes_on { wait + PATIENCE } else { wait + core.list_patience(index.is_some()) };
-        tracing::debug!(held = ?index, ?wait, "discovery is asked");
+        let index = shared.as_ref().map_or(*known_generation, |(_, index)| *index);
+        let max_wait =
+            core.rules().must_ask_in() / if shared.is_some() { SHARED_WATCH_DIVISOR } else { WATCH_DIVISOR };
+        let max_wait = max_wait.min(MAX_WATCH);
+        let wait = if renewal || shared.is_some() { max_wait } else { FIRST_WATCH };
+        let time_limit =
+            if renewal { wait + RESPONSE_MARGIN } else { wait + core.list_patience(index.is_some()) };
+        tracing::debug!(held = ?index, ?wait, "calling discovery");
         let begun = Instant::now();
-        let answer = fetch(core, place, index.map(|index| (index, wait)), patience).await;
+        let response = fetch(core, server, index.map(|index| (index, wait)), time_limit).await;
         let waited = begun.elapsed();
-        if !goes_on {
-            core.figures()
-                .discovery_called(answer.as_ref().map_or_else(Fault::heard, |_| Heard::Answered), waited);
+        if !renewal {
+            core.figures().discovery_called(
+                response.as_ref().map_or_else(CallError::outcome, |_| Heard::Answered),
+                waited,
+            );
         }
-        let (list, first_byte) = match answer {
-            Ok(answer) => answer,
-            Err(fault) => return Fault { waited, ..fault },
+        let (list, first_byte) = match response {
+            Ok(response) => response,
+            Err(error) => return CallError { elapsed: waited, ..error },
         };
         let answered = Answered { begun, first: first_byte };
-        *doubts = 0;
-        goes_on = index.is_some();
+        *doubtful_failures = 0;
+        renewal = index.is_some();
         let (generation, changes, whole) = (list.generation, list.len(), list.reset);
-        tracing::debug!(generation, changes, whole, ?waited, "discovery has answered");
+        tracing::debug!(generation, changes, whole, ?waited, "discovery answered");
         if let Some((sharing, _)) = shared {
-            *held = Some(generation);
+            *known_generation = Some(generation);
             sharing.answered(begun, &list);
             if std::mem::take(&mut first) {
-                // The module hears that the list can be had; what is in it comes by way of the others' one.
-                take(core, NodeList::made(generation, false, Vec::new()), answered);
+                // Only tells the module that the list is available; its entries are applied from the shared list.
+                apply(core, NodeList::made(generation, false, Vec::new()), answered);
             }
             continue;
         }
-        // What a service that lost its memory calls changes does not lead from the list that is held to its own.
-        let lower = !whole && held.is_some_and(|held| generation < held);
-        if held.replace(generation).is_none() {
+        // If discovery has lost its state, the changes that it reports do not lead from the known list to its current one.
+        let lower = !whole && known_generation.is_some_and(|known| generation < known);
+        if known_generation.replace(generation).is_none() {
             tracing::info!(generation, nodes = changes, "list of execute nodes");
         } else if whole || changes > 0 {
             tracing::info!(generation, changes, whole, "list of execute nodes changed");
@@ -202,30 +213,30 @@
         if lower {
             tracing::warn!(
                 generation,
-                "discovery has a lower generation than before; the whole list is asked for"
+                "discovery reports a lower generation than before; requesting the whole list"
             );
-            *held = None;
-            goes_on = false;
+            *known_generation = None;
+            renewal = false;
         }
-        // The first is taken in even if nothing changed: the module hears that the list can be had.
+        // The first response is applied even if nothing changed, so that the module learns that the list is available.
         if std::mem::take(&mut first) || whole || changes > 0 {
             core.lists_taken().await;
             if lower {
-                take_unconfirmed(core, list);
+                apply_unconfirmed(core, list);
             } else {
-                take(core, list, answered);
+                apply(core, list, answered);
             }
         } else if !lower {
-            confirm(core, answered);
+            confirm_unchanged(core, answered);
         }
-        if changes == 0 && waited < EMPTY_PAUSE && wait > EMPTY_PAUSE {
-            sleep(EMPTY_PAUSE).await;
+        if changes == 0 && waited < EMPTY_RESPONSE_DELAY && wait > EMPTY_RESPONSE_DELAY {
+            sleep(EMPTY_RESPONSE_DELAY).await;
         }
     }
 }
 
-/// Takes a list in; from then on it is confirmed.
-fn take<C: Carrier>(core: &Rc<Core<C>>, list: NodeList, answered: Answered) {
+/// Applies a list in the background, and confirms it once it is applied.
+fn apply<C: Carrier>(core: &Rc<Core<C>>, list: NodeList, answered: Answered) {
     let core = core.clone();
     actix_rt::spawn(async move {
         core.take_list(&list).await;
@@ -233,14 +244,14 @@
     });
 }
 
-/// Takes in changes that do not lead to the whole list.
-fn take_unconfirmed<C: Carrier>(core: &Rc<Core<C>>, list: NodeList) {
+/// Applies changes in the background that do not make the list complete.
+fn apply_unconfirmed<C: Carrier>(core: &Rc<Core<C>>, list: NodeList) {
     let core = core.clone();
     actix_rt::spawn(async move { core.take_list(&list).await });
 }
 
-/// Nothing has changed: the list is confirmed once what came before is taken in.
-fn confirm<C: Carrier>(core: &Rc<Core<C>>, answered: Answered) {
+/// Confirms the list, which has not changed, once earlier lists are applied.
+fn confirm_unchanged<C: Carrier>(core: &Rc<Core<C>>, answered: Answered) {
     let core = core.clone();
     actix_rt::spawn(async move {
         core.lists_taken().await;
@@ -248,44 +259,47 @@
     });
 }
 
-/// One call: for what changed since an index, waiting so long for it, or for the whole list. Gives the list, and when its first byte came.
+/// Makes one call: for the changes since an index, waiting for them, or for the whole list. Returns the list, and when its first byte
+/// arrived.
 async fn fetch<C: Carrier>(
     core: &Rc<Core<C>>,
-    place: &Place,
+    server: &DiscoveryServer,
     watch: Option<(u64, Duration)>,
-    patience: Duration,
-) -> Result<(NodeList, Instant), Fault> {
-    let base = format!("http://{}/v1/endpoints", place.address);
+    time_limit: Duration,
+) -> Result<(NodeList, Instant), CallError> {
+    let base = format!("http://{}/v1/endpoints", server.address);
     let url = match watch {
         Some((index, wait)) => format!("{base}?index={index}&wait={}", wait.as_millis()),
         None => base,
     };
     let call = async {
-        let mut response = place.client.get(url).no_decompress().send().await.map_err(|e| match e {
-            SendRequestError::Connect(e) => Fault::unconnected(&e),
-            e => Fault::torn(e),
+        let mut response = server.client.get(url).no_decompress().send().await.map_err(|e| match e {
+            SendRequestError::Connect(e) => CallError::connect_failed(&e),
+            e => CallError::interrupted(e),
         })?;
         if response.status() != 200 {
-            let text = format!("status {}", response.status().as_u16());
-            return Err(Fault::new(ListScope::Busy, text));
+            let message = format!("status {}", response.status().as_u16());
+            return Err(CallError::new(ListScope::Busy, message));
         }
         let first = Instant::now();
         core.list_answer_begins(first);
         let mut text = ListText::default();
         while let Some(part) = response.next().await {
-            let part = part.map_err(Fault::torn)?;
-            if !text.add(&part, place.list_limit).map_err(Fault::torn)? {
-                let limit = place.list_limit;
-                let what = format!("the list is longer than idle.list_limit_mb allows ({limit} bytes)");
-                return Err(Fault::torn(what));
+            let part = part.map_err(CallError::interrupted)?;
+            if !text.add(&part, server.list_limit).map_err(CallError::interrupted)? {
+                let limit = server.list_limit;
+                let message = format!("the list is longer than idle.list_limit_mb allows ({limit} bytes)");
+                return Err(CallError::interrupted(message));
             }
         }
         if !text.is_long() {
-            return Ok((NodeList::read(text).map_err(Fault::torn)?, first));
+            return Ok((NodeList::read(text).map_err(CallError::interrupted)?, first));
         }
-        // On another thread, so that jobs go on meanwhile.
+        // On another thread, so that jobs are not delayed meanwhile.
         let read = spawn_blocking(move || NodeList::read(text)).await;
-        Ok((read.map_err(Fault::torn)?.map_err(Fault::torn)?, first))
+        Ok((read.map_err(CallError::interrupted)?.map_err(CallError::interrupted)?, first))
     };
-    timeout(patience, call).await.unwrap_or_else(|_| Err(Fault::new(ListScope::Silent, "no answer")))
+    timeout(time_limit, call)
+        .await
+        .unwrap_or_else(|_| Err(CallError::new(ListScope::Silent, "no response in time")))
 }
--- a/relay/src/main.rs
+++ b/relay/src/main.rs
@@ -11,13 +11,13 @@
 use onyxglade::backlog::report;
 use onyxglade::{config, import, run, tls};
 
-/// Hands messages on to partner systems that it does not control.
+/// Relays messages to partner systems outside its control.
 ///
-/// Without a command it runs. The platform's front is on when BALANCER_CONFIG is set, the second front when the file
-/// that --config names has a table [push]. SIGHUP reads all configuration anew, SIGTERM winds down within 3.5 s.
+/// Without a command, runs the relay. The platform frontend is enabled if BALANCER_CONFIG is set, the push frontend if the
+/// file given with --config has a table [push]. SIGHUP reloads the configuration, SIGTERM shuts down within 3.5 s.
 #[derive(Parser)]
 #[command(version, args_conflicts_with_subcommands = true)]
-struct Line {
+struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
     #[command(flatten)]
@@ -26,66 +26,68 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run the fronts that are configured (the default)
+    /// Run the configured frontends (the default)
     Run(Run),
-    /// Read and check a configuration: our own file (TOML) or the platform's (JSON). Each fault is told with its key;
-    /// the exit code is 0 where there is none, else 2
+    /// Check a configuration file: the relay's own (TOML) or the platform's (JSON). Prints each error with its key;
+    /// exits with 0 if there are none, else with 2
     Check { file: PathBuf },
-    /// Show the other instances as a running relay sees them
+    /// Show the other instances as seen by a running relay
     Instances {
-        /// The relay's second address
+        /// The relay's admin address
         address: SocketAddr,
-        /// As the JSON that it told
+        /// Print JSON instead of a table
         #[arg(long)]
         json: bool,
     },
-    /// Show what waits on disk at a running relay
+    /// Show the messages queued on disk by a running relay
     Backlog {
-        /// The relay's second address
+        /// The relay's admin address
         address: SocketAddr,
-        /// Only for the destination with this number
+        /// Show only the destination with this number
         #[arg(long)]
         dest: Option<u64>,
-        /// As the JSON that it told
+        /// Print JSON instead of a table
         #[arg(long)]
         json: bool,
     },
-    /// Make an authority and certificates for trying out TLS: authority.pem, server.pem and client.pem with their keys
+    /// Create a certificate authority and certificates for trying out TLS: authority.pem, server.pem and client.pem, each
+    /// with its key
     MakeCertificates {
         folder: PathBuf,
-        /// Names that they are for, besides localhost and 127.0.0.1
+        /// Host name in the certificates, besides localhost and 127.0.0.1; may be repeated
         #[arg(long = "name")]
         names: Vec<String>,
     },
-    /// Print our own file made of nginx's upstream and location blocks; what is not carried over is told beside it
+    /// Convert upstream and location blocks of an nginx configuration to the relay's own format, on standard output; parts
+    /// that cannot be converted are reported on standard error
     ImportNginx { file: PathBuf },
 }
 
 #[derive(Args)]
 struct Run {
-    /// Our own file, such as deploy/push.toml
+    /// The relay's own configuration file, such as deploy/push.toml
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// What is logged, such as `info` or `onyxglade=debug`
+    /// Log filter, such as `info` or `onyxglade=debug`
     #[arg(long, env = "ONYXGLADE_LOG", default_value = "info", value_name = "FILTER")]
     log: String,
-    /// How a line of the log is written
+    /// Log format
     #[arg(long, env = "ONYXGLADE_LOG_FORMAT", default_value = "text", value_name = "FORMAT")]
     log_format: LogFormat,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
 enum LogFormat {
-    /// Time, level, place and fields in a line
+    /// Time, level, target and fields on one line
     Text,
-    /// The same as a JSON object
+    /// The same as one JSON object per line
     Json,
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    match line.command {
-        None => start(line.run),
+    let cli = Cli::parse();
+    match cli.command {
+        None => start(cli.run),
         Some(Command::Run(run)) => start(run),
         Some(Command::Check { file }) => check(&file),
         Some(Command::Instances { address, json }) => instances(address, json),
@@ -95,28 +97,32 @@
     }
 }
 
-fn start(told: Run) -> ExitCode {
-    // A filter that cannot be read must not keep a relay from its work.
-    let filter = EnvFilter::try_new(&told.log);
-    let fault = filter.as_ref().err().map(ToString::to_string);
+fn start(args: Run) -> ExitCode {
+    // An invalid filter must not prevent the relay from running.
+    let filter = EnvFilter::try_new(&args.log);
+    let error = filter.as_ref().err().map(ToString::to_string);
     let log = tracing_subscriber::fmt()
         .with_env_filter(filter.unwrap_or_else(|_| EnvFilter::new("info")))
         .with_ansi(false);
-    match told.log_format {
+    match args.log_format {
         LogFormat::Text => log.init(),
         LogFormat::Json => log.json().flatten_event(true).with_current_span(false).init(),
     }
-    if let Some(fault) = fault {
-        tracing::warn!(filter = told.log, fault, "ONYXGLADE_LOG: no such filter; info is logged");
+    if let Some(error) = error {
+        tracing::warn!(
+            filter = args.log,
+            fault = error,
+            "ONYXGLADE_LOG: the filter cannot be parsed; logging at level info"
+        );
     }
-    match actix_rt::System::new().block_on(run::run(told.config)) {
+    match actix_rt::System::new().block_on(run::run(args.config)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(run::Fault::Configuration(fault)) => {
-            tracing::error!("{fault}");
+        Err(run::Error::Configuration(message)) => {
+            tracing::error!("{message}");
             ExitCode::from(2)
         }
-        Err(run::Fault::Other(fault)) => {
-            tracing::error!("{fault}");
+        Err(run::Error::Other(message)) => {
+            tracing::error!("{message}");
             ExitCode::FAILURE
         }
     }
@@ -128,8 +134,8 @@
             print!("{}", if json { format!("{view}\n") } else { onyxglade::instances::table(&view) });
             ExitCode::SUCCESS
         }
-        Err(fault) => {
-            eprintln!("{address}: {fault}");
+        Err(error) => {
+            eprintln!("{address}: {error}");
             ExitCode::from(2)
         }
     }
@@ -137,16 +143,16 @@
 
 fn backlog(address: SocketAddr, destination: Option<u64>, json: bool) -> ExitCode {
     match actix_rt::System::new().block_on(report::ask(address, destination)) {
-        Ok(told) if json => {
-            println!("{}", serde_json::to_string_pretty(&told).expect("a report has only plain values"));
+        Ok(report) if json => {
+            println!("{}", serde_json::to_string_pretty(&report).expect("a report can be serialized"));
             ExitCode::SUCCESS
         }
-        Ok(told) => {
-            print!("{}", report::table(&told));
+        Ok(report) => {
+            print!("{}", report::table(&report));
             ExitCode::SUCCESS
         }
-        Err(fault) => {
-            eprintln!("{address}: {fault}");
+        Err(error) => {
+            eprintln!("{address}: {error}");
             ExitCode::from(2)
         }
     }
@@ -158,8 +164,8 @@
             written.iter().for_each(|path| println!("{}", path.display()));
             ExitCode::SUCCESS
         }
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(2)
         }
     }
@@ -168,17 +174,17 @@
 fn check(file: &Path) -> ExitCode {
     match config::check(file) {
         Ok(summary) => {
-            println!("{}: sound: {summary}", file.display());
+            println!("{}: valid: {summary}", file.display());
             ExitCode::SUCCESS
         }
-        Err(faults) => {
-            faults.iter().for_each(|fault| eprintln!("{}: {fault}", file.display()));
+        Err(errors) => {
+            errors.iter().for_each(|error| eprintln!("{}: {error}", file.display()));
             ExitCode::from(2)
         }
     }
 }
 
-/// Prints the file of ours, and beside it what was not carried over.
+/// Prints the converted file to standard output, and what was not converted to standard error.
 fn import_nginx(file: &Path) -> ExitCode {
     match import::file(file) {
         Ok((text, remarks)) => {
@@ -188,8 +194,8 @@
                 Err(_) => ExitCode::FAILURE,
             }
         }
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::FAILURE
         }
     }
--- a/relay/src/platform/batch.rs
+++ b/relay/src/platform/batch.rs
@@ -1,24 +1,28 @@
-//! The form of a call with several messages, and of its answer. Knows bytes only.
+//! Encodes calls that carry several messages, and decodes their responses.
 use crate::core::Part;
 use crate::job::Outcome;
 use bytes::{BufMut, Bytes, BytesMut};
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::KEY;
+use super::IDEMPOTENCY_KEY;
 
-/// No body is larger than 64 KiB.
-const LONGEST: usize = 64 * 1024;
+/// Largest request body: 64 KiB.
+const MAX_BODY: usize = 64 * 1024;
 
-/// The body, and how many of the messages are in it: those that fit, from the first on.
+/// Returns the request body, and how many of the messages it contains: as many as fit, from the first one on.
 pub fn encode(parts: &[Part]) -> (Bytes, usize) {
     let mut body = BytesMut::new();
     for (count, part) in parts.iter().enumerate() {
-        let key = part.fields.iter().find(|(name, _)| name == KEY).map_or(&b"-"[..], |(_, key)| key.as_ref());
+        let key = part
+            .fields
+            .iter()
+            .find(|(name, _)| name == IDEMPOTENCY_KEY)
+            .map_or(&b"-"[..], |(_, key)| key.as_ref());
         let size = part.body.len().to_string();
         let head = [part.id.as_bytes(), b" ", key, b" ", size.as_bytes(), b"\r\n"];
         let head = head.concat();
-        if body.len() + head.len() + part.body.len() + 2 > LONGEST {
+        if body.len() + head.len() + part.body.len() + 2 > MAX_BODY {
             return (body.freeze(), count);
         }
         body.put_slice(&head);
@@ -28,18 +32,18 @@
     (body.freeze(), parts.len())
 }
 
-/// What became of each message, of an answer that said 200. One that does not name each of them, in a word that is one,
-/// was cut off, and counts for nothing: whatever it says, a message is delivered only by a whole answer.
+/// Returns the outcome of each message from the body of a response with status 200. A body that does not name a known outcome for
+/// every message is taken as truncated and ignored: a message counts as delivered only by a complete response.
 pub fn decode(answer: &[u8], parts: &[Part], wait: Option<Duration>) -> Vec<Outcome> {
     let text = String::from_utf8_lossy(answer);
-    let mut ends = HashMap::new();
-    for (id, end) in text.lines().filter_map(|line| line.trim_end().split_once(' ')) {
-        // Guards against two ends for one message: then nobody knows. One that was not sent is passed over.
-        let told = ends.entry(id).or_insert(end);
-        *told = if *told == end { end } else { "error" };
+    let mut results = HashMap::new();
+    for (id, result) in text.lines().filter_map(|line| line.trim_end().split_once(' ')) {
+        // Guards against two different results for one message: its outcome is unknown then. Messages that were not sent are ignored.
+        let known = results.entry(id).or_insert(result);
+        *known = if *known == result { result } else { "error" };
     }
-    let of = |part: &Part| {
-        Some(match *ends.get(part.id.as_str())? {
+    let outcome = |part: &Part| {
+        Some(match *results.get(part.id.as_str())? {
             "ok" => Outcome::Delivered,
             "error" => Outcome::Error,
             "later" => Outcome::Full { wait },
@@ -48,7 +52,7 @@
             _ => return None,
         })
     };
-    let all = parts.iter().map(of).collect::<Option<_>>().filter(|_| text.ends_with('\n'));
+    let all = parts.iter().map(outcome).collect::<Option<_>>().filter(|_| text.ends_with('\n'));
     all.unwrap_or_else(|| vec![Outcome::Error; parts.len()])
 }
 
--- a/relay/src/platform/batch/tests.rs
+++ b/relay/src/platform/batch/tests.rs
@@ -2,13 +2,13 @@
 use crate::core::tests::ticket;
 
 fn part(id: &str, key: Option<&str>, size: usize) -> Part {
-    let fields = key.map(|key| (KEY.to_owned(), Bytes::copy_from_slice(key.as_bytes())));
+    let fields = key.map(|key| (IDEMPOTENCY_KEY.to_owned(), Bytes::copy_from_slice(key.as_bytes())));
     let ticket = ticket(true, Duration::ZERO, None);
     Part { id: id.into(), fields: fields.into_iter().collect(), body: vec![b'x'; size].into(), ticket }
 }
 
 #[test]
-fn messages_are_framed_by_lines_and_no_more_than_fit() {
+fn a_call_contains_no_more_messages_than_fit() {
     let (body, count) = encode(&[part("a", None, 2), part("b", Some("k"), 0)]);
     assert_eq!((&body[..], count), (&b"a - 2\r\nxx\r\nb k 0\r\n\r\n"[..], 2));
     let (body, count) = encode(&[part("a", None, 40_000), part("b", None, 20_000), part("c", None, 20_000)]);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn each_message_has_its_own_end_and_an_answer_cut_short_tells_none() {
+fn each_message_has_its_own_outcome_and_a_truncated_response_has_none() {
     let parts = ["a", "b", "c", "d", "e"].map(|id| part(id, None, 0));
     let wait = Some(Duration::from_secs(2));
     let answer = b"e exhausted\r\na ok\r\nc gone\r\nb later\r\nd error\r\n";
@@ -26,7 +26,7 @@
         assert_eq!(decode(&answer[..cut], &parts, wait), [Error; 5], "cut at {cut}");
     }
     assert_eq!(decode(b"\xff a fine\r\n", &parts[..1], None), [Error]);
-    // One told twice, and one that nobody sent.
+    // Two results for one message, and a result for one that was not sent.
     let answer = b"a ok\r\nz ok\r\nb later\r\nb ok\r\na ok\r\n";
     assert_eq!(decode(answer, &parts[..2], None), [Delivered, Error]);
 }
--- a/relay/src/platform/carrier.rs
+++ b/relay/src/platform/carrier.rs
@@ -1,4 +1,4 @@
-//! The way out: claims to execute nodes and notices to the platform, over awc.
+//! Sends claims to execute nodes and notices to the platform, with awc.
 use actix_rt::net::{ActixStream, TcpStream};
 use actix_service::fn_service;
 use actix_tls::connect::{ConnectError, ConnectInfo, Connection};
@@ -21,305 +21,330 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::timeout;
 
-use super::line::{Body, CLAIM, Lines, Rack, Trace};
+use super::connection::{BodyFraming, CURRENT_CALL, CallTrace, ConnectionPool, NodePool};
 use crate::config::Rules;
 use crate::core::{Carrier, Core, Node, Part, Ticket};
-use crate::discovery::Place;
+use crate::discovery::DiscoveryServer;
 use crate::job::{Job, Outcome, told_seconds};
 use crate::journal::SettledEnd;
 
-/// How long a connection may be used; a machine that serves for a year must not tire of them.
-const LIFETIME: Duration = Duration::from_secs(365 * 24 * 3600);
-/// How often idle connections are looked at.
-const IDLE_LOOK: Duration = Duration::from_millis(250);
-/// How long the rest of an answer is read for, so that its connection can be used again.
-const REST_OF_ANSWER: Duration = Duration::from_secs(1);
-/// Most bytes of an answer that are read for that.
-const LONGEST_ANSWER: usize = 64 * 1024;
-/// Posts of notices under way at once, and the longest: bodies are no larger than 64 KiB.
-const POSTS: usize = 8;
-const LONGEST_POST: usize = 60_000;
+/// How long a connection may be used. Replaces awc's shorter default with a year, so that none is closed for its age.
+const CONNECTION_LIFETIME: Duration = Duration::from_secs(365 * 24 * 3600);
+/// How often idle connections are checked.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How long the body of a response is read, so that its connection can be reused.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(1);
+/// How many bytes of a response body are read for that.
+const MAX_RESPONSE_BODY: usize = 64 * 1024;
+/// How many posts of notices may be in flight at once, and the size of the largest: request bodies are limited to 64 KiB.
+const MAX_POSTS: usize = 8;
+const MAX_POST_SIZE: usize = 60_000;
 /// How long the platform may take to acknowledge a notice.
-const NOTICE_TIME: Duration = Duration::from_millis(1500);
-
-pub struct ToNodes {
-    /// Ways out, one for each node, so that one that is gone leaves nothing behind, not even a connection that
-    /// another one at its address would be called on.
-    exits: RefCell<HashMap<EndpointId, Rc<Exit>>>,
-    /// Where ends are told, and the list is had from.
-    platform: watch::Sender<Place>,
-    /// Notices that wait to be told, and who waits for that.
-    outbox: RefCell<VecDeque<(Vec<u8>, Teller)>>,
-    posts: Semaphore,
-    /// What notices are posted with; another one after a post that nobody answered.
-    poster: RefCell<Client>,
-    rack: Rc<Rack>,
+const NOTICE_TIMEOUT: Duration = Duration::from_millis(1500);
+
+/// Calls execute nodes, and posts notices to the platform.
+pub struct NodeClient {
+    /// One handle per node, so that a removed node leaves no state behind, not even a connection on which a later node at the same
+    /// address could be called.
+    nodes: RefCell<HashMap<EndpointId, Rc<NodeHandle>>>,
+    /// The server that provides the list and receives notices.
+    server: watch::Sender<DiscoveryServer>,
+    /// Notices that are still to be sent, and where to report the result.
+    outbox: RefCell<VecDeque<(Vec<u8>, ResultSender)>>,
+    post_permits: Semaphore,
+    /// The client that posts notices; it is replaced after a post without a response.
+    notice_client: RefCell<Client>,
+    pool: Rc<ConnectionPool>,
     dial_timeout: Cell<Duration>,
-    /// Connections idle for so long are closed.
-    idle: Cell<Duration>,
+    /// Connections that are idle for this long are closed.
+    idle_timeout: Cell<Duration>,
 }
 
-type Teller = oneshot::Sender<Result<(), String>>;
+type ResultSender = oneshot::Sender<Result<(), String>>;
 
-struct Exit {
+/// The HTTP client and the connections of one node.
+struct NodeHandle {
     client: Client,
-    lines: Rc<Lines>,
-    used: Cell<Instant>,
+    connections: Rc<NodePool>,
+    last_used: Cell<Instant>,
 }
 
-/// A way out without connections is kept for so long after its last call. Guards against a client for each node that
-/// was ever called.
-const EXIT_KEPT: Duration = Duration::from_secs(60);
+/// How long a handle without connections is kept after its last call. Guards against keeping a client for every node that was ever
+/// called.
+const HANDLE_RETENTION: Duration = Duration::from_secs(60);
 
-/// An awc client with every default that costs connections, time or a second call set. Without its own
-/// limits (0 is none: the module's slots bound the calls), redirects, time-outs and extra headers.
-fn client<F, L, D>(dial_timeout: Duration, idle: Duration, dial: F) -> Client
+/// Builds an awc client that overrides every default that would cost connections, time or a second call: no limits of its own (0 is
+/// none; the decision module's slots bound the calls), no redirects, no timeouts and no extra headers.
+fn build_client<F, S, D>(dial_timeout: Duration, idle_timeout: Duration, dial: F) -> Client
 where
     F: Fn(SocketAddr) -> D + Clone + 'static,
-    D: Future<Output = io::Result<L>> + 'static,
-    L: ActixStream + Debug + 'static,
+    D: Future<Output = io::Result<S>> + 'static,
+    S: ActixStream + Debug + 'static,
 {
     let connect = fn_service(move |info: ConnectInfo<Uri>| {
         let uri = info.request().clone();
         let address = uri.authority().and_then(|a| a.as_str().parse::<SocketAddr>().ok());
-        let line = address.map(&dial);
+        let dialing = address.map(&dial);
         async move {
-            let line = line.ok_or(ConnectError::Unresolved)?.await.map_err(ConnectError::Io)?;
-            Ok(Connection::new(uri, line))
+            let stream = dialing.ok_or(ConnectError::Unresolved)?.await.map_err(ConnectError::Io)?;
+            Ok(Connection::new(uri, stream))
         }
     });
     let connector = Connector::new()
         .connector(Rc::new(connect))
         .timeout(dial_timeout)
         .limit(0)
-        .conn_keep_alive(idle)
-        .conn_lifetime(LIFETIME);
+        .conn_keep_alive(idle_timeout)
+        .conn_lifetime(CONNECTION_LIFETIME);
     Client::builder().connector(connector).disable_timeout().disable_redirects().no_default_headers().finish()
 }
 
-/// The platform at an address, with a client whose connections awc keeps.
-fn place(rules: &Rules, address: SocketAddr, list_limit: usize) -> Place {
-    Place { client: to_platform(rules.dial_timeout(), idle(rules)), address, list_limit }
+/// The discovery server at an address, with a new client.
+fn server_at(rules: &Rules, address: SocketAddr, list_limit: usize) -> DiscoveryServer {
+    DiscoveryServer {
+        client: platform_client(rules.dial_timeout(), idle_timeout(rules)),
+        address,
+        list_limit,
+    }
 }
 
-fn to_platform(dial_timeout: Duration, idle: Duration) -> Client {
-    client(dial_timeout, idle, |address| async move {
+/// Builds a client for the platform, whose idle connections awc keeps.
+fn platform_client(dial_timeout: Duration, idle_timeout: Duration) -> Client {
+    build_client(dial_timeout, idle_timeout, |address| async move {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(stream)
     })
 }
 
-/// Connections idle for so long are closed: before the node does, with time for both ways.
-fn idle(rules: &Rules) -> Duration {
+/// How long connections may be idle: they are closed before the node closes them, with a margin for the round trip.
+fn idle_timeout(rules: &Rules) -> Duration {
     let idle_close = rules.idle_close();
     idle_close.saturating_sub((idle_close / 20).max(Duration::from_millis(400)))
 }
 
-impl ToNodes {
+impl NodeClient {
     pub fn new(rules: &Rules, discovery: SocketAddr, list_limit: usize) -> Self {
-        ToNodes {
-            rack: Rc::default(),
-            exits: RefCell::new(HashMap::new()),
+        NodeClient {
+            pool: Rc::default(),
+            nodes: RefCell::new(HashMap::new()),
             outbox: RefCell::default(),
-            posts: Semaphore::new(POSTS),
-            poster: RefCell::new(to_platform(rules.dial_timeout(), idle(rules))),
-            platform: watch::Sender::new(place(rules, discovery, list_limit)),
+            post_permits: Semaphore::new(MAX_POSTS),
+            notice_client: RefCell::new(platform_client(rules.dial_timeout(), idle_timeout(rules))),
+            server: watch::Sender::new(server_at(rules, discovery, list_limit)),
             dial_timeout: Cell::new(rules.dial_timeout()),
-            idle: Cell::new(idle(rules)),
+            idle_timeout: Cell::new(idle_timeout(rules)),
         }
     }
 
-    /// Where the platform is, now and later on.
-    pub fn platform(&self) -> watch::Receiver<Place> {
-        self.platform.subscribe()
+    /// The discovery server, and its later changes.
+    pub fn discovery_server(&self) -> watch::Receiver<DiscoveryServer> {
+        self.server.subscribe()
     }
 
-    /// Takes up new rules, and discovery where it is now. What is under way goes on.
-    pub fn settle(&self, rules: &Rules, discovery: SocketAddr, list_limit: usize) {
+    /// Applies new rules and the current address of discovery. Calls in flight continue.
+    pub fn reconfigure(&self, rules: &Rules, discovery: SocketAddr, list_limit: usize) {
         self.dial_timeout.set(rules.dial_timeout());
-        self.idle.set(idle(rules));
-        let Place { address, list_limit: limit, .. } = *self.platform.borrow();
+        self.idle_timeout.set(idle_timeout(rules));
+        let DiscoveryServer { address, list_limit: limit, .. } = *self.server.borrow();
         if (address, limit) != (discovery, list_limit) {
-            self.platform.send_replace(place(rules, discovery, list_limit));
-            self.renew_poster();
+            self.server.send_replace(server_at(rules, discovery, list_limit));
+            self.renew_notice_client();
         }
     }
 
-    /// Posts from now on leave the connections that rest alone.
-    fn renew_poster(&self) {
-        self.poster.replace(to_platform(self.dial_timeout.get(), self.idle.get()));
+    /// Replaces the client for notices, so that the next posts do not use its idle connections.
+    fn renew_notice_client(&self) {
+        self.notice_client.replace(platform_client(self.dial_timeout.get(), self.idle_timeout.get()));
     }
 
-    /// How many connections to nodes may be open at once.
-    pub fn set_connections(&self, most: usize) {
-        self.rack.set_most(Some(most));
+    /// Sets how many connections to nodes may be open at once.
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.pool.set_max_open(Some(max_connections));
     }
 
-    fn exit(&self, node: &Node) -> Rc<Exit> {
-        let mut exits = self.exits.borrow_mut();
-        let exit = exits.entry(node.id).or_insert_with(|| {
-            let lines = Lines::new(node.id, &self.rack);
-            let home = lines.clone();
-            // A line is for one call: what awc keeps of it is nothing.
-            let client = client(self.dial_timeout.get(), Duration::ZERO, move |to| home.clone().lease(to));
-            Rc::new(Exit { client, lines, used: Cell::new(Instant::now()) })
+    /// The handle of a node; created if there is none.
+    fn handle(&self, node: &Node) -> Rc<NodeHandle> {
+        let mut nodes = self.nodes.borrow_mut();
+        let handle = nodes.entry(node.id).or_insert_with(|| {
+            let connections = NodePool::new(node.id, &self.pool);
+            let node_pool = connections.clone();
+            // awc keeps no connections here: a stream serves one call, and the node's pool keeps its socket.
+            let client =
+                build_client(self.dial_timeout.get(), Duration::ZERO, move |to| node_pool.clone().lease(to));
+            Rc::new(NodeHandle { client, connections, last_used: Cell::new(Instant::now()) })
         });
-        exit.used.set(Instant::now());
-        exit.clone()
+        handle.last_used.set(Instant::now());
+        handle.clone()
     }
 
-    /// One call, which has its own hold on all that it needs: the rest of an answer may outlast its claim. Gives what
-    /// its answer's head means, and the body if that came whole.
-    fn call(&self, node: &Node, call: Call, trace: Rc<Trace>) -> impl Future<Output = Answered> + 'static {
-        let exit = self.exit(node);
-        let several = call.path == SEVERAL;
+    /// Makes one call. The future owns all that it needs, since reading the body of a response may outlast the claim. Returns what the
+    /// head of the response means, and the body if it was received completely.
+    fn call(
+        &self,
+        node: &Node,
+        call: Call,
+        trace: Rc<CallTrace>,
+    ) -> impl Future<Output = CallResult> + 'static {
+        let handle = self.handle(node);
+        let is_batch = call.path == BATCH_PATH;
         let Call { path, headers, body } = call;
-        let mut request = exit.client.post(format!("http://{}{path}", node.address)).no_decompress();
+        let mut request = handle.client.post(format!("http://{}{path}", node.address)).no_decompress();
         for (name, value) in headers {
             request = request.insert_header((name, value.as_ref()));
         }
         let sent = request.send_body(body);
         async move {
-            // Its connections are not another's as long as this is held.
-            let _exit = exit;
+            // The node's connections are kept for as long as this handle is.
+            let _handle = handle;
             let mut response = match sent.await {
                 Ok(response) => response,
                 Err(e) => {
-                    return Answered { outcome: fault(&e, &trace), wait: None, body: None, unread: false };
+                    return CallResult {
+                        outcome: outcome_of_error(&e, &trace),
+                        wait: None,
+                        body: None,
+                        not_accepted: false,
+                    };
                 }
             };
             let header = |name: &str| response.headers().get(name).and_then(|v| v.to_str().ok());
-            let outcome = outcome(response.status(), header);
+            let outcome = outcome_of_status(response.status(), header);
             let wait = header("retry-after").and_then(told_seconds);
-            // Told by the head, whatever becomes of the rest: others are not sent while that is waited for.
-            let tells = matches!(outcome, Outcome::Full { wait: Some(_) })
-                || several && outcome == Outcome::Delivered;
-            wait.filter(|_| tells).into_iter().for_each(|wait| trace.tell_wait(wait));
-            header(LOAD).into_iter().for_each(|text| trace.tell_report(load(text)));
-            let keeps = !header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
+            // Recorded from the head, whatever becomes of the body, so that no other claims are sent while the body is read.
+            let has_wait = matches!(outcome, Outcome::Full { wait: Some(_) })
+                || is_batch && outcome == Outcome::Delivered;
+            wait.filter(|_| has_wait).into_iter().for_each(|wait| trace.record_wait(wait));
+            header(LOAD_HEADER).into_iter().for_each(|text| trace.record_report(parse_load(text)));
+            let keep_alive = !header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
             let chunked =
                 header("transfer-encoding").is_some_and(|v| v.trim().eq_ignore_ascii_case("chunked"));
-            let form = match header("content-length").and_then(|v| v.trim().parse().ok()) {
-                _ if !keeps => Body::Other,
-                Some(size) if !chunked => Body::Sized(size),
-                None if chunked => Body::Chunked,
-                // Both is no sound answer, and without either it ends with its connection.
-                _ => Body::Other,
+            let framing = match header("content-length").and_then(|v| v.trim().parse().ok()) {
+                _ if !keep_alive => BodyFraming::Other,
+                Some(size) if !chunked => BodyFraming::Sized(size),
+                None if chunked => BodyFraming::Chunked,
+                // A response with both is invalid; one with neither ends with the connection.
+                _ => BodyFraming::Other,
             };
-            let read = timeout(REST_OF_ANSWER, response.body().limit(LONGEST_ANSWER)).await;
+            let read = timeout(BODY_READ_TIMEOUT, response.body().limit(MAX_RESPONSE_BODY)).await;
             let body = read.ok().and_then(Result::ok);
             if body.is_some() {
-                trace.done(form);
+                trace.response_complete(framing);
             }
-            let unread = matches!(response.status().as_u16(), 400 | 413);
-            Answered { outcome, wait, body, unread }
+            let not_accepted = matches!(response.status().as_u16(), 400 | 413);
+            CallResult { outcome, wait, body, not_accepted }
         }
     }
 }
 
-/// Where calls with several messages go.
-const SEVERAL: &str = "/v1/messages:batch";
+/// The path for calls that carry several messages.
+const BATCH_PATH: &str = "/v1/messages:batch";
 
-/// What goes out in one call.
+/// One request to a node.
 struct Call {
     path: &'static str,
     headers: Vec<(String, Bytes)>,
     body: Bytes,
 }
 
-/// What came back.
-struct Answered {
-    /// By the head alone.
+/// The result of a call.
+struct CallResult {
+    /// According to the head of the response alone.
     outcome: Outcome,
     wait: Option<Duration>,
-    /// None if it did not come whole.
+    /// `None` if it was not received completely.
     body: Option<Bytes>,
-    /// It cannot be read, or is longer than allowed: none of it has run.
-    unread: bool,
+    /// The node could not parse the call, or it was too large: none of its messages has run.
+    not_accepted: bool,
 }
 
-/// Where answers tell of the node's limit.
-const LOAD: &str = "x-server-load";
+/// The response header that reports the node's limit.
+const LOAD_HEADER: &str = "x-server-load";
 
-/// A load report; what can't be read tells nothing.
-fn load(text: &str) -> Report {
+/// Parses a load report; invalid fields are ignored.
+fn parse_load(text: &str) -> Report {
     let fields = || text.split(',').filter_map(|field| field.split_once('='));
-    report(|name| fields().find(|(n, _)| n.trim() == name).and_then(|(_, value)| value.trim().parse().ok()))
+    report(|name| {
+        fields().find(|(key, _)| key.trim() == name).and_then(|(_, value)| value.trim().parse().ok())
+    })
 }
 
-/// Why notices were not heard.
+/// Why notices were not acknowledged.
 #[derive(Clone)]
-enum Unheard {
-    /// The platform says that it cannot read them: a fault of ours, which no repetition mends.
-    Unreadable,
+enum NoticeError {
+    /// The platform cannot parse them. This is a bug in the relay, so they are not sent again.
+    Rejected,
     Failed(String),
 }
 
-impl ToNodes {
-    /// What waits to be told, as far as one post may hold it.
-    fn take_outbox(&self) -> Vec<(Vec<u8>, Teller)> {
+impl NodeClient {
+    /// Takes as many notices from the outbox as fit into one post.
+    fn take_batch(&self) -> Vec<(Vec<u8>, ResultSender)> {
         let mut outbox = self.outbox.borrow_mut();
         let mut size = 0;
-        let fits = |(line, _): &&(Vec<u8>, Teller)| {
-            size += line.len();
-            size <= LONGEST_POST
+        let fits = |(notice, _): &&(Vec<u8>, ResultSender)| {
+            size += notice.len();
+            size <= MAX_POST_SIZE
         };
         let count = outbox.iter().take_while(fits).count();
         outbox.drain(..count).collect()
     }
 
-    /// Tells notices in one post, or each by itself if one of them cannot be read.
-    async fn tell(&self, batch: Vec<(Vec<u8>, Teller)>) {
-        let alone = batch.len() == 1;
-        let all = self.post(batch.iter().flat_map(|(line, _)| line).copied().collect()).await;
-        for (line, teller) in batch {
-            let heard = match &all {
-                Err(Unheard::Unreadable) if !alone => self.post(line).await,
+    /// Sends notices in one post, or each on its own if the platform rejects the post.
+    async fn send_batch(&self, batch: Vec<(Vec<u8>, ResultSender)>) {
+        let single = batch.len() == 1;
+        let all = self.post(batch.iter().flat_map(|(notice, _)| notice).copied().collect()).await;
+        for (notice, result_sender) in batch {
+            let result = match &all {
+                Err(NoticeError::Rejected) if !single => self.post(notice).await,
                 all => all.clone(),
             };
-            let heard = match heard {
-                Ok(()) | Err(Unheard::Unreadable) => Ok(()),
-                Err(Unheard::Failed(e)) => Err(e),
+            let result = match result {
+                Ok(()) | Err(NoticeError::Rejected) => Ok(()),
+                Err(NoticeError::Failed(e)) => Err(e),
             };
-            // Nobody waits for the notice of a life that is over.
-            let _ = teller.send(heard);
+            // The receiver is gone if the job has ended meanwhile.
+            let _ = result_sender.send(result);
         }
     }
 
-    async fn post(&self, body: Vec<u8>) -> Result<(), Unheard> {
+    async fn post(&self, body: Vec<u8>) -> Result<(), NoticeError> {
         let call = async {
-            let address = self.platform.borrow().address;
-            let request = self.poster.borrow().post(format!("http://{address}/reports")).no_decompress();
-            let mut response = request.send_body(body).await.map_err(|e| Unheard::Failed(e.to_string()))?;
-            let _ = response.body().limit(LONGEST_ANSWER).await;
+            let address = self.server.borrow().address;
+            let request =
+                self.notice_client.borrow().post(format!("http://{address}/reports")).no_decompress();
+            let mut response =
+                request.send_body(body).await.map_err(|e| NoticeError::Failed(e.to_string()))?;
+            let _ = response.body().limit(MAX_RESPONSE_BODY).await;
             match response.status().as_u16() {
                 204 => Ok(()),
                 400 => {
-                    tracing::error!("the platform cannot read a notice");
-                    Err(Unheard::Unreadable)
+                    tracing::error!(
+                        "the platform rejected notices as invalid; an invalid one is not sent again"
+                    );
+                    Err(NoticeError::Rejected)
                 }
-                other => Err(Unheard::Failed(format!("status {other}"))),
+                other => Err(NoticeError::Failed(format!("status {other}"))),
             }
         };
-        match timeout(NOTICE_TIME, call).await {
-            Ok(heard) => heard,
+        match timeout(NOTICE_TIMEOUT, call).await {
+            Ok(result) => result,
             Err(_) => {
-                // Guards against trying one silent connection after another: those that rest may be as silent.
-                self.renew_poster();
-                Err(Unheard::Failed("no answer".into()))
+                // Guards against trying one dead connection after another: the idle ones may be dead as well.
+                self.renew_notice_client();
+                Err(NoticeError::Failed("no answer".into()))
             }
         }
     }
 }
 
-/// How long the relay will wait.
-fn waits(limit: Duration) -> (String, Bytes) {
+/// The header that says how long the relay waits for a response.
+fn timeout_header(limit: Duration) -> (String, Bytes) {
     ("x-timeout-ms".to_owned(), Bytes::from(limit.as_millis().to_string()))
 }
 
-/// The meaning of an answer's status.
-fn outcome<'a>(status: StatusCode, header: impl Fn(&str) -> Option<&'a str>) -> Outcome {
+/// The outcome that the status and headers of a response stand for.
+fn outcome_of_status<'a>(status: StatusCode, header: impl Fn(&str) -> Option<&'a str>) -> Outcome {
     match status.as_u16() {
         200 => Outcome::Delivered,
         429 => Outcome::Full { wait: header("retry-after").and_then(told_seconds) },
@@ -331,16 +356,16 @@
     }
 }
 
-/// What a call without an answer means. Whether it may have run is told by the socket, not by awc.
-fn fault(error: &SendRequestError, trace: &Trace) -> Outcome {
+/// The outcome of a call without a valid response. Whether it may have run is known from the socket, not from awc.
+fn outcome_of_error(error: &SendRequestError, trace: &CallTrace) -> Outcome {
     if trace.is_delivered() {
         return Outcome::Delivered;
     }
     if trace.is_sent() {
-        // What cannot be read is the node's word all the same: it is there, and the connection did not break.
-        return if trace.answered() { Outcome::Error } else { Outcome::Reset };
+        // An invalid response is still a response: the node is up, and the connection did not break.
+        return if trace.response_started() { Outcome::Error } else { Outcome::Reset };
     }
-    if trace.refused() {
+    if trace.was_denied() {
         return Outcome::NotSent;
     }
     tracing::debug!(%error, "call not sent");
@@ -350,8 +375,8 @@
     }
 }
 
-/// Whether a connection could not be made for want of something on this machine: descriptors, memory, ports, a way out. It says
-/// nothing of who was to be called.
+/// Whether a connection failed because this machine lacks descriptors, memory, ports or a route. Such an error says nothing about the
+/// node.
 fn is_local_fault(error: &io::Error) -> bool {
     const LOCAL: [Errno; 8] = [
         Errno::NFILE,
@@ -366,31 +391,32 @@
     Errno::from_io_error(error).is_some_and(|errno| LOCAL.contains(&errno))
 }
 
-impl Carrier for ToNodes {
+impl Carrier for NodeClient {
     async fn claim(&self, job: &Job, node: &Node, limit: Duration, ticket: &Rc<Ticket>) -> Outcome {
-        // Guards against a way out for a node that is gone by now, which nobody would take away again.
+        // Guards against creating a handle for a node that has been removed meanwhile, which nothing would drop again.
         if !ticket.may_begin() {
             return Outcome::NotSent;
         }
-        let trace = Trace::new(vec![ticket.clone()]);
-        let mut headers = vec![("x-request-id".to_owned(), Bytes::from(job.id.clone())), waits(limit)];
+        let trace = CallTrace::new(vec![ticket.clone()]);
+        let mut headers =
+            vec![("x-request-id".to_owned(), Bytes::from(job.id.clone())), timeout_header(limit)];
         headers.extend(job.fields.iter().cloned());
         let call = Call { path: "/v1/messages", headers, body: job.body.clone() };
-        let mut call = Box::pin(CLAIM.scope(trace.clone(), self.call(node, call, trace.clone())));
+        let mut call = Box::pin(CURRENT_CALL.scope(trace.clone(), self.call(node, call, trace.clone())));
         tokio::select! {
             biased;
-            answered = &mut call => match answered {
-                // True by its first line, whatever follows. Guards against other answers that are spoilt behind their
-                // heads: the call has run, whatever they say.
-                Answered { body: None, outcome, .. } if trace.answered() && outcome != Outcome::Delivered => {
+            result = &mut call => match result {
+                // Any response but a delivery counts as an error if its body is incomplete: the call has run, whatever the status
+                // says. For a delivery, the status line is enough.
+                CallResult { body: None, outcome, .. } if trace.response_started() && outcome != Outcome::Delivered => {
                     Outcome::Error
                 }
-                Answered { outcome, .. } => outcome,
+                CallResult { outcome, .. } => outcome,
             },
             () = trace.confirmed() => {
-                // The rest may be on its way, in pieces, or never come. What comes in time leaves its connection to
-                // others; the claim does not wait for that, since nothing hangs on it any more.
-                actix_rt::spawn(timeout(REST_OF_ANSWER, call));
+                // The body may arrive late, in parts, or never. If it arrives in time, the connection can be reused. The claim does
+                // not wait for it, since its outcome no longer depends on it.
+                actix_rt::spawn(timeout(BODY_READ_TIMEOUT, call));
                 Outcome::Delivered
             }
         }
@@ -398,17 +424,17 @@
 
     async fn claim_together(&self, parts: &[Part], node: &Node, limit: Duration) -> Vec<Outcome> {
         let (body, count) = super::batch::encode(parts);
-        let (within, beyond) = parts.split_at(count);
-        let tickets: Vec<_> = within.iter().map(|part| part.ticket.clone()).collect();
+        let (included, left_out) = parts.split_at(count);
+        let tickets: Vec<_> = included.iter().map(|part| part.ticket.clone()).collect();
         let mut outcomes = if tickets.iter().all(|ticket| ticket.may_begin()) && count > 0 {
-            let trace = Trace::new(tickets);
-            let call = Call { path: SEVERAL, headers: vec![waits(limit)], body };
-            let answered = CLAIM.scope(trace.clone(), self.call(node, call, trace.clone())).await;
-            match answered {
-                Answered { outcome: Outcome::Delivered, body: Some(body), wait, .. } => {
-                    super::batch::decode(&body, within, wait)
+            let trace = CallTrace::new(tickets);
+            let call = Call { path: BATCH_PATH, headers: vec![timeout_header(limit)], body };
+            let result = CURRENT_CALL.scope(trace.clone(), self.call(node, call, trace.clone())).await;
+            match result {
+                CallResult { outcome: Outcome::Delivered, body: Some(body), wait, .. } => {
+                    super::batch::decode(&body, included, wait)
                 }
-                Answered { unread: true, .. } => {
+                CallResult { not_accepted: true, .. } => {
                     tracing::error!(
                         node = &*node.name,
                         count,
@@ -416,68 +442,70 @@
                     );
                     vec![Outcome::NotSent; count]
                 }
-                // Cut off, it says of none of them what became of it.
-                Answered { body: None, .. } if trace.answered() => vec![Outcome::Error; count],
-                Answered { outcome, .. } => vec![outcome; count],
+                // An incomplete response says nothing about any of the messages.
+                CallResult { body: None, .. } if trace.response_started() => vec![Outcome::Error; count],
+                CallResult { outcome, .. } => vec![outcome; count],
             }
         } else {
             vec![Outcome::NotSent; count]
         };
-        // What does not fit goes with the next call.
-        outcomes.extend(beyond.iter().map(|_| Outcome::NotSent));
+        // Messages that do not fit are sent with a later call.
+        outcomes.extend(left_out.iter().map(|_| Outcome::NotSent));
         outcomes
     }
 
     async fn notify(&self, end: &SettledEnd) -> Result<(), String> {
         let notice = end.notice();
-        let (told, mut hear) = oneshot::channel();
-        self.outbox.borrow_mut().push_back((crate::notice::line(notice), told));
-        // Guards against as many connections as notices, after a restart above all: a few posts are under way
-        // at once, and each takes what waits by then.
-        let post = self.posts.acquire().await.map_err(|e| e.to_string())?;
+        let (result_sender, mut result_receiver) = oneshot::channel();
+        self.outbox.borrow_mut().push_back((crate::notice::line(notice), result_sender));
+        // Guards against one connection per notice, above all after a restart: only a few posts are in flight at once, and each takes all
+        // notices that are queued by then.
+        let permit = self.post_permits.acquire().await.map_err(|e| e.to_string())?;
         loop {
-            match hear.try_recv() {
-                Ok(heard) => return heard,
-                Err(TryRecvError::Closed) => return Err("it was dropped".into()),
+            match result_receiver.try_recv() {
+                Ok(result) => return result,
+                Err(TryRecvError::Closed) => return Err("the notice was dropped".into()),
                 Err(TryRecvError::Empty) => {}
             }
-            let batch = self.take_outbox();
+            let batch = self.take_batch();
             if batch.is_empty() {
-                // It is on its way with others.
-                drop(post);
-                return hear.await.map_err(|e| e.to_string())?;
+                // Another post has taken the notice.
+                drop(permit);
+                return result_receiver.await.map_err(|e| e.to_string())?;
             }
-            self.tell(batch).await;
+            self.send_batch(batch).await;
         }
     }
 
     fn close_idle(&self, node: &Node) {
-        if let Some(exit) = self.exits.borrow().get(&node.id) {
-            exit.lines.close_idle(Duration::ZERO);
+        if let Some(handle) = self.nodes.borrow().get(&node.id) {
+            handle.connections.close_idle(Duration::ZERO);
         }
     }
 
     fn forget(&self, node: &Node) {
-        self.exits.borrow_mut().remove(&node.id);
+        self.nodes.borrow_mut().remove(&node.id);
     }
 }
 
-impl ToNodes {
+impl NodeClient {
     /// Closes all idle connections.
     pub fn close_all_idle(&self) {
-        self.exits.borrow().values().for_each(|exit| exit.lines.close_idle(Duration::ZERO));
+        self.nodes.borrow().values().for_each(|handle| handle.connections.close_idle(Duration::ZERO));
     }
 }
 
-/// Closes connections that stood idle, now and then.
-pub async fn close_idle(core: Rc<Core<ToNodes>>) {
-    let to_nodes = &core.carrier;
+/// Periodically closes connections that have been idle for too long, and drops unused handles.
+pub async fn close_idle_connections(core: Rc<Core<NodeClient>>) {
+    let node_client = &core.carrier;
     loop {
-        tokio::time::sleep(IDLE_LOOK).await;
-        to_nodes.exits.borrow_mut().retain(|_, exit| {
-            exit.lines.close_idle(to_nodes.idle.get());
-            // A call has its own hold on the way out that it takes.
-            Rc::strong_count(exit) > 1 || !exit.lines.is_empty() || exit.used.get().elapsed() < EXIT_KEPT
+        tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
+        node_client.nodes.borrow_mut().retain(|_, handle| {
+            handle.connections.close_idle(node_client.idle_timeout.get());
+            // A call in flight holds a reference to its handle.
+            Rc::strong_count(handle) > 1
+                || !handle.connections.is_empty()
+                || handle.last_used.get().elapsed() < HANDLE_RETENTION
         });
     }
 }
--- a/relay/src/platform/carrier/tests.rs
+++ b/relay/src/platform/carrier/tests.rs
@@ -1,29 +1,29 @@
-//! An endpoint's close in the moment of a call on a connection that rested: what counts as never run.
+//! A node closes a reused connection during a call: which calls count as never run.
 use super::*;
 use crate::core::tests::{node, ticket};
 use std::time::SystemTime;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// More than a connection's buffers hold: the last byte is not written before the endpoint has read most of it.
+/// More than a connection's buffers can contain: the last byte is written only after the node has read most of it.
 const LONG: usize = 16 * 1024 * 1024;
 const SHORT: usize = 100;
 
-/// When the endpoint closes.
+/// When the node closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Moment {
-    /// After the relay has looked whether the connection still rests, before its first byte, and the relay's system has seen it.
+    /// After the relay has checked the idle connection and before its first byte; the relay's kernel has received the close.
     BeforeAnyByte,
-    /// Once it has read so many bytes.
+    /// Once the node has read this many bytes.
     After(usize),
-    /// Once it has read the whole call.
+    /// Once the node has read the whole call.
     AfterLastByte,
 }
 
-/// How it closes.
+/// How the node closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Close {
-    End,
+    Fin,
     Reset,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Reads a call to its end, of which the body has so many bytes, each a `b`.
+/// Reads a complete call whose body has `body` bytes.
 async fn read_call(stream: &mut TcpStream, body: usize) {
     let mut text = Vec::new();
     loop {
@@ -56,49 +56,49 @@
         if end.is_some_and(|end| text.len() >= end + body) {
             return;
         }
-        assert!(stream.read_buf(&mut text).await.expect("a call") > 0, "the call goes on");
+        assert!(stream.read_buf(&mut text).await.expect("a call") > 0, "the call continues");
     }
 }
 
-/// Way out to a node whose connection is closed by the endpoint, in the given moment, as the second call goes out on it.
+/// A client for a node that may close its connection when the second call on it begins.
 struct Stage {
-    to_nodes: ToNodes,
+    node_client: NodeClient,
     node: Node,
 }
 
 impl Stage {
-    /// `closing` holds the endpoint's side of the connection while it may be closed before any byte.
+    /// `closing` contains the node's side of the connection if it is to be closed before any byte of the second call.
     async fn new(address: SocketAddr, closing: Rc<RefCell<Option<(TcpStream, Close)>>>) -> Stage {
         let rules = Rules { settings: slatethread::Settings::default(), names: Default::default() };
-        let to_nodes = ToNodes::new(&rules, SocketAddr::from(([127, 0, 0, 1], 1)), 1);
+        let node_client = NodeClient::new(&rules, SocketAddr::from(([127, 0, 0, 1], 1)), 1);
         let node = node(address, true);
-        let lines = Lines::new(node.id, &to_nodes.rack);
-        let home = lines.clone();
-        let client = client(rules.dial_timeout(), Duration::ZERO, move |to| {
-            let (home, closing) = (home.clone(), closing.clone());
+        let connections = NodePool::new(node.id, &node_client.pool);
+        let node_pool = connections.clone();
+        let client = build_client(rules.dial_timeout(), Duration::ZERO, move |to| {
+            let (node_pool, closing) = (node_pool.clone(), closing.clone());
             async move {
-                let line = home.lease(to).await?;
-                let endpoint = closing.take();
-                if let Some((stream, how)) = endpoint {
+                let leased = node_pool.lease(to).await?;
+                let to_close = closing.take();
+                if let Some((stream, how)) = to_close {
                     close(stream, how);
-                    // Seen by the system that the relay runs on.
-                    std::future::poll_fn(|cx| line.poll_read_ready(cx)).await?;
+                    // Wait until the relay's kernel has received the close.
+                    std::future::poll_fn(|cx| leased.poll_read_ready(cx)).await?;
                 }
-                Ok(line)
+                Ok(leased)
             }
         });
-        let exit = Exit { client, lines, used: Cell::new(Instant::now()) };
-        to_nodes.exits.borrow_mut().insert(node.id, Rc::new(exit));
-        Stage { to_nodes, node }
+        let handle = NodeHandle { client, connections, last_used: Cell::new(Instant::now()) };
+        node_client.nodes.borrow_mut().insert(node.id, Rc::new(handle));
+        Stage { node_client, node }
     }
 
     async fn call(&self, job: &Job) -> Outcome {
         let ticket = ticket(true, Duration::ZERO, None);
-        self.to_nodes.claim(job, &self.node, Duration::from_secs(20), &ticket).await
+        self.node_client.claim(job, &self.node, Duration::from_secs(20), &ticket).await
     }
 }
 
-/// The outcome of a call with a head and a body of such sizes on a connection that rested, and that the endpoint closes.
+/// The outcome of a call with a head and a body of these sizes on a reused connection that the node closes.
 fn outcome_of(head: usize, body: usize, moment: Moment, how: Close) -> Outcome {
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -109,20 +109,20 @@
             let mut stream = listener.accept().await.expect("a connection").0;
             read_call(&mut stream, SHORT).await;
             let answer = b"HTTP/1.1 200 x\r\ncontent-length: 2\r\n\r\nok";
-            stream.write_all(answer).await.expect("it takes an answer");
+            stream.write_all(answer).await.expect("the response is written");
             stream
         };
         let (delivered, mut stream) = tokio::join!(stage.call(&first), served);
         assert_eq!(delivered, Outcome::Delivered);
-        // The rest of the answer is read beside the call.
-        let rested = async {
-            while stage.to_nodes.exits.borrow()[&stage.node.id].lines.is_empty() {
+        // The body of the response is read after the call has returned.
+        let idle = async {
+            while stage.node_client.nodes.borrow()[&stage.node.id].connections.is_empty() {
                 tokio::task::yield_now().await;
             }
         };
-        rested.await;
+        idle.await;
         let second = job(head, body);
-        let ends = async {
+        let node_side = async {
             match moment {
                 Moment::BeforeAnyByte => *closing.borrow_mut() = Some((stream, how)),
                 Moment::After(bytes) => {
@@ -135,43 +135,43 @@
                 }
             }
         };
-        // In this order: what is closed before any byte is put in place before the call begins.
-        let ((), outcome) = tokio::join!(biased; ends, stage.call(&second));
+        // In this order, so that a connection to be closed before any byte is in place before the call begins.
+        let ((), outcome) = tokio::join!(biased; node_side, stage.call(&second));
         outcome
     })
 }
 
 #[test]
-fn a_reset_before_any_byte_of_a_call_never_ran() {
+fn a_call_whose_connection_was_reset_before_any_byte_never_ran() {
     assert_eq!(outcome_of(SHORT, SHORT, Moment::BeforeAnyByte, Close::Reset), Outcome::Unconnected);
     assert_eq!(outcome_of(SHORT, LONG, Moment::BeforeAnyByte, Close::Reset), Outcome::Unconnected);
 }
 
 #[test]
-fn a_call_that_was_written_whole_into_a_connection_that_the_endpoint_ended_counts_as_run() {
-    // The endpoint may have ended only its own direction, and read on.
-    assert_eq!(outcome_of(SHORT, SHORT, Moment::BeforeAnyByte, Close::End), Outcome::Reset);
-    // Not so if the end came before the last byte was written.
-    assert_eq!(outcome_of(SHORT, LONG, Moment::BeforeAnyByte, Close::End), Outcome::Unconnected);
+fn a_call_written_completely_after_the_node_has_shut_down_its_side_counts_as_run() {
+    // The node may have shut down only its own direction and still be reading.
+    assert_eq!(outcome_of(SHORT, SHORT, Moment::BeforeAnyByte, Close::Fin), Outcome::Reset);
+    // Unless the end was received before the last byte was written.
+    assert_eq!(outcome_of(SHORT, LONG, Moment::BeforeAnyByte, Close::Fin), Outcome::Unconnected);
 }
 
 #[test]
-fn a_close_within_the_head_of_a_call_never_ran() {
-    for how in [Close::End, Close::Reset] {
+fn a_call_whose_connection_closes_within_its_head_never_ran() {
+    for how in [Close::Fin, Close::Reset] {
         assert_eq!(outcome_of(LONG, SHORT, Moment::After(50), how), Outcome::Unconnected, "{how:?}");
     }
 }
 
 #[test]
-fn a_close_within_the_body_of_a_call_never_ran() {
-    for how in [Close::End, Close::Reset] {
+fn a_call_whose_connection_closes_within_its_body_never_ran() {
+    for how in [Close::Fin, Close::Reset] {
         assert_eq!(outcome_of(SHORT, LONG, Moment::After(LONG / 16), how), Outcome::Unconnected, "{how:?}");
     }
 }
 
 #[test]
-fn a_close_after_the_last_byte_of_a_call_counts_as_run() {
-    for how in [Close::End, Close::Reset] {
+fn a_call_whose_connection_closes_after_its_last_byte_counts_as_run() {
+    for how in [Close::Fin, Close::Reset] {
         assert_eq!(outcome_of(SHORT, SHORT, Moment::AfterLastByte, how), Outcome::Reset, "{how:?}");
         assert_eq!(outcome_of(SHORT, LONG, Moment::AfterLastByte, how), Outcome::Reset, "{how:?}");
     }
--- a/relay/src/platform/chunks.rs
+++ b/relay/src/platform/chunks.rs
@@ -1,35 +1,40 @@
-//! Where a body in chunks (RFC 9112, 7.1) ends among the bytes that came.
+//! Finds the end of a chunked body (RFC 9112, 7.1) in the received bytes.
 //!
-//! It judges no chunk: the client has read the body whole before anyone asks. It only counts, so that a connection on
-//! which anything came behind the body is told from one that may be used again.
+//! It does not validate chunks: the HTTP client has already read the complete body. It only counts bytes, to tell a connection on
+//! which anything followed the body from one that may be reused.
 
-/// How far a body has come.
+/// How much of a body has been received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Chunks {
-    /// In the line of a chunk's length, of which so much is known.
+pub enum ChunkScanner {
+    /// Before the size of a chunk.
     #[default]
     Begin,
-    Length(u64),
-    /// Behind the digits, up to the line's end.
+    /// In the size of a chunk, with its value so far.
+    Size(u64),
+    /// Behind the digits of the size, up to the end of the line.
     Extension(u64),
-    /// So many bytes of a chunk, and of its line's end, are to come.
+    /// In a chunk, with the number of bytes that are missing, including the end of the line behind it.
     Data(u64),
-    /// In a line of the trailer, which holds so many bytes that are no line's end.
+    /// In a trailer line, with the number of its bytes so far, without the end of the line.
     Trailer(u32),
-    /// All came.
+    /// The body is complete.
     End,
-    /// Something came behind it, or it is no such body.
-    Unfit,
+    /// More bytes followed the body, or it is not a chunked body.
+    Invalid,
 }
 
-impl Chunks {
-    /// Takes in bytes as they come.
-    pub fn take(&mut self, mut part: &[u8]) {
+impl ChunkScanner {
+    /// Processes received bytes.
+    pub fn advance(&mut self, mut part: &[u8]) {
         while let Some((&byte, rest)) = part.split_first() {
-            if let Chunks::Data(left) = *self {
-                let now = left.min(part.len() as u64);
-                *self = if now == left { Chunks::Begin } else { Chunks::Data(left - now) };
-                part = &part[now as usize..];
+            if let ChunkScanner::Data(missing) = *self {
+                let present = missing.min(part.len() as u64);
+                *self = if present == missing {
+                    ChunkScanner::Begin
+                } else {
+                    ChunkScanner::Data(missing - present)
+                };
+                part = &part[present as usize..];
                 continue;
             }
             *self = self.after(byte);
@@ -37,24 +42,28 @@
         }
     }
 
-    fn after(self, byte: u8) -> Chunks {
+    fn after(self, byte: u8) -> ChunkScanner {
         match (self, byte) {
-            (Chunks::Begin, _) if byte.is_ascii_hexdigit() => Chunks::Length(0).after(byte),
-            (Chunks::Length(length), _) if byte.is_ascii_hexdigit() => {
+            (ChunkScanner::Begin, _) if byte.is_ascii_hexdigit() => ChunkScanner::Size(0).after(byte),
+            (ChunkScanner::Size(size), _) if byte.is_ascii_hexdigit() => {
                 let digit = u64::from(char::from(byte).to_digit(16).unwrap_or(0));
-                let longer = length.checked_mul(16).and_then(|length| length.checked_add(digit));
-                longer.map_or(Chunks::Unfit, Chunks::Length)
+                let size = size.checked_mul(16).and_then(|size| size.checked_add(digit));
+                size.map_or(ChunkScanner::Invalid, ChunkScanner::Size)
             }
-            (Chunks::Length(0) | Chunks::Extension(0), b'\n') => Chunks::Trailer(0),
-            // Its data and the end of their line.
-            (Chunks::Length(n) | Chunks::Extension(n), b'\n') => Chunks::Data(n.saturating_add(2)),
-            (Chunks::Length(n) | Chunks::Extension(n), b'\r' | b';' | b' ' | b'\t') => Chunks::Extension(n),
-            (Chunks::Extension(n), _) => Chunks::Extension(n),
-            (Chunks::Trailer(0), b'\n') => Chunks::End,
-            (Chunks::Trailer(_), b'\n') => Chunks::Trailer(0),
-            (Chunks::Trailer(n), b'\r') => Chunks::Trailer(n),
-            (Chunks::Trailer(n), _) => Chunks::Trailer(n.saturating_add(1)),
-            _ => Chunks::Unfit,
+            (ChunkScanner::Size(0) | ChunkScanner::Extension(0), b'\n') => ChunkScanner::Trailer(0),
+            // The chunk's data and the end of the line behind it.
+            (ChunkScanner::Size(n) | ChunkScanner::Extension(n), b'\n') => {
+                ChunkScanner::Data(n.saturating_add(2))
+            }
+            (ChunkScanner::Size(n) | ChunkScanner::Extension(n), b'\r' | b';' | b' ' | b'\t') => {
+                ChunkScanner::Extension(n)
+            }
+            (ChunkScanner::Extension(n), _) => ChunkScanner::Extension(n),
+            (ChunkScanner::Trailer(0), b'\n') => ChunkScanner::End,
+            (ChunkScanner::Trailer(_), b'\n') => ChunkScanner::Trailer(0),
+            (ChunkScanner::Trailer(n), b'\r') => ChunkScanner::Trailer(n),
+            (ChunkScanner::Trailer(n), _) => ChunkScanner::Trailer(n.saturating_add(1)),
+            _ => ChunkScanner::Invalid,
         }
     }
 }
--- a/relay/src/platform/chunks/tests.rs
+++ b/relay/src/platform/chunks/tests.rs
@@ -1,29 +1,29 @@
 use super::*;
 
-/// What is made of a text, however it is cut.
-fn of(text: &str) -> Chunks {
-    let mut whole = Chunks::default();
-    whole.take(text.as_bytes());
+/// Scans a text; the result must not depend on where it is split.
+fn scan(text: &str) -> ChunkScanner {
+    let mut whole = ChunkScanner::default();
+    whole.advance(text.as_bytes());
     for cut in 0..text.len() {
-        let mut parts = Chunks::default();
-        [&text.as_bytes()[..cut], &text.as_bytes()[cut..]].into_iter().for_each(|part| parts.take(part));
+        let mut parts = ChunkScanner::default();
+        [&text.as_bytes()[..cut], &text.as_bytes()[cut..]].into_iter().for_each(|part| parts.advance(part));
         assert_eq!(parts, whole, "{text:?} cut at {cut}");
     }
     whole
 }
 
 #[test]
-fn a_body_ends_with_its_last_line_and_not_before() {
+fn a_body_ends_with_its_last_line_and_not_earlier() {
     for body in
         ["0\r\n\r\n", "5\r\nhello\r\n0\r\n\r\n", "A;x=\"1\"\r\n0\r\n\r\n34567\r\n000\r\na: b\r\nc: d\r\n\r\n"]
     {
-        assert_eq!(of(body), Chunks::End, "{body:?}");
+        assert_eq!(scan(body), ChunkScanner::End, "{body:?}");
         for cut in 0..body.len() {
-            assert_ne!(of(&body[..cut]), Chunks::End, "{body:?} up to {cut}");
+            assert_ne!(scan(&body[..cut]), ChunkScanner::End, "{body:?} up to {cut}");
         }
-        assert_eq!(of(&format!("{body}H")), Chunks::Unfit);
+        assert_eq!(scan(&format!("{body}H")), ChunkScanner::Invalid);
     }
-    for unfit in ["x", "5x\r\n", "FFFFFFFFFFFFFFFFF\r\n", "\r\n"] {
-        assert_eq!(of(unfit), Chunks::Unfit, "{unfit:?}");
+    for invalid in ["x", "5x\r\n", "FFFFFFFFFFFFFFFFF\r\n", "\r\n"] {
+        assert_eq!(scan(invalid), ChunkScanner::Invalid, "{invalid:?}");
     }
 }
--- /dev/null
+++ b/relay/src/platform/connection/tests.rs
@@ -0,0 +1,198 @@
+use super::*;
+use crate::core::tests::ticket;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpSocket};
+
+fn new_node_pool() -> Rc<NodePool> {
+    NodePool::new(EndpointId(1), &Rc::default())
+}
+
+#[test]
+fn open_connections_are_counted_and_the_longest_idle_is_evicted() {
+    actix_rt::System::new().block_on(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let address = listener.local_addr().expect("an address");
+        let pool = Rc::new(ConnectionPool::default());
+        pool.set_max_open(Some(2));
+        let node_pools = [1, 2, 3].map(|id| NodePool::new(EndpointId(id), &pool));
+        for node_pool in &node_pools {
+            let leased = node_pool.clone().lease(address).await.expect("connected");
+            let (stream, permit) = (leased.0.stream.take().expect("open"), leased.0.permit.take());
+            node_pool.add_idle(stream, permit);
+            drop(leased);
+            assert!(pool.idle_pool.borrow().open() <= 2);
+        }
+        assert_eq!(node_pools.each_ref().map(|node_pool| node_pool.is_empty()), [true, false, false]);
+        let (a, b) = (node_pools[1].clone().lease(address).await, node_pools[1].clone().lease(address).await);
+        assert!(a.is_ok() && b.is_ok() && node_pools[2].is_empty());
+        // If no connection is idle, a new one is opened beyond the limit.
+        let c = node_pools[2].clone().lease(address).await;
+        assert_eq!(pool.idle_pool.borrow().open(), 3);
+        drop((a, b, c, node_pools));
+        assert_eq!(pool.idle_pool.borrow().open(), 0);
+        assert!(pool.node_pools.borrow().is_empty());
+    });
+}
+
+#[test]
+fn a_partly_written_claim_is_not_continued_after_the_node_requests_a_backoff() {
+    actix_rt::System::new().block_on(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let socket = TcpSocket::new_v4().expect("a socket");
+        socket.set_send_buffer_size(4096).expect("a small buffer");
+        let connected = socket.connect(listener.local_addr().expect("an address")).await.expect("connected");
+        let mut node = listener.accept().await.expect("accepted").0;
+        let mut stream = NodeStream::new(connected, new_node_pool(), new_node_pool().pool.permit());
+        let ticket = ticket(true, Duration::ZERO, None);
+        let trace = CallTrace::new(vec![ticket.clone()]);
+        let text = vec![0; 16 * 1024 * 1024];
+        let part = CURRENT_CALL.scope(trace.clone(), stream.write(&text)).await.expect("a part of it");
+        assert!(part < text.len());
+        let mut buffer = vec![0; 4 * part];
+        node.read_exact(&mut buffer[..part]).await.expect("it was received");
+        let more = CURRENT_CALL
+            .scope(trace.clone(), stream.write(&text[part..]))
+            .await
+            .expect("the socket accepts more");
+        node.read_exact(&mut buffer[..more]).await.expect("it was received");
+        ticket.tell_wait(Duration::from_secs(9));
+        CURRENT_CALL
+            .scope(trace.clone(), stream.write(&text[part + more..]))
+            .await
+            .expect_err("the backoff applies");
+        assert!(trace.was_denied() && !trace.is_sent(), "it never ran");
+    });
+}
+
+/// Writes a claim of `size` bytes to a new connection; returns its trace, and how many bytes were written.
+async fn write(open: bool, size: usize) -> (Rc<CallTrace>, usize) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let socket = TcpSocket::new_v4().expect("a socket");
+    socket.set_send_buffer_size(4096).expect("a small buffer");
+    let connected = socket.connect(listener.local_addr().expect("an address")).await.expect("connected");
+    let mut stream = NodeStream::new(connected, new_node_pool(), new_node_pool().pool.permit());
+    let trace = CallTrace::new(vec![ticket(open, Duration::ZERO, None)]);
+    let written = CURRENT_CALL.scope(trace.clone(), stream.write(&vec![0; size])).await.unwrap_or(0);
+    (trace, written)
+}
+
+#[test]
+fn a_claim_is_sent_only_with_permission_and_counts_as_sent_from_its_last_byte() {
+    actix_rt::System::new().block_on(async {
+        let (trace, written) = write(true, 100).await;
+        assert!(trace.is_sent() && !trace.was_denied() && written == 100);
+        let (trace, written) = write(true, 64 * 1024 * 1024).await;
+        assert!(!trace.is_sent() && written > 0, "only a part was sent: it never ran");
+        let (trace, written) = write(false, 100).await;
+        assert!(trace.was_denied() && !trace.is_sent() && written == 0);
+    });
+}
+
+impl From<u64> for BodyFraming {
+    fn from(size: u64) -> BodyFraming {
+        BodyFraming::Sized(size)
+    }
+}
+
+/// Receives a response in parts. Returns what is read of it, whether it counts as a delivery, and whether its connection is reused.
+async fn read(parts: &[&str], framing: impl Into<BodyFraming>) -> (String, bool, bool) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let node_pool = new_node_pool();
+    let address = listener.local_addr().expect("an address");
+    let mut stream = node_pool.clone().lease(address).await.expect("connected");
+    let mut node = listener.accept().await.expect("accepted").0;
+    let trace = CallTrace::new(vec![ticket(true, Duration::ZERO, None)]);
+    let text = CURRENT_CALL.scope(trace.clone(), async {
+        stream.write_all(b"call").await.expect("written");
+        let mut text = Vec::new();
+        for part in parts {
+            node.write_all(part.as_bytes()).await.expect("written");
+            let read = tokio::time::timeout(Duration::from_millis(20), stream.read_buf(&mut text));
+            let _ = read.await;
+        }
+        String::from_utf8(text).expect("text")
+    });
+    let text = text.await;
+    trace.response_complete(framing.into());
+    drop(stream);
+    let reused = !node_pool.idle.borrow().is_empty();
+    (text, trace.is_delivered(), reused)
+}
+
+#[test]
+fn a_connection_is_reused_only_if_nothing_but_the_response_was_received() {
+    const OK: &str = "HTTP/1.1 200 x\r\ncontent-length: 2\r\n\r\nok";
+    actix_rt::System::new().block_on(async {
+        let expected = (OK.to_owned(), true, true);
+        assert_eq!(read(&[OK], 2).await, expected);
+        assert_eq!(read(&["HTT", &OK[3..]], 2).await, expected);
+        // 1xx responses are skipped, in one part or in several.
+        let early = "HTTP/1.1 103 Early\r\nlink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n";
+        assert_eq!(read(&[&[early, OK].concat()], 2).await, expected);
+        assert_eq!(read(&[&early[..25], &[&early[25..], OK].concat()], 2).await, expected);
+        // A chunked body determines its own end.
+        let chunked = "HTTP/1.1 200 x\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n";
+        let expected = (chunked.to_owned(), true, true);
+        assert_eq!(read(&[chunked], BodyFraming::Chunked).await, expected);
+        assert_eq!(read(&[&chunked[..50], &chunked[50..]], BodyFraming::Chunked).await, expected);
+        assert!(!read(&[&chunked[..chunked.len() - 1]], BodyFraming::Chunked).await.2);
+        assert!(!read(&[chunked, "", "noise"], BodyFraming::Chunked).await.2);
+        assert!(!read(&[OK], BodyFraming::Other).await.2);
+        // Surplus bytes, together with the response or right behind it.
+        assert!(!read(&[&[OK, OK].concat()], 2).await.2);
+        assert!(!read(&[OK, "", "noise"], 2).await.2);
+        // Of a response that cannot be parsed, only the status line counts, if there is one.
+        let (_, delivered, reused) = read(&["HTTP/1.1 200 OK\r\n\x01\x02"], 0).await;
+        assert!(delivered && !reused);
+        let (text, delivered, reused) = read(&["\x01\x02 HTTP/1.1 200 OK\r\n\r\n"], 0).await;
+        assert!(text.starts_with('\x01') && !delivered && !reused);
+        // Only a limited number of 1xx responses is skipped.
+        let endless = "HTTP/1.1 102 x\r\n\r\n".repeat(3 + MAX_PRELUDE / 18);
+        let (text, delivered, _) = read(&[&endless, "", "", "", "", "", "", "", "", ""], 0).await;
+        assert!(text.starts_with("HTTP/1.1 102") && !delivered);
+    });
+}
+
+#[test]
+fn a_truncated_status_line_is_no_delivery() {
+    actix_rt::System::new().block_on(async {
+        for part in ["HTTP/1.1 2", "HTTP/1.1 200", "HTTP/1.1 200 ", "HTTP/1.1 200 O", "HTTP/1.1 200 OK\r"] {
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+            let address = listener.local_addr().expect("an address");
+            let mut stream = new_node_pool().lease(address).await.expect("connected");
+            let mut node = listener.accept().await.expect("accepted").0;
+            let trace = CallTrace::new(vec![ticket(true, Duration::ZERO, None)]);
+            let text = CURRENT_CALL.scope(trace.clone(), async {
+                stream.write_all(b"call").await.expect("written");
+                node.read_exact(&mut [0; 4]).await.expect("it was received");
+                node.write_all(part.as_bytes()).await.expect("written");
+                drop(node);
+                let mut text = String::new();
+                stream.read_to_string(&mut text).await.expect("text");
+                text
+            });
+            assert_eq!(text.await, part);
+            assert!(trace.is_sent() && trace.response_started() && !trace.is_delivered(), "{part}");
+        }
+    });
+}
+
+#[test]
+fn a_connection_that_received_data_while_idle_is_not_reused() {
+    actix_rt::System::new().block_on(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let address = listener.local_addr().expect("an address");
+        let node_pool = new_node_pool();
+        for (late, reused) in [("", true), ("noise", false)] {
+            let stream = TcpStream::connect(address).await.expect("connected");
+            let local = stream.local_addr().expect("an address");
+            let mut node = listener.accept().await.expect("accepted").0;
+            node_pool.add_idle(stream, Some(node_pool.pool.permit()));
+            node.write_all(late.as_bytes()).await.expect("written");
+            let leased = node_pool.clone().lease(address).await.expect("connected");
+            let leased_address =
+                leased.0.stream.borrow().as_ref().and_then(|stream| stream.local_addr().ok());
+            assert_eq!(leased_address == Some(local), reused, "{late}");
+        }
+    });
+}
--- a/relay/src/platform/mod.rs
+++ b/relay/src/platform/mod.rs
@@ -1,11 +1,10 @@
-//! The thin front for the platform's protocol: submitters come in over actix-http, claims and notices go out
-//! over awc.
+//! The frontend for the platform's protocol: serves submitters with actix-http, sends claims and notices with awc.
 mod batch;
 pub mod carrier;
 mod chunks;
-mod line;
+mod connection;
 pub mod refusing;
 pub mod server;
 
-/// The header that passes a job's key through.
-const KEY: &str = "idempotency-key";
+/// The header that passes a job's idempotency key on to the node.
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
