--- a/relay/src/platform/server.rs
+++ b/relay/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The way in: submitters over actix-http.
+//! The HTTP server for submitters.
 use actix_http::header::CONTENT_LENGTH;
 use actix_http::{HttpMessage, HttpService, KeepAlive, Method, Request, Response, StatusCode};
 use actix_service::fn_service;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-use super::KEY;
+use super::IDEMPOTENCY_KEY;
 use crate::availability::Availability;
 use crate::clock;
 use crate::connection_limiter::{
@@ -19,20 +19,21 @@
 use crate::core::{Carrier, Core};
 use crate::job::{Answer, Job};
 
-/// Largest body; the platform sends none larger.
-const LONGEST_BODY: usize = 64 * 1024;
+/// Largest request body; the platform sends none larger.
+const MAX_BODY: usize = 64 * 1024;
 /// Longest id or key: each must fit into a journal record many times over.
-const LONGEST_NAME: usize = 512;
-/// Longest time that a message may still have; a longer one is no sensible figure.
-const LONGEST_TIME: Duration = Duration::from_secs(24 * 3600);
-/// How long connections may take. They end silently: a 408 would be taken for the answer to what is sent just then.
+const MAX_NAME: usize = 512;
+/// Longest plausible time limit of a message.
+const MAX_TIME_LIMIT: Duration = Duration::from_secs(24 * 3600);
+/// Time limits for connections. They are closed without a response: a client would take a 408 for the response to a request that it
+/// is just sending.
 const CONNECTION_POLICY: ConnectionPolicy = ConnectionPolicy {
     first_request_timeout: Duration::from_millis(2500),
     request_timeout: Some(Duration::from_millis(2500)),
     idle_timeout: Duration::from_secs(5),
     eviction: EvictionPolicy::IdleOnly,
 };
-/// What a submitter goes on sending after its answer is read for so long, so that it gets to see the answer.
+/// How long data is read that a submitter still sends after its response, so that it receives the response.
 const LINGER: Duration = Duration::from_millis(500);
 
 pub struct Server<C> {
@@ -45,124 +46,134 @@
         Rc::new(Server { core, availability })
     }
 
-    /// Takes connections.
-    pub async fn accept(self: Rc<Self>, listener: TcpListener, places: Rc<ConnectionLimiter>) {
-        let taken = places.clone();
+    /// Accepts and serves connections.
+    pub async fn accept(self: Rc<Self>, listener: TcpListener, limiter: Rc<ConnectionLimiter>) {
+        let accept_limiter = limiter.clone();
         let service = HttpService::build()
-            // The connection limiter sees to time, by the policy above.
+            // The connection limiter enforces the time limits of the policy above.
             .keep_alive(KeepAlive::Os)
             .client_request_timeout(Duration::ZERO)
             .client_disconnect_timeout(LINGER)
-            .on_connect_ext(|gate: &TrackedStream, data| drop(data.insert(gate.seen())))
+            .on_connect_ext(|stream: &TrackedStream, data| drop(data.insert(stream.state())))
             .h1(fn_service(move |request: Request| {
-                let (server, places) = (self.clone(), places.clone());
-                async move { Ok::<_, Infallible>(server.serve(request, &places).await) }
+                let (server, limiter) = (self.clone(), limiter.clone());
+                async move { Ok::<_, Infallible>(server.serve(request, &limiter).await) }
             }));
-        connection_limiter::accept(listener, taken, CONNECTION_POLICY, service).await;
+        connection_limiter::accept(listener, accept_limiter, CONNECTION_POLICY, service).await;
     }
 }
 
 impl<C: Carrier> Server<C> {
-    async fn serve(&self, mut request: Request, places: &ConnectionLimiter) -> Response<&'static str> {
-        let seen = request.conn_data::<Rc<ConnectionState>>().cloned();
+    async fn serve(&self, mut request: Request, limiter: &ConnectionLimiter) -> Response<&'static str> {
+        let state = request.conn_data::<Rc<ConnectionState>>().cloned();
         let mut response = match (request.method(), request.path()) {
             (&Method::GET, "/ready") if self.availability.get().is_ready() => {
                 Response::with_body(StatusCode::OK, "ready\n")
             }
-            (&Method::GET, "/ready") => answer(StatusCode::SERVICE_UNAVAILABLE),
-            (&Method::POST, _) => match self.read(&mut request, seen.as_deref()).await {
+            (&Method::GET, "/ready") => empty_response(StatusCode::SERVICE_UNAVAILABLE),
+            (&Method::POST, _) => match self.read(&mut request, state.as_deref()).await {
                 Ok(job) => {
-                    seen.iter().for_each(|seen| seen.serving());
-                    told(self.core.admit(job).await)
+                    state.iter().for_each(|state| state.request_complete());
+                    encode_answer(self.core.admit(job).await)
                 }
-                // Its connection was closed from this side before its last byte came. Guards against a request that is to
-                // be handed in elsewhere counting as one that failed.
-                Err(Unfit { why: BROKEN_OFF, .. }) if self.availability.get().sends_away() => {
-                    answer(StatusCode::SERVICE_UNAVAILABLE)
+                // The connection was closed from this side before the last byte arrived. Guards against counting a request as failed
+                // that is to be submitted to another relay.
+                Err(InvalidRequest { reason: UNREADABLE_BODY, .. })
+                    if self.availability.get().sends_away() =>
+                {
+                    empty_response(StatusCode::SERVICE_UNAVAILABLE)
                 }
-                Err(Unfit { status, why }) => {
-                    tracing::debug!(why, path = request.path(), "request is no job");
-                    Response::with_body(status, why)
+                Err(InvalidRequest { status, reason }) => {
+                    tracing::debug!(why = reason, path = request.path(), "invalid request rejected");
+                    Response::with_body(status, reason)
                 }
             },
-            _ => answer(StatusCode::NOT_FOUND),
+            _ => empty_response(StatusCode::NOT_FOUND),
         };
-        seen.iter().for_each(|seen| seen.answered());
-        if self.availability.get().sends_away() || places.crowded() {
+        state.iter().for_each(|state| state.response_ready());
+        if self.availability.get().sends_away() || limiter.is_mostly_full() {
             response.head_mut().set_connection_type(actix_http::ConnectionType::Close);
         }
         response
     }
 
-    /// Decodes a job, once.
-    async fn read(&self, request: &mut Request, seen: Option<&ConnectionState>) -> Result<Job, Unfit> {
-        // Its time runs from when it may have come, not from when it is read.
-        let arrived = clock::now() - seen.map_or(Duration::ZERO, ConnectionState::queued);
-        // Read even where the rest is bad: a connection with an unread body has to be closed.
+    /// Reads and decodes a job.
+    async fn read(
+        &self,
+        request: &mut Request,
+        state: Option<&ConnectionState>,
+    ) -> Result<Job, InvalidRequest> {
+        // The job's time limit runs from when the request may have arrived, not from when it is read.
+        let arrived = clock::now() - state.map_or(Duration::ZERO, ConnectionState::queued);
+        // Read even if the request is invalid otherwise: a connection with an unread body would have to be closed.
         let body = read_body(request).await?;
         let text = |name: &str| match request.headers().get(name) {
             None => Ok(None),
             Some(value) => match value.to_str() {
-                Ok(value) if value.len() <= LONGEST_NAME => Ok(Some(value.to_owned())),
-                _ => Err(bad("a header is too long or is not text")),
+                Ok(value) if value.len() <= MAX_NAME => Ok(Some(value.to_owned())),
+                _ => Err(bad_request("a header is too long or is not text")),
             },
         };
-        let id = text("x-request-id")?.filter(|id| !id.is_empty()).ok_or(bad("X-Request-ID is missing"))?;
-        let first = request.path().split('/').nth(1).unwrap_or("").to_owned();
-        let class = text("x-priority-class")?.unwrap_or(first);
-        self.core.rules().class(&class).ok_or(bad("unknown class"))?;
-        let left = text("x-timeout-ms")?.and_then(|v| digits(&v)).map(Duration::from_millis);
-        let left =
-            left.filter(|l| *l <= LONGEST_TIME).ok_or(bad("X-Timeout-Ms is no time in milliseconds"))?;
-        let dest =
-            text("x-envelope")?.and_then(|v| destination(&v)).ok_or(bad("X-Envelope names no dest"))?;
+        let id = text("x-request-id")?
+            .filter(|id| !id.is_empty())
+            .ok_or(bad_request("X-Request-ID is missing"))?;
+        let path_class = request.path().split('/').nth(1).unwrap_or("").to_owned();
+        let class = text("x-priority-class")?.unwrap_or(path_class);
+        self.core.rules().class(&class).ok_or(bad_request("unknown class"))?;
+        let left = text("x-timeout-ms")?.and_then(|v| parse_digits(&v)).map(Duration::from_millis);
+        let left = left
+            .filter(|l| *l <= MAX_TIME_LIMIT)
+            .ok_or(bad_request("X-Timeout-Ms is no time in milliseconds"))?;
+        let dest = text("x-envelope")?
+            .and_then(|v| parse_destination(&v))
+            .ok_or(bad_request("X-Envelope names no dest"))?;
         let retried = text("x-retried")?;
-        let key = request.headers().get(KEY).map(|v| Bytes::copy_from_slice(v.as_bytes()));
-        if key.as_ref().is_some_and(|k| k.len() > LONGEST_NAME) {
-            return Err(bad("Idempotency-Key is too long"));
+        let key = request.headers().get(IDEMPOTENCY_KEY).map(|v| Bytes::copy_from_slice(v.as_bytes()));
+        if key.as_ref().is_some_and(|k| k.len() > MAX_NAME) {
+            return Err(bad_request("Idempotency-Key is too long"));
         }
         Ok(Job {
             id,
             class,
             dest,
-            // By the wall clock, so that a restart takes no time off.
+            // By the wall clock, so that it stays valid across a restart.
             deadline: arrived + left,
             retry: retried.as_deref() == Some("1"),
             reconnect: retried.as_deref() == Some("again"),
             label: None,
-            fields: key.map(|k| (KEY.to_owned(), k)).into_iter().collect(),
+            fields: key.map(|k| (IDEMPOTENCY_KEY.to_owned(), k)).into_iter().collect(),
             body,
         })
     }
 }
 
-/// Why a request is no job, and the status that says so.
+/// Why a request is not a valid job, and the status of its response.
 #[derive(Debug)]
-pub(super) struct Unfit {
+pub(super) struct InvalidRequest {
     status: StatusCode,
-    why: &'static str,
+    reason: &'static str,
 }
 
-/// Said of a body whose end does not come.
-const BROKEN_OFF: &str = "body cannot be read";
+/// The reason given for a body that ends early.
+const UNREADABLE_BODY: &str = "body cannot be read";
 
-fn bad(why: &'static str) -> Unfit {
-    Unfit { status: StatusCode::BAD_REQUEST, why }
+fn bad_request(reason: &'static str) -> InvalidRequest {
+    InvalidRequest { status: StatusCode::BAD_REQUEST, reason }
 }
 
-/// Reads a body to its end, no further than is allowed.
-pub(super) async fn read_body(request: &mut Request) -> Result<Bytes, Unfit> {
-    let too_large = Unfit { status: StatusCode::PAYLOAD_TOO_LARGE, why: "body is too large" };
-    let told =
+/// Reads a complete body, up to the size limit.
+pub(super) async fn read_body(request: &mut Request) -> Result<Bytes, InvalidRequest> {
+    let too_large = InvalidRequest { status: StatusCode::PAYLOAD_TOO_LARGE, reason: "body is too large" };
+    let declared =
         request.headers().get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.trim().parse::<u64>().ok());
-    if told.is_some_and(|length| length > LONGEST_BODY as u64) {
+    if declared.is_some_and(|length| length > MAX_BODY as u64) {
         return Err(too_large);
     }
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
     while let Some(chunk) = payload.next().await {
-        let chunk = chunk.map_err(|_| bad(BROKEN_OFF))?;
-        if body.len() + chunk.len() > LONGEST_BODY {
+        let chunk = chunk.map_err(|_| bad_request(UNREADABLE_BODY))?;
+        if body.len() + chunk.len() > MAX_BODY {
             return Err(too_large);
         }
         body.extend_from_slice(&chunk);
@@ -170,28 +181,28 @@
     Ok(body.freeze())
 }
 
-/// The number behind `dest=` among an envelope's parts.
-fn destination(envelope: &str) -> Option<u64> {
+/// Returns the number behind `dest=` in an envelope.
+fn parse_destination(envelope: &str) -> Option<u64> {
     let parts = envelope.split([',', ';', '&', ' ']).map(str::trim);
-    parts.filter_map(|part| part.strip_prefix("dest=")).next().and_then(digits)
+    parts.filter_map(|part| part.strip_prefix("dest=")).next().and_then(parse_digits)
 }
 
-/// A whole number, without the sign that parsing lets pass.
-fn digits(text: &str) -> Option<u64> {
+/// Parses a whole number without a sign, which `parse` would accept.
+fn parse_digits(text: &str) -> Option<u64> {
     text.trim().parse().ok().filter(|_| !text.contains('+'))
 }
 
-fn answer(status: StatusCode) -> Response<&'static str> {
+fn empty_response(status: StatusCode) -> Response<&'static str> {
     Response::with_body(status, "")
 }
 
-/// Encodes an answer, once.
-fn told(told: Answer) -> Response<&'static str> {
-    match told {
-        Answer::Taken => answer(StatusCode::ACCEPTED),
-        Answer::Failed => answer(StatusCode::INTERNAL_SERVER_ERROR),
+/// Encodes an answer as a response.
+fn encode_answer(answer: Answer) -> Response<&'static str> {
+    match answer {
+        Answer::Taken => empty_response(StatusCode::ACCEPTED),
+        Answer::Failed => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
         Answer::Refused { after } => {
-            let mut response = answer(StatusCode::TOO_MANY_REQUESTS);
+            let mut response = empty_response(StatusCode::TOO_MANY_REQUESTS);
             if let Some(after) = after {
                 let seconds = format!("{:.3}", after.as_secs_f64());
                 let value = seconds.parse().expect("digits and a point");
--- a/relay/src/run.rs
+++ b/relay/src/run.rs
@@ -1,4 +1,4 @@
-//! Wires the fronts that are configured, and takes signals.
+//! Starts the configured frontends, handles signals, and shuts down.
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::sleep;
 
-use crate::admin::{Admin, Front, Process};
+use crate::admin::{Admin, AvailabilityControl, Frontend};
 use crate::availability::{Availability, Word};
 use crate::backlog::{Backlog, BacklogClass};
 use crate::clock;
@@ -26,88 +26,94 @@
 use crate::listener::listen;
 use crate::platform::refusing::refuse_all;
 
-/// After SIGTERM, connections still arrive for up to 0.4 s: so long everything goes on.
-const STILL_SERVING: Duration = Duration::from_millis(600);
-/// Then claims are sent for so long; SIGKILL comes no sooner than 3.7 s after SIGTERM.
-const STILL_SENDING: Duration = Duration::from_millis(2000);
-/// And what is out may come home for so long.
-const COMING_HOME: Duration = Duration::from_millis(800);
-/// Then what was answered last is let go: a process that ends resets connections that it has not closed.
-const LAST_ANSWERS: Duration = Duration::from_millis(150);
-/// A successor takes over at once: what is out may come home until just before SIGKILL, and the last word is told.
-const LAST_HOME: Duration = Duration::from_millis(3350);
-const LAST_WORD: Duration = Duration::from_millis(30);
-/// So long an address to listen on may still be the process's before.
-const STILL_BOUND: Duration = Duration::from_secs(1);
-/// Before a folder that cannot be used is tried again.
-const FOLDER_PAUSE: Duration = Duration::from_millis(50);
-/// Part of the descriptors that submitters' connections may take; the rest is for nodes and files.
-const SUBMITTERS_PART: f64 = 0.4;
-/// Descriptors kept for files, listeners, discovery and posts of notices.
-const BESIDE: usize = 32;
-/// Of them, callers' at the second address. Guards against those that finish no call keeping others out.
-const CALLERS: usize = 12;
+/// First stage of the shutdown: everything continues, since new connections arrive for up to 0.4 s after SIGTERM.
+const SHUTDOWN_SERVING_TIME: Duration = Duration::from_millis(600);
+/// Second stage: no connections are accepted, but claims are still sent. SIGKILL follows no sooner than 3.7 s after SIGTERM.
+const SHUTDOWN_SENDING_TIME: Duration = Duration::from_millis(2000);
+/// Third stage: how long claims in flight may take to complete.
+const SHUTDOWN_COMPLETION_TIME: Duration = Duration::from_millis(800);
+/// Last stage: how long the last responses may take to be delivered. A process that exits resets the connections that it has not
+/// closed.
+const SHUTDOWN_RESPONSE_TIME: Duration = Duration::from_millis(150);
+/// If a successor takes over, it does so at once: claims in flight may complete until just before SIGKILL.
+const HANDOVER_COMPLETION_TIME: Duration = Duration::from_millis(3350);
+/// How long the outcomes of claims that were cancelled then may take to reach the successor.
+const HANDOVER_REPORT_TIME: Duration = Duration::from_millis(30);
+/// How long the previous process may keep an address that this one is to listen on.
+const BIND_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before a state folder that cannot be used is tried again.
+const FOLDER_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Share of the file descriptors that client connections may take; the others are for nodes and files.
+const SUBMITTER_SHARE: f64 = 0.4;
+/// Descriptors reserved for files, listeners, discovery, and posts of notices.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// How many of the reserved descriptors connections to the admin address may use. Guards against callers that do not complete a call
+/// keeping others out.
+const ADMIN_CONNECTIONS: usize = 12;
 
-/// Why the relay does not run, or no longer.
+/// Why the relay did not start, or has stopped.
 #[derive(Debug)]
-pub enum Fault {
-    /// What it was told cannot be used; the text names the key. Nothing mends it but other words.
+pub enum Error {
+    /// The configuration is invalid; the text names the key. A restart does not help before it is corrected.
     Configuration(String),
     Other(String),
 }
 
-impl From<String> for Fault {
+impl From<String> for Error {
     fn from(text: String) -> Self {
-        Fault::Other(text)
+        Error::Other(text)
     }
 }
 
-/// Runs the fronts that are configured until SIGTERM.
-pub async fn run(file: Option<PathBuf>) -> Result<(), Fault> {
+/// Runs the configured frontends until SIGTERM.
+pub async fn run(file: Option<PathBuf>) -> Result<(), Error> {
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let mut reload = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
-    let platform = config::platform().map_err(Fault::Configuration)?;
+    let platform = config::platform().map_err(Error::Configuration)?;
     if let Some(platform) = &platform {
-        // Before anything is reckoned by it.
+        // Before the clock is used for anything else.
         clock::adopt(&platform.state);
     }
-    let own = file.as_deref().map(config::own).transpose().map_err(Fault::Configuration)?;
+    let own = file.as_deref().map(config::own).transpose().map_err(Error::Configuration)?;
     let own = own.unwrap_or_default();
     if platform.is_none() && own.push.is_none() {
-        let fault = "no front is configured: set BALANCER_CONFIG or name a file with [push] (--config FILE)";
-        return Err(Fault::Configuration(fault.into()));
+        let message =
+            "no front is configured: set BALANCER_CONFIG or name a file with [push] (--config FILE)";
+        return Err(Error::Configuration(message.into()));
     }
-    // Each front has its own, read from the same script.
-    let hooks = || own.hook.as_ref().map(Hooks::load).transpose().map_err(Fault::Configuration);
-    let told = platform.as_ref().and_then(|platform| platform.admin);
-    let admin = config::admin().map_err(Fault::Configuration)?.or(told).or(own.admin);
+    // Each frontend loads the script for itself.
+    let hooks = || own.hook.as_ref().map(Hooks::load).transpose().map_err(Error::Configuration);
+    let platform_admin = platform.as_ref().and_then(|platform| platform.admin);
+    let admin_address = config::admin().map_err(Error::Configuration)?.or(platform_admin).or(own.admin);
     let rules = platform.as_ref().map(|p| &p.rules).into_iter().chain(own.push.as_ref().map(|p| &p.rules));
     let figures = Figures::new(rules.flat_map(|rules| &rules.names.classes));
-    let process = Rc::new(Standing::default());
-    let desk = Admin::new(figures.clone(), process.clone());
-    if let Some(address) = admin {
+    let process = Rc::new(ProcessAvailability::default());
+    let admin = Admin::new(figures.clone(), process.clone());
+    if let Some(address) = admin_address {
         let listener = listen("BALANCER_ADMIN", address)?;
-        tracing::info!(listen = %listener.local_addr().unwrap_or(address), "second address is ready");
-        actix_rt::spawn(desk.clone().accept(listener, Rc::new(ConnectionLimiter::new(CALLERS))));
+        tracing::info!(listen = %listener.local_addr().unwrap_or(address), "admin address is ready");
+        actix_rt::spawn(admin.clone().accept(listener, Rc::new(ConnectionLimiter::new(ADMIN_CONNECTIONS))));
     }
     let name = platform.as_ref().map(|platform| platform.name.clone());
-    // Lists pass between instances of the platform's front only: the second one's gateways are in the file.
+    // Instances share the lists of the platform frontend only: the gateways of the push frontend are in the file.
     let lists = platform.as_ref().map(|platform| instances::Told {
         must_ask_in: platform.rules.must_ask_in(),
         longest: own.idle.list_limit,
     });
-    let instances = own.instances.map(|told| {
-        let lists = lists.filter(|_| told.lists);
-        Instances::start(told, name, lists)
+    let instances = own.instances.map(|settings| {
+        let lists = lists.filter(|_| settings.lists);
+        Instances::start(settings, name, lists)
     });
     if lists.is_none() && instances.as_ref().is_some_and(|instances| instances.wants_lists()) {
-        tracing::warn!("instances.lists: there is no list to pass on without the platform's front");
+        tracing::warn!(
+            "instances.lists has no effect: there is no list to share without the platform frontend"
+        );
     }
     let sharing = instances.as_ref().and_then(Instances::sharing);
-    desk.set_instances(instances.clone());
+    admin.set_instances(instances.clone());
     let platform = match platform {
         Some(platform) => {
-            let upgrades = admin.is_some();
+            let upgrades = admin_address.is_some();
             let backlog = own.backlog.as_ref();
             let started = start_platform(
                 platform,
@@ -115,14 +121,14 @@
                 hooks()?,
                 &figures,
                 &process,
-                &desk,
+                &admin,
                 upgrades,
                 sharing,
                 backlog,
             );
             tokio::select! {
                 started = started => Some(started?),
-                // It has taken nothing on yet that is not in the journal.
+                // No job has been accepted yet beyond those in the journal.
                 _ = terminate.recv() => return Ok(()),
             }
         }
@@ -141,10 +147,10 @@
         }
     }
     figures.loaded(true);
-    let first = platform.as_ref().map(|platform| platform.core.clone() as Rc<dyn Front>);
-    let second = push.as_ref().map(|push| push.core.clone() as Rc<dyn Front>);
-    process.turn(Word::Started);
-    desk.open(first.into_iter().chain(second).collect());
+    let first = platform.as_ref().map(|platform| platform.core.clone() as Rc<dyn Frontend>);
+    let second = push.as_ref().map(|push| push.core.clone() as Rc<dyn Frontend>);
+    process.apply(Word::Started);
+    admin.open(first.into_iter().chain(second).collect());
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
@@ -158,8 +164,8 @@
             }
         }
     }
-    tracing::info!("SIGTERM: winding down");
-    process.turn(Word::Terminate);
+    tracing::info!("SIGTERM: shutting down");
+    process.apply(Word::Terminate);
     if let Some(instances) = &instances {
         instances.leave().await;
     }
@@ -168,88 +174,91 @@
     {
         return Ok(());
     }
-    sleep(STILL_SERVING).await;
+    sleep(SHUTDOWN_SERVING_TIME).await;
     if let Some(platform) = &platform {
-        platform.places.shut();
+        platform.limiter.stop_accepting();
     }
     if let Some(push) = &push {
-        push.places.shut();
+        push.limiter.stop_accepting();
     }
-    tracing::info!("winding down: no connections are taken any more");
-    sleep(STILL_SENDING).await;
+    tracing::info!("shutting down: no more connections are accepted");
+    sleep(SHUTDOWN_SENDING_TIME).await;
     let first = async {
         if let Some(platform) = &platform {
-            wind_down(&platform.core, &platform.places).await;
+            shut_down(&platform.core, &platform.limiter).await;
         }
     };
     let second = async {
         if let Some(push) = &push {
-            wind_down(&push.core, &push.places).await;
+            shut_down(&push.core, &push.limiter).await;
         }
     };
     tokio::join!(first, second);
     Ok(())
 }
 
-/// Ends a front: requests that are whole by now are still answered, and what is out comes home.
-async fn wind_down<C: Carrier>(core: &Core<C>, places: &ConnectionLimiter) {
-    places.end();
-    core.wind_down(COMING_HOME).await;
-    let end = Instant::now() + LAST_ANSWERS;
-    while !places.is_empty() && Instant::now() < end {
+/// Shuts a frontend down: requests that are complete by now are still answered, and claims in flight may complete.
+async fn shut_down<C: Carrier>(core: &Core<C>, limiter: &ConnectionLimiter) {
+    limiter.terminate();
+    core.wind_down(SHUTDOWN_COMPLETION_TIME).await;
+    let end = Instant::now() + SHUTDOWN_RESPONSE_TIME;
+    while !limiter.is_empty() && Instant::now() < end {
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// What the process is to submitters, and the places that follow it.
+/// The process's availability to submitters, and the connection limiter that it controls.
 #[derive(Default)]
-struct Standing {
+struct ProcessAvailability {
     availability: Rc<Cell<Availability>>,
-    places: RefCell<Option<Rc<ConnectionLimiter>>>,
+    limiter: RefCell<Option<Rc<ConnectionLimiter>>>,
 }
 
-impl Process for Standing {
-    fn turn(&self, word: Word) -> bool {
+impl AvailabilityControl for ProcessAvailability {
+    fn apply(&self, event: Word) -> bool {
         let before = self.availability.get();
-        let Some(after) = before.after(word) else { return false };
+        let Some(after) = before.after(event) else { return false };
         self.availability.set(after);
-        if let Some(places) = &*self.places.borrow() {
-            // Idle ones that were told to go before go on going.
+        if let Some(limiter) = &*self.limiter.borrow() {
+            // Set only on a change, so that a drain in progress keeps its start time.
             if before.sends_away() != after.sends_away() {
-                places.leave(after.sends_away().then(|| Instant::now() + STILL_SERVING));
+                limiter.drain(after.sends_away().then(|| Instant::now() + SHUTDOWN_SERVING_TIME));
             }
         }
         if before.is_drained() != after.is_drained() {
-            tracing::info!(drained = after.is_drained(), "clients are sent away, or taken again");
+            tracing::info!(
+                drained = after.is_drained(),
+                "draining of client connections has started or stopped"
+            );
         }
         true
     }
 }
 
-struct PlatformFront {
-    core: Rc<Core<crate::platform::carrier::ToNodes>>,
-    places: Rc<ConnectionLimiter>,
-    budget: Rc<Budget>,
-    elder: Option<Rc<Elder>>,
-    following: actix_rt::task::JoinHandle<()>,
+struct PlatformFrontend {
+    core: Rc<Core<crate::platform::carrier::NodeClient>>,
+    limiter: Rc<ConnectionLimiter>,
+    budget: Rc<DescriptorBudget>,
+    handover: Option<Rc<Elder>>,
+    discovery_task: actix_rt::task::JoinHandle<()>,
     listen: std::net::SocketAddr,
 }
 
-struct PushFront {
+struct PushFrontend {
     core: Rc<Core<crate::push::gateways::Gateways>>,
     server: Rc<crate::push::server::Server<crate::push::gateways::Gateways>>,
-    places: Rc<ConnectionLimiter>,
+    limiter: Rc<ConnectionLimiter>,
     listen: std::net::SocketAddr,
     state: PathBuf,
 }
 
-impl<C: Carrier> Front for Core<C> {
+impl<C: Carrier> Frontend for Core<C> {
     fn census(&self) -> Census {
         Core::census(self)
     }
 
-    fn set_out(&self, id: &str, out: bool) -> Result<(), NotOut> {
-        Core::set_out(self, id, out)
+    fn set_disabled(&self, id: &str, disabled: bool) -> Result<(), NotOut> {
+        Core::set_out(self, id, disabled)
     }
 
     fn backlog(&self) -> Option<Rc<Backlog>> {
@@ -257,7 +266,7 @@
     }
 }
 
-/// A core with its journal.
+/// Creates a core with its journal.
 fn new_core<C: Carrier>(
     carrier: C,
     rules: Rules,
@@ -270,64 +279,67 @@
     Core::new(carrier, rules, hooks, seed, journal, Disabled::open(state), figures.clone())
 }
 
-/// Tries something with a folder that lasts until it does not fail in a way that passes.
-async fn in_the_end<T, F: Future<Output = io::Result<T>>>(
+/// Retries an operation on the state folder for as long as its errors may be temporary.
+async fn retry_in_folder<T, F: Future<Output = io::Result<T>>>(
     state: &Path,
     what: &'static str,
     attempt: impl Fn() -> F,
 ) -> Result<T, String> {
-    let begun = Instant::now();
-    let mut told = false;
+    let started = Instant::now();
+    let mut logged = false;
     loop {
         match attempt().await {
             Ok(done) => {
-                if told {
-                    tracing::info!(after = ?begun.elapsed(), what, "the folder that lasts can be used");
+                if logged {
+                    tracing::info!(after = ?started.elapsed(), what, "the state folder can be used again");
                 }
                 return Ok(done);
             }
             Err(error) if !may_pass(&error) => return Err(format!("{what} in {}: {error}", state.display())),
             Err(error) => {
-                if !std::mem::replace(&mut told, true) {
+                if !std::mem::replace(&mut logged, true) {
                     let state = state.display();
-                    tracing::error!(%error, %state, what, "the folder that lasts cannot be used; trying on");
+                    tracing::error!(%error, %state, what, "the state folder cannot be used; retrying until it can");
                 }
-                sleep(FOLDER_PAUSE).await;
+                sleep(FOLDER_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// The journal and what it holds open, as soon as its folder can be read.
+/// Opens the journal, and reads its open jobs, as soon as its folder can be used.
 async fn open_journal(state: &Path, disk: u64) -> Result<(Journal, Vec<Open>), String> {
-    in_the_end(state, "journal", async || Journal::open(state, disk)).await
+    retry_in_folder(state, "journal", async || Journal::open(state, disk)).await
 }
 
-/// Plays rounds from now on.
-fn begin<C: Carrier>(core: &Rc<Core<C>>, front: &'static str) {
+/// Starts the background tasks of a frontend's core.
+fn start_tasks<C: Carrier>(core: &Rc<Core<C>>, frontend: &'static str) {
     let (rounds, tally, journal) = (core.clone(), core.clone(), core.clone());
     actix_rt::spawn(async move { rounds.rounds().await });
     actix_rt::spawn(async move { journal.keep_journal().await });
-    actix_rt::spawn(async move { tally.tell_tally(front).await });
+    actix_rt::spawn(async move { tally.tell_tally(frontend).await });
 }
 
-/// Where submitters connect: the socket that the platform passed on, if it says that it did.
-async fn listen_to_submitters(address: std::net::SocketAddr) -> Result<TcpListener, String> {
+/// Opens the socket that submitters connect to: the one passed by the platform, if the environment names one.
+async fn listen_for_submitters(address: std::net::SocketAddr) -> Result<TcpListener, String> {
     match crate::inherited_socket::listener() {
         Ok(None) => {}
-        Ok(Some(passed)) => {
-            let passed = passed.set_nonblocking(true).and_then(|()| TcpListener::from_std(passed));
-            return passed.map_err(|e| format!("BALANCER_PASSED_SOCKET: {e}"));
+        Ok(Some(socket)) => {
+            let listener = socket.set_nonblocking(true).and_then(|()| TcpListener::from_std(socket));
+            return listener.map_err(|e| format!("BALANCER_PASSED_SOCKET: {e}"));
         }
-        Err(fault) => {
-            tracing::error!(fault, "no socket was passed on; listening on BALANCER_LISTEN instead");
+        Err(error) => {
+            tracing::error!(
+                fault = error,
+                "the passed socket cannot be used; listening on BALANCER_LISTEN instead"
+            );
         }
     }
-    let until = Instant::now() + STILL_BOUND;
+    let until = Instant::now() + BIND_TIMEOUT;
     loop {
         match listen("BALANCER_LISTEN", address) {
-            Err(fault) if Instant::now() > until => return Err(fault),
-            // The process before may be about to let it go.
+            Err(error) if Instant::now() > until => return Err(error),
+            // The previous process may be about to close its socket.
             Err(_) => sleep(Duration::from_millis(5)).await,
             bound => return bound,
         }
@@ -340,116 +352,122 @@
     idle: &Idle,
     hooks: Option<Hooks>,
     figures: &Rc<Figures>,
-    process: &Standing,
-    desk: &Admin,
+    process: &ProcessAvailability,
+    admin: &Admin,
     upgrades: bool,
     sharing: Option<Sharing>,
     backlog: Option<&config::Backlog>,
-) -> Result<PlatformFront, String> {
-    let (lock, legacy) = match upgrades {
+) -> Result<PlatformFrontend, String> {
+    let (lock, predecessor) = match upgrades {
         true => {
-            let owned = in_the_end(&config.state, "lock", async || {
-                handover::own(&config.state, || desk.set_ready()).await
+            let owned = retry_in_folder(&config.state, "lock", async || {
+                handover::own(&config.state, || admin.set_ready()).await
             });
-            let (lock, legacy) = owned.await.map_err(|e| format!("BALANCER_STATE: {e}"))?;
-            (Some(lock), legacy)
+            let (lock, predecessor) = owned.await.map_err(|e| format!("BALANCER_STATE: {e}"))?;
+            (Some(lock), predecessor)
         }
         false => (None, None),
     };
     idle.apply(&mut config.rules);
     config.rules.settings.list_shared = sharing.is_some();
     let Limits { disk, sockets } = config.limits;
-    let budget = Rc::new(Budget { sockets: Cell::new(sockets), shared: Cell::new(legacy.is_some()) });
-    let to_nodes = crate::platform::carrier::ToNodes::new(&config.rules, config.discovery, idle.list_limit);
-    to_nodes.set_connections(budget.connections(idle));
-    let discovery = to_nodes.platform();
+    let budget =
+        Rc::new(DescriptorBudget { sockets: Cell::new(sockets), shared: Cell::new(predecessor.is_some()) });
+    let node_client =
+        crate::platform::carrier::NodeClient::new(&config.rules, config.discovery, idle.list_limit);
+    node_client.set_max_connections(budget.node_connections(idle));
+    let discovery = node_client.discovery_server();
     let first_start = !Journal::exists(&config.state) && !LeaseRecord::exists(&config.state);
     let mut listener = None;
     let opened = match Journal::open(&config.state, disk) {
         Ok(opened) => Ok(opened),
         Err(error) if !may_pass(&error) => Err(format!("journal in {}: {error}", config.state.display())),
         Err(_) => {
-            let listener = listener.insert(listen_to_submitters(config.listen).await?);
+            let listener = listener.insert(listen_for_submitters(config.listen).await?);
             tokio::select! {
                 opened = open_journal(&config.state, disk) => opened,
-                () = refuse_all(listener, budget.submitters()) => Err("no connections can be taken".into()),
+                () = refuse_all(listener, budget.submitter_connections()) => Err("no connections can be accepted".into()),
             }
         }
     };
     let (mut journal, open) = opened.map_err(|e| format!("BALANCER_STATE: {e}"))?;
     tracing::info!(recovered = open.len(), "journal read");
     journal.guard(lock);
-    let core = new_core(to_nodes, config.rules, hooks, config.seed, &config.state, journal, figures);
+    let core = new_core(node_client, config.rules, hooks, config.seed, &config.state, journal, figures);
     if let Some(settings) = backlog {
         settings.check_folder(Some(&config.state))?;
         attach_backlog(&core, settings, &config.name, &open).await?;
     }
-    let places = Rc::new(ConnectionLimiter::new(budget.submitters()));
-    *process.places.borrow_mut() = Some(places.clone());
-    let mut held = None;
-    match legacy {
-        Some(legacy) => {
-            if legacy.estate.drained {
-                process.turn(Word::Drain);
+    let limiter = Rc::new(ConnectionLimiter::new(budget.submitter_connections()));
+    *process.limiter.borrow_mut() = Some(limiter.clone());
+    let mut known_generation = None;
+    match predecessor {
+        Some(predecessor) => {
+            if predecessor.estate.drained {
+                process.apply(Word::Drain);
             }
-            let homes = core.inherit(&legacy.estate, open).await;
-            held = legacy.estate.generation;
-            let (core, places, budget, idle) = (core.clone(), places.clone(), budget.clone(), *idle);
-            actix_rt::spawn(legacy.follow(core.clone(), homes, move || {
+            let pending_outcomes = core.inherit(&predecessor.estate, open).await;
+            known_generation = predecessor.estate.generation;
+            let (core, limiter, budget, idle) = (core.clone(), limiter.clone(), budget.clone(), *idle);
+            actix_rt::spawn(predecessor.follow(core.clone(), pending_outcomes, move || {
                 budget.shared.set(false);
-                core.carrier.set_connections(budget.connections(&idle));
-                places.set(budget.submitters());
+                core.carrier.set_max_connections(budget.node_connections(&idle));
+                limiter.set_limit(budget.submitter_connections());
             }));
         }
         None => {
             open.into_iter().for_each(|open| core.recover(open));
-            // Where lists pass between instances, what is known waits for a better one; the first round is played all the same.
-            let nothing = NodeList::default();
-            core.take_list(if sharing.is_some() { &nothing } else { &config.known }).await;
-            held = held.or((!config.known.is_empty()).then_some(config.known.generation));
+            // Where instances share lists, the configured list is used only if no newer one arrives in time; an empty list lets the first
+            // decision round run without it.
+            let empty = NodeList::default();
+            core.take_list(if sharing.is_some() { &empty } else { &config.known }).await;
+            known_generation =
+                known_generation.or((!config.known.is_empty()).then_some(config.known.generation));
         }
     }
     if core.rules().settings.list_on_request && sharing.is_none() {
-        bind_list(&core, &config.state, first_start);
+        start_list_lease(&core, &config.state, first_start);
     }
-    begin(&core, "platform");
+    start_tasks(&core, "platform");
     if let Some(sharing) = &sharing {
         actix_rt::spawn(instances::take(core.clone(), sharing.clone(), config.known));
     }
-    let following = actix_rt::spawn(crate::discovery::follow(core.clone(), discovery, held, sharing));
-    actix_rt::spawn(crate::platform::carrier::close_idle(core.clone()));
-    let elder = upgrades.then(|| Elder::listen(&config.state)).transpose();
-    let elder = elder.unwrap_or_else(|fault| {
-        tracing::warn!(%fault, "upgrade: no newcomer can be met; it takes over when this process has ended");
+    let discovery_task =
+        actix_rt::spawn(crate::discovery::follow(core.clone(), discovery, known_generation, sharing));
+    actix_rt::spawn(crate::platform::carrier::close_idle_connections(core.clone()));
+    let handover = upgrades.then(|| Elder::listen(&config.state)).transpose();
+    let handover = handover.unwrap_or_else(|error| {
+        tracing::warn!(fault = %error, "upgrade: cannot listen for a successor; it takes over only once this process has exited");
         None
     });
     let listener = match listener {
         Some(listener) => listener,
-        None => listen_to_submitters(config.listen).await?,
+        None => listen_for_submitters(config.listen).await?,
     };
     let address = listener.local_addr().unwrap_or(config.listen);
     let server = crate::platform::server::Server::new(core.clone(), process.availability.clone());
-    actix_rt::spawn(server.accept(listener, places.clone()));
-    process.turn(Word::Started);
+    actix_rt::spawn(server.accept(listener, limiter.clone()));
+    process.apply(Word::Started);
     tracing::info!(name = config.name, listen = %address, "platform front is ready");
-    Ok(PlatformFront { core, places, budget, elder, following, listen: config.listen })
+    Ok(PlatformFrontend { core, limiter, budget, handover, discovery_task, listen: config.listen })
 }
 
-/// Has the list acted on only as long as it is confirmed, or was by the process before.
-fn bind_list<C: Carrier>(core: &Core<C>, state: &Path, first_start: bool) {
-    let (record, before) = match LeaseRecord::open(state) {
-        Ok((record, before)) => (Some(record), before),
+/// Allows claims by the list only while it is confirmed, by this process or, as its record says, by the previous one.
+fn start_list_lease<C: Carrier>(core: &Core<C>, state: &Path, first_start: bool) {
+    let (record, previous) = match LeaseRecord::open(state) {
+        Ok((record, previous)) => (Some(record), previous),
         Err(error) => {
-            tracing::error!(%error, "the list's lease cannot be recorded; a restart waits for the list");
+            tracing::error!(%error, "the lease on the list cannot be recorded; after a restart, claims wait for a new list");
             (None, None)
         }
     };
-    // An older list than the one that was confirmed is none that was.
-    let before = before.filter(|before| core.generation().is_some_and(|held| held >= before.generation));
-    core.bind_list(record, before, first_start);
+    // The record does not confirm a list that is older than the one it was written for.
+    let previous =
+        previous.filter(|previous| core.generation().is_some_and(|known| known >= previous.generation));
+    core.bind_list(record, previous, first_start);
 }
 
-/// Opens the backlog on disk and has the core use it.
+/// Opens the backlog on disk and attaches it to the core.
 async fn attach_backlog<C: Carrier>(
     core: &Rc<Core<C>>,
     settings: &config::Backlog,
@@ -461,66 +479,69 @@
     let classes: Vec<_> = classes
         .map(|(name, class)| BacklogClass { name: name.clone(), worth: class.credit.unwrap_or(1.0) })
         .collect();
-    let most = rules.settings.max_held;
+    let max_held = rules.settings.max_held;
     let figures = BacklogFigures::register(core.figures());
-    let opened = Backlog::open(settings, owner, &classes, most, journaled, figures).await;
+    let opened = Backlog::open(settings, owner, &classes, max_held, journaled, figures).await;
     let (backlog, actions) = opened.map_err(|error| format!("backlog.folder: {error}"))?;
     core.attach_backlog(backlog, actions).map_err(|error| format!("BALANCER_STATE: {error}"))
 }
 
-/// The machine's descriptors, divided in one place. What gives way first is written in `docs/operation.md`.
-struct Budget {
+/// Divides the machine's file descriptors. `docs/operation.md` says what is given up first when they run out.
+struct DescriptorBudget {
     sockets: Cell<usize>,
-    /// The process before still has its own; its part shrinks as its connections end.
+    /// The previous process still uses some of them, fewer and fewer as its connections close.
     shared: Cell<bool>,
 }
 
-impl Budget {
-    fn mine(&self) -> usize {
+impl DescriptorBudget {
+    /// How many of them this process may use.
+    fn available(&self) -> usize {
         if self.shared.get() { self.sockets.get() / 2 } else { self.sockets.get() }
     }
 
-    /// How many descriptors submitters may take.
-    fn submitters(&self) -> usize {
-        ((self.mine() as f64 * SUBMITTERS_PART) as usize).max(1)
+    /// How many connections submitters may open.
+    fn submitter_connections(&self) -> usize {
+        ((self.available() as f64 * SUBMITTER_SHARE) as usize).max(1)
     }
 
-    /// How many connections to nodes may be open: what the file says, else what submitters leave.
-    fn connections(&self, idle: &Idle) -> usize {
-        let left = self.mine().saturating_sub(self.submitters() + BESIDE).max(1);
-        idle.connections.map_or(left, |said| if self.shared.get() { said.min(left) } else { said })
+    /// How many connections to nodes may be open: as configured, else what the submitters' connections leave.
+    fn node_connections(&self, idle: &Idle) -> usize {
+        let left =
+            self.available().saturating_sub(self.submitter_connections() + RESERVED_DESCRIPTORS).max(1);
+        idle.connections.map_or(left, |limit| if self.shared.get() { limit.min(left) } else { limit })
     }
 }
 
-impl PlatformFront {
-    /// Hands the relay to a newcomer, if one waits; done once nothing is left to do here.
+impl PlatformFrontend {
+    /// Hands all jobs over to a successor process, if one is connected. Returns once nothing is left to do in this process; false
+    /// if there was no successor.
     async fn hand_over(&self, drained: bool) -> bool {
-        let Some(elder) = &self.elder else { return false };
-        if !elder.is_linked() {
+        let Some(handover) = &self.handover else { return false };
+        if !handover.is_linked() {
             return false;
         }
-        let end = Instant::now() + LAST_HOME;
-        // Connections that arrive from here on wait for the newcomer, if the platform has passed the socket on; else
-        // it is to be free by the time that the newcomer asks for it.
-        self.places.shut();
-        self.places.leave(Some(Instant::now()));
+        let end = Instant::now() + HANDOVER_COMPLETION_TIME;
+        // If the platform passes the socket, new connections wait in its queue for the successor; else the address must be free by the
+        // time the successor binds it.
+        self.limiter.stop_accepting();
+        self.limiter.drain(Some(Instant::now()));
         sleep(Duration::from_millis(1)).await;
-        if !elder.terminate(&self.core, drained) {
+        if !handover.terminate(&self.core, drained) {
             return false;
         }
-        self.following.abort();
-        while Instant::now() < end && !(self.core.all_home() && self.places.is_empty()) {
+        self.discovery_task.abort();
+        while Instant::now() < end && !(self.core.all_home() && self.limiter.is_empty()) {
             self.core.carrier.close_all_idle();
             sleep(Duration::from_millis(10)).await;
         }
         self.core.call_off();
-        // What is called off closes its connection and is told of before the process ends.
-        sleep(LAST_WORD).await;
-        tracing::info!("upgrade: nothing is left to do here");
+        // Before the process exits, cancelled claims close their connections, and their outcomes are reported.
+        sleep(HANDOVER_REPORT_TIME).await;
+        tracing::info!("upgrade: handover complete; exiting");
         true
     }
 
-    /// Reads the configuration anew and takes it up without dropping a job or a connection. False if it is faulty.
+    /// Reloads the configuration without dropping a job or a connection. Returns false if it is invalid.
     fn reload(&self, file: Option<&Path>) -> bool {
         let own = file.map(config::own).transpose();
         let read = own.and_then(|own| Ok((config::platform()?, own.map_or(Idle::default(), |own| own.idle))));
@@ -530,20 +551,20 @@
                 (config, idle)
             }
             Ok((None, _)) => return true,
-            Err(fault) => {
-                // Guards against half a file: nothing of it is taken up.
-                tracing::error!(fault, "SIGHUP: the configuration is faulty; nothing changes");
+            Err(error) => {
+                // Guards against applying a part of a configuration: none of it is applied.
+                tracing::error!(fault = error, "SIGHUP: the configuration is faulty; nothing changes");
                 return false;
             }
         };
         if config.listen != self.listen {
-            tracing::warn!(listen = %config.listen, "SIGHUP: another address is listened on with the next start");
+            tracing::warn!(listen = %config.listen, "SIGHUP: the new listen address takes effect at the next start");
         }
-        self.core.carrier.settle(&config.rules, config.discovery, idle.list_limit);
+        self.core.carrier.reconfigure(&config.rules, config.discovery, idle.list_limit);
         self.budget.sockets.set(config.limits.sockets);
-        self.core.carrier.set_connections(self.budget.connections(&idle));
+        self.core.carrier.set_max_connections(self.budget.node_connections(&idle));
         self.core.settle(config.rules, config.limits.disk);
-        self.places.set(self.budget.submitters());
+        self.limiter.set_limit(self.budget.submitter_connections());
         tracing::info!(discovery = %config.discovery, "SIGHUP: configuration read anew");
         true
     }
@@ -553,8 +574,8 @@
     config: config::Push,
     hooks: Option<Hooks>,
     figures: &Rc<Figures>,
-) -> Result<PushFront, String> {
-    // Not told by anybody: this front's own, new with each start.
+) -> Result<PushFrontend, String> {
+    // This frontend is given no seed: it uses a new one for each start.
     let seed = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
     let gateways = crate::push::gateways::Gateways::new(config.pool, config.notices);
     gateways.secure(config.trust.clone());
@@ -564,37 +585,37 @@
     tracing::info!(recovered = open.len(), "journal read");
     let core = new_core(gateways, rules, hooks, seed, &config.state, journal, figures);
     open.into_iter().for_each(|open| core.recover(open));
-    begin(&core, "push");
+    start_tasks(&core, "push");
     core.take_list(&config.gateways).await;
     actix_rt::spawn(crate::push::gateways::tend(core.clone()));
     let listener = listen("push.listen", config.listen)?;
     let address = listener.local_addr().unwrap_or(config.listen);
     let server = crate::push::server::Server::new(core.clone(), &config, seed);
-    let places = Rc::new(ConnectionLimiter::new(config.connections));
-    actix_rt::spawn(server.clone().accept(listener, places.clone()));
+    let limiter = Rc::new(ConnectionLimiter::new(config.connections));
+    actix_rt::spawn(server.clone().accept(listener, limiter.clone()));
     tracing::info!(listen = %address, "push front is ready");
-    Ok(PushFront { core, server, places, listen: config.listen, state: config.state })
+    Ok(PushFrontend { core, server, limiter, listen: config.listen, state: config.state })
 }
 
-impl PushFront {
-    /// Reads the file anew and takes it up without dropping a message or a connection. False if it is faulty.
+impl PushFrontend {
+    /// Reloads the file without dropping a message or a connection. Returns false if it is invalid.
     async fn reload(&self, file: &Path) -> bool {
         match config::own(file).and_then(|own| own.push.ok_or("push: the table is gone".into())) {
             Ok(push) => {
                 if (push.listen, &push.state) != (self.listen, &self.state) {
-                    tracing::warn!("SIGHUP: push.listen and push.state are taken up with the next start");
+                    tracing::warn!("SIGHUP: push.listen and push.state take effect at the next start");
                 }
                 self.core.carrier.settle(push.pool, push.notices);
                 self.core.carrier.secure(push.trust);
                 self.core.settle(push.rules, push.disk);
                 self.core.take_list(&push.gateways).await;
                 self.server.settle(push.locations, push.body_limit, push.secured);
-                self.places.set(push.connections);
+                self.limiter.set_limit(push.connections);
                 tracing::info!(gateways = push.gateways.len(), "SIGHUP: file read anew");
                 true
             }
-            Err(fault) => {
-                tracing::error!(fault, "SIGHUP: the file is faulty; nothing changes");
+            Err(error) => {
+                tracing::error!(fault = error, "SIGHUP: the file is faulty; nothing changes");
                 false
             }
         }
--- a/relay/tests/platform/discovery.rs
+++ b/relay/tests/platform/discovery.rs
@@ -20,12 +20,12 @@
         "send list n1:7
          send relay start must_ask=60         # a fifth of a minute would be twelve seconds
          expect relay log=list_of_execute_nodes
-         expect relay log=discovery_is_asked_held=Some(2)_wait=1ms
-         expect relay log=discovery_is_asked_held=Some(2)_wait=1s
+         expect relay log=calling_discovery_held=Some(2)_wait=1ms
+         expect relay log=calling_discovery_held=Some(2)_wait=1s
          send list n1:7
          send relay kill
          send relay start must_ask=2
-         expect relay log=discovery_is_asked_held=Some(3)_wait=400ms",
+         expect relay log=calling_discovery_held=Some(3)_wait=400ms",
     );
 }
 
@@ -104,7 +104,7 @@
         None,
         "send list n1:7
          send relay start known=2             # as the list stands
-         expect relay log=discovery_is_asked_held=Some(2)
+         expect relay log=calling_discovery_held=Some(2)
          send list n1:7 n2:8
          expect relay log=list_of_execute_nodes_changed
          send s1 POST /notice id=j1 dest=8 left=2000
--- a/relay/tests/platform/restart.rs
+++ b/relay/tests/platform/restart.rs
@@ -66,7 +66,7 @@
          expect n2 POST
          send n2 200
          expect s3 closed                     # idle: a request that crosses the end would be lost
-         expect relay log=no_connections_are_taken
+         expect relay log=no_more_connections_are_accepted
          expect relay exit
          send relay start
          expect relay log=recovered=1
@@ -132,7 +132,7 @@
          expect n2 POST
          send n2 200
          send n1 200
-         expect relay log=no_connections_are_taken
+         expect relay log=no_more_connections_are_accepted
          expect relay exit
          send relay start
          expect relay log=recovered=0
--- a/relay/tests/scenario/mod.rs
+++ b/relay/tests/scenario/mod.rs
@@ -330,7 +330,7 @@
         let mut ready = false;
         while let Ok(Ok(Some(line))) = timeout(PATIENCE, lines.next_line()).await {
             for (front, told) in
-                [("admin", "second address"), ("platform", "platform front"), ("push", "push front")]
+                [("admin", "admin address"), ("platform", "platform front"), ("push", "push front")]
             {
                 if line.contains(&format!("{told} is ready")) {
                     let at = line.split("listen=").nth(1).and_then(|a| a.trim().parse().ok());
--- a/relay/tests/silent_connections.rs
+++ b/relay/tests/silent_connections.rs
@@ -12,7 +12,7 @@
 /// a head of 128 KiB in a buffer twice that size.
 const BOUNDS: &str = "expect relay measured descriptors<513 resident_mb<1025
      expect relay measured resident_mb<100
-     expect relay never log=cannot_take_a_connection
+     expect relay never log=cannot_accept_a_connection
      expect relay never exit";
 
 /// Calls to twelve endpoints, whose connections rest from then on, and the notice of a message that nobody answers.
