--- a/relay/src/push/server.rs
+++ b/relay/src/push/server.rs
@@ -19,12 +19,11 @@
 use tokio_util::either::Either;
 
 use super::{PATH, TOPIC, TTL};
-use crate::clock;
+use crate::{clock, tls};
 use crate::config::{Location, Push, Urgency};
-use crate::connection_limiter::{self, ConnectionPolicy, Places, TrackedStream, Yields};
+use crate::connection_limiter::{self, ConnectionLimiter, ConnectionPolicy, EvictionPolicy, TrackedStream};
 use crate::core::{Core, Transport};
 use crate::job::{Answer, Job};
-use crate::tls;
 
 /// A submitter's connection may stand idle for so long; then it is pinged, and closed if nothing comes back.
 const KEEP_ALIVE: Duration = Duration::from_secs(60);
@@ -32,7 +31,7 @@
 const READ_TIME: Duration = Duration::from_millis(2500);
 /// Silent connections make room; the rest is HTTP/2's own, with pings.
 const CONNECTION_POLICY: ConnectionPolicy =
-    ConnectionPolicy { first: READ_TIME, whole: None, idle: KEEP_ALIVE, yields: Yields::Silent };
+    ConnectionPolicy { first_request_timeout: READ_TIME, request_timeout: None, idle_timeout: KEEP_ALIVE, eviction: EvictionPolicy::IdleOnly, };
 /// Where a message that was taken on can be asked for while it is open.
 const MESSAGE: &str = "/message/";
 /// All header names and values that a job carries.
@@ -85,7 +84,7 @@
         *self.locations.borrow_mut() = locations;
     }
 
-    pub async fn accept(self: Rc<Self>, listener: TcpListener, places: Rc<Places>) {
+    pub async fn accept(self: Rc<Self>, listener: TcpListener, places: Rc<ConnectionLimiter>) {
         let greeter = self.clone();
         let service = HttpService::build()
             .keep_alive(KeepAlive::Timeout(KEEP_ALIVE))
