--- a/relay/src/admin/mod.rs
+++ b/relay/src/admin/mod.rs
@@ -15,14 +15,16 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use crate::backlog::Backlog;
-use crate::connection_limiter::{self, ConnectionLimiter, ConnectionPolicy, ConnectionState, EvictionPolicy, TrackedStream};
-use crate::instances::Instances;
-use call::{Call, InvalidCall};
 use crate::availability::AvailabilityEvent;
+use crate::backlog::Backlog;
+use crate::connection_limiter::{
+    self, ConnectionLimiter, ConnectionPolicy, ConnectionState, EvictionPolicy, TrackedStream,
+};
 use crate::core::SetDisabledError;
 use crate::disabled::DisableError;
+use crate::instances::Instances;
 use crate::metrics::{GaugeValues, Metrics};
+use call::{Call, InvalidCall};
 
 /// Calls are short: one that is not complete within 1 s is dropped.
 const CONNECTION_POLICY: ConnectionPolicy = ConnectionPolicy {
--- a/relay/src/platform/batch/tests.rs
+++ b/relay/src/platform/batch/tests.rs
@@ -4,7 +4,12 @@
 fn part(id: &str, key: Option<&str>, size: usize) -> BundledMessage {
     let fields = key.map(|key| (IDEMPOTENCY_KEY.to_owned(), Bytes::copy_from_slice(key.as_bytes())));
     let permit = permit(true, Duration::ZERO, None);
-    BundledMessage { id: id.into(), fields: fields.into_iter().collect(), body: vec![b'x'; size].into(), permit, }
+    BundledMessage {
+        id: id.into(),
+        fields: fields.into_iter().collect(),
+        body: vec![b'x'; size].into(),
+        permit,
+    }
 }
 
 #[test]
@@ -20,7 +25,7 @@
     let parts = ["a", "b", "c", "d", "e"].map(|id| part(id, None, 0));
     let wait = Some(Duration::from_secs(2));
     let answer = b"e exhausted\r\na ok\r\nc gone\r\nb later\r\nd error\r\n";
-use Outcome::*;
+    use Outcome::*;
     assert_eq!(decode(answer, &parts, wait), [Delivered, Full { wait }, Over, Error, NotSent]);
     for cut in 0..answer.len() {
         assert_eq!(decode(&answer[..cut], &parts, wait), [Error; 5], "cut at {cut}");
--- a/relay/src/platform/carrier.rs
+++ b/relay/src/platform/carrier.rs
@@ -23,7 +23,7 @@
 
 use super::connection::{BodyFraming, CURRENT_CALL, CallTrace, ConnectionPool, NodePool};
 use crate::config::Rules;
-use crate::core::{Core, Node, BundledMessage, SendPermit, Transport};
+use crate::core::{BundledMessage, Core, Node, SendPermit, Transport};
 use crate::discovery::DiscoveryServer;
 use crate::job::{Job, Outcome, parse_wait_seconds};
 use crate::journal::FinalNotice;
--- a/relay/src/platform/connection.rs
+++ b/relay/src/platform/connection.rs
@@ -21,8 +21,8 @@
 use tokio::sync::Notify;
 
 use super::chunks::ChunkScanner;
-use crate::idle_pool::{ConnectionId, IdlePool};
 use crate::core::SendPermit;
+use crate::idle_pool::{ConnectionId, IdlePool};
 
 /// How long a connection is not reused after a response. Guards against surplus bytes that the node writes right behind a response and
 /// that have not arrived yet when the next call is sent: they would be read as its response.
--- a/relay/src/platform/server.rs
+++ b/relay/src/platform/server.rs
@@ -13,7 +13,9 @@
 use super::IDEMPOTENCY_KEY;
 use crate::availability::Availability;
 use crate::clock;
-use crate::connection_limiter::{self, ConnectionLimiter, ConnectionPolicy, ConnectionState, EvictionPolicy, TrackedStream};
+use crate::connection_limiter::{
+    self, ConnectionLimiter, ConnectionPolicy, ConnectionState, EvictionPolicy, TrackedStream,
+};
 use crate::core::{Core, Transport};
 use crate::job::{Answer, Job};
 
--- a/relay/src/push/server.rs
+++ b/relay/src/push/server.rs
@@ -19,19 +19,23 @@
 use tokio_util::either::Either;
 
 use super::{PATH, TOPIC, TTL};
-use crate::{clock, tls};
 use crate::config::{Location, Push, Urgency};
 use crate::connection_limiter::{self, ConnectionLimiter, ConnectionPolicy, EvictionPolicy, TrackedStream};
 use crate::core::{Core, Transport};
 use crate::job::{Answer, Job};
+use crate::{clock, tls};
 
 /// A submitter's connection may stand idle for so long; then it is pinged, and closed if nothing comes back.
 const KEEP_ALIVE: Duration = Duration::from_secs(60);
 /// HTTP/2's opening must be done, and a body be whole, within this time.
 const READ_TIME: Duration = Duration::from_millis(2500);
 /// Silent connections make room; the rest is HTTP/2's own, with pings.
-const CONNECTION_POLICY: ConnectionPolicy =
-    ConnectionPolicy { first_request_timeout: READ_TIME, request_timeout: None, idle_timeout: KEEP_ALIVE, eviction: EvictionPolicy::IdleOnly, };
+const CONNECTION_POLICY: ConnectionPolicy = ConnectionPolicy {
+    first_request_timeout: READ_TIME,
+    request_timeout: None,
+    idle_timeout: KEEP_ALIVE,
+    eviction: EvictionPolicy::IdleOnly,
+};
 /// Where a message that was taken on can be asked for while it is open.
 const MESSAGE: &str = "/message/";
 /// All header names and values that a job carries.
--- a/relay/src/run.rs
+++ b/relay/src/run.rs
@@ -15,6 +15,7 @@
 use crate::config::{self, Idle, Limits, Rules};
 use crate::connection_limiter::ConnectionLimiter;
 use crate::core::{Core, SetDisabledError, Transport};
+use crate::disabled::DisabledNodes;
 use crate::handover::{self, HandoverListener};
 use crate::hook::Hooks;
 use crate::instances::{self, Instances, Sharing};
@@ -22,9 +23,8 @@
 use crate::lease_record::LeaseRecord;
 use crate::list::NodeList;
 use crate::listener::listen;
-use crate::platform::refusing::refuse_all;
-use crate::disabled::DisabledNodes;
 use crate::metrics::{BacklogMetrics, GaugeValues, Metrics};
+use crate::platform::refusing::refuse_all;
 
 /// First stage of the shutdown: everything continues, since new connections arrive for up to 0.4 s after SIGTERM.
 const SHUTDOWN_SERVING_TIME: Duration = Duration::from_millis(600);
@@ -295,7 +295,8 @@
                 }
                 return Ok(done);
             }
-            Err(error) if !is_transient(&error) => { return Err(format!("{what} in {}: {error}", state.display()));
+            Err(error) if !is_transient(&error) => {
+                return Err(format!("{what} in {}: {error}", state.display()));
             }
             Err(error) => {
                 if !std::mem::replace(&mut logged, true) {
