--- a/benches/held.rs
+++ b/benches/held.rs
@@ -10,23 +10,27 @@
 const BUSY: u32 = 50;
 
 fn ask(msg: u32, dest: u32) -> Event {
-    Event::Request(Request { patience: 4000 * SECOND, ..request(msg, u64::from(dest), 0) })
+    Event::Request(Request { time_left: 4000 * SECOND, ..request(msg, u64::from(dest), 0) })
 }
 
 /// A courier that holds so many messages for so many destinations that are busy with a call each.
-fn holding(held: u32, dests: u32) -> (Courier, Nanos) {
-    let class =
-        Class { aim: 1000 * SECOND, give_up: 4000 * SECOND, effect: Effect::Safe, ..Class::default() };
+fn holding(held: u32, dests: u32) -> (Dispatcher, Nanos) {
+    let class = Class {
+        target_latency: 1000 * SECOND,
+        lifetime: 4000 * SECOND,
+        effect: Effect::Safe,
+        ..Class::default()
+    };
     let settings = Settings {
-        couriers: Some(1),
-        step: Some(MS),
+        relays: Some(1),
+        round_interval: Some(MS),
         classes: vec![class],
         kinds: vec![Kind::default()],
         slots: Some(100_000),
-        max_held: Some(1_000_000),
+        max_queued: Some(1_000_000),
         ..Settings::default()
     };
-    let mut courier = Courier::new(settings, 1);
+    let mut courier = Dispatcher::new(settings, 1);
     let list = (1..=BUSY + dests).map(|id| endpoint(id, u64::from(id))).collect();
     courier.on_round(SECOND, &[Event::List { scope: ListScope::Whole, entries: list }], &mut Vec::new());
     let requests: Vec<_> = (0..held + dests).map(|i| ask(1_000_000 + i, BUSY + 1 + i % dests)).collect();
--- a/benches/listed.rs
+++ b/benches/listed.rs
@@ -14,18 +14,19 @@
 }
 
 /// A courier with so many endpoints listed, some of which are in use.
-fn courier(size: u32) -> (Courier, Nanos, u32) {
-    let class = Class { aim: SECOND, give_up: 6 * SECOND, effect: Effect::Safe, ..Class::default() };
+fn courier(size: u32) -> (Dispatcher, Nanos, u32) {
+    let class =
+        Class { target_latency: SECOND, lifetime: 6 * SECOND, effect: Effect::Safe, ..Class::default() };
     let settings = Settings {
-        couriers: Some(1),
-        step: Some(5 * MS),
+        relays: Some(1),
+        round_interval: Some(5 * MS),
         classes: vec![class],
         kinds: vec![Kind::default()],
         slots: Some(64),
-        max_held: Some(512),
+        max_queued: Some(512),
         ..Settings::default()
     };
-    let mut courier = Courier::new(settings, 1);
+    let mut courier = Dispatcher::new(settings, 1);
     let list =
         Event::List { scope: ListScope::Whole, entries: (1..=size).map(|id| listed_at(id, 100.0)).collect() };
     courier.on_round(SECOND, &[list], &mut Vec::new());
@@ -37,10 +38,10 @@
 }
 
 /// One message, in and delivered.
-fn job(courier: &mut Courier, now: &mut Nanos, msg: &mut u32) {
+fn job(courier: &mut Dispatcher, now: &mut Nanos, msg: &mut u32) {
     *msg += 1;
     let dest = u64::from(*msg % BUSY) + 1;
-    let request = Event::Request(Request { patience: 6 * SECOND, ..request(*msg, dest, 0) });
+    let request = Event::Request(Request { time_left: 6 * SECOND, ..request(*msg, dest, 0) });
     let mut actions = Vec::new();
     *now += 5 * MS;
     courier.on_round(*now, &[request], &mut actions);
--- a/lab/src/capacity/destinations.rs
+++ b/lab/src/capacity/destinations.rs
@@ -316,7 +316,7 @@
 
 /// The decision module with a clock of its own.
 struct Module {
-    courier: Courier,
+    courier: Dispatcher,
     now: Nanos,
     used: u32,
     message: u32,
@@ -329,7 +329,7 @@
         let mut settings = hollow_relay::settings(1, IDLE_CLOSE);
         settings.slots = Some(WARM_UP_BATCH * 2);
         let mut module =
-            Module { courier: Courier::new(settings, 1), now: HOUR, used, message: 0, out: None };
+            Module { courier: Dispatcher::new(settings, 1), now: HOUR, used, message: 0, out: None };
         let entries = (0..listed).map(hollow_relay::entry).collect();
         module.play(&[Event::List { scope: ListScope::Whole, entries }]);
         let destinations: Vec<_> = (0..used).collect();
@@ -376,13 +376,13 @@
 }
 
 fn answer((msg, endpoint): (MsgId, EndpointId)) -> Event {
-    Event::Closed {
+    Event::AttemptEnded {
         msg,
         attempt: 0,
         endpoint,
         outcome: Outcome::Ok,
         latency: STEP,
-        no_more: true,
+        message_done: true,
         report: Report::default(),
     }
 }
--- a/lab/src/capacity/hollow_relay.rs
+++ b/lab/src/capacity/hollow_relay.rs
@@ -130,7 +130,7 @@
 struct Relay<'a, B> {
     plan: &'a Plan,
     behaviour: B,
-    courier: Courier,
+    courier: Dispatcher,
     random: StdRng,
     inbox: Vec<Event>,
     round_due: bool,
@@ -174,7 +174,7 @@
     let mut relay = Relay {
         plan,
         behaviour,
-        courier: Courier::new(plan.settings.clone(), seed),
+        courier: Dispatcher::new(plan.settings.clone(), seed),
         random: StdRng::seed_from_u64(seed),
         inbox: Vec::new(),
         round_due: false,
@@ -275,13 +275,13 @@
     /// what the module keeps before and after.
     fn look(&mut self, destination: u32, request: Event) {
         self.round();
-        let before = self.courier.kept();
+        let before = self.courier.record_counts();
         self.inbox.push(request);
         self.round();
-        let after = self.courier.kept();
+        let after = self.courier.record_counts();
         let memory = if after.full == before.full {
             Memory::Full
-        } else if after.rests < before.rests {
+        } else if after.idle < before.idle {
             Memory::Compact
         } else if self.down.contains_key(&destination) {
             Memory::Down
@@ -302,7 +302,7 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { msg, endpoint, limit } => {
+            Action::Send { msg, endpoint, timeout: limit } => {
                 self.send(msg.0, endpoint.0 - 1, Duration::from_nanos(limit))
             }
             Action::Refuse { msg, .. } | Action::Fail { msg } => drop(self.attempts.remove(&msg.0)),
@@ -310,7 +310,7 @@
             Action::SetTimer { nonce, after } => {
                 self.schedule(self.now + Duration::from_nanos(after), Next::Timer(nonce));
             }
-            Action::Close { endpoint } => drop(self.idle.remove(&(endpoint.0 - 1))),
+            Action::CloseIdle { endpoint } => drop(self.idle.remove(&(endpoint.0 - 1))),
             Action::Log { line } => self.hear(&line),
             _ => {}
         }
@@ -337,7 +337,7 @@
             Behaviour::Serves => Some((SERVED_AFTER, Outcome::Ok)),
             Behaviour::Refuses => Some((REFUSED_AFTER, Outcome::ConnectFailed)),
             Behaviour::TurnsAway(wait) => {
-                Some((SERVED_AFTER, Outcome::Full { wait: Some(wait.as_nanos() as u64) }))
+                Some((SERVED_AFTER, Outcome::Overloaded { retry_after: Some(wait.as_nanos() as u64) }))
             }
             Behaviour::Hangs => None,
         };
@@ -353,7 +353,7 @@
             return;
         }
         let out = self.out.remove(&message).expect("just seen");
-        let answered = matches!(outcome, Outcome::Ok | Outcome::Full { .. });
+        let answered = matches!(outcome, Outcome::Ok | Outcome::Overloaded { .. });
         if answered {
             self.idle.entry(out.destination).or_default().push(self.now);
         }
@@ -364,13 +364,13 @@
                 self.record.known.push(known);
             }
         }
-        self.tell(Event::Closed {
+        self.tell(Event::AttemptEnded {
             msg: MsgId(message),
             attempt,
             endpoint: EndpointId(out.destination + 1),
             outcome,
             latency: (self.now - out.sent).as_nanos() as u64,
-            no_more: outcome == Outcome::Ok,
+            message_done: outcome == Outcome::Ok,
             report: Report::default(),
         });
     }
@@ -419,12 +419,12 @@
         class: NOTICE,
         tenant: None,
         key: None,
-        patience: PATIENCE.as_nanos() as u64,
+        time_left: PATIENCE.as_nanos() as u64,
         retry: false,
         reconnect: false,
-        tries: 0,
-        risk: None,
-        kept: false,
+        previous_attempts: 0,
+        unconfirmed: None,
+        restored: false,
         rules: None,
     }
 }
--- a/lab/src/virtual_time.rs
+++ b/lab/src/virtual_time.rs
@@ -61,7 +61,7 @@
 
 /// A relay as far as virtual time needs one.
 struct Host {
-    courier: Courier,
+    courier: Dispatcher,
     inbox: Vec<Event>,
     round_at: Option<At>,
     last_round: At,
@@ -98,7 +98,7 @@
     /// Plays an experiment with so many destinations listed.
     pub fn run(experiment: &Experiment, dests: usize, seed: u64) -> Play {
         let hosts = (0..experiment.relay.count).map(|n| Host {
-            courier: Courier::new(settings(&experiment.relay), seed ^ (n as u64) << 32),
+            courier: Dispatcher::new(settings(&experiment.relay), seed ^ (n as u64) << 32),
             inbox: Vec::new(),
             round_at: None,
             last_round: At::ZERO,
@@ -148,8 +148,8 @@
     }
 
     /// What all couriers keep just now.
-    pub fn kept(&self) -> Kept {
-        self.hosts[0].courier.kept()
+    pub fn kept(&self) -> RecordCounts {
+        self.hosts[0].courier.record_counts()
     }
 
     fn at(&mut self, at: At, next: Next) {
@@ -191,12 +191,12 @@
                         class: ClassId(usize::from(arrival.order)),
                         tenant: None,
                         key: None,
-                        patience: arrival.patience.as_nanos() as u64,
+                        time_left: arrival.patience.as_nanos() as u64,
                         retry: false,
                         reconnect: false,
-                        tries: 0,
-                        risk: None,
-                        kept: false,
+                        previous_attempts: 0,
+                        unconfirmed: None,
+                        restored: false,
                         rules: None,
                     }),
                 );
@@ -236,7 +236,9 @@
         let (after, outcome) = match fate {
             Fate::Served(after) => (after, Outcome::Ok),
             Fate::Failed => (Duration::ZERO, Outcome::Error),
-            Fate::Full(wait) => (Duration::ZERO, Outcome::Full { wait: wait.map(|w| w.as_nanos() as u64) }),
+            Fate::Full(wait) => {
+                (Duration::ZERO, Outcome::Overloaded { retry_after: wait.map(|w| w.as_nanos() as u64) })
+            }
             Fate::Lost => (Duration::ZERO, Outcome::Reset),
             Fate::Silent => return,
         };
@@ -258,19 +260,19 @@
         // What never arrived at its partner is not out there, and was never sent for all that it knows.
         let outcome = match outcome {
             Outcome::Timeout if out.fate.is_none() => Outcome::ConnectFailed,
-            Outcome::Cancelled if out.fate.is_none() => Outcome::Moot,
+            Outcome::Cancelled if out.fate.is_none() => Outcome::NotSent,
             outcome => outcome,
         };
         if outcome == Outcome::Ok {
             host.attempts.remove(&call.msg);
         }
-        let event = Event::Closed {
+        let event = Event::AttemptEnded {
             msg: MsgId(call.msg as u32),
             attempt: call.attempt,
             endpoint: out.endpoint,
             outcome,
             latency: (now - out.sent).as_nanos() as u64,
-            no_more: outcome == Outcome::Ok,
+            message_done: outcome == Outcome::Ok,
             report: Report::default(),
         };
         self.tell(call.relay, event);
@@ -285,7 +287,7 @@
         host.courier.on_round((START + now).as_nanos() as u64, &events, &mut actions);
         for action in actions {
             match action {
-                Action::Send { msg, endpoint, limit } => {
+                Action::Send { msg, endpoint, timeout: limit } => {
                     let msg = u64::from(msg.0);
                     let host = &mut self.hosts[relay];
                     let next = host.attempts.entry(msg).or_default();
@@ -349,8 +351,8 @@
             kind: KindId(0),
             condition: match entry.state {
                 State::Serving => Condition::Active,
-                State::Draining => Condition::Leaving,
-                State::Gone => Condition::Left,
+                State::Draining => Condition::Draining,
+                State::Gone => Condition::Removed,
             },
             weight: entry.weight,
             started: entry.started.map_or(0, |at| (start + at).as_nanos() as u64),
--- a/relay/src/config/push/classes.rs
+++ b/relay/src/config/push/classes.rs
@@ -1,6 +1,6 @@
 //! The tables `[[class]]`: classes of messages, and the rules of the push front that follow from them.
 use serde::{Deserialize, Serialize};
-use slatethread::{Effect, Fade, Kind, Settings, Weights};
+use slatethread::{Effect, Kind, Settings, Weights, WorthDecay};
 use slatethread_wirehost::env::Names;
 
 use super::upstreams::GATEWAY;
@@ -40,8 +40,8 @@
     /// The class as the module has it.
     fn class(&self) -> slatethread::Class {
         slatethread::Class {
-            aim: millis(self.aim_ms),
-            give_up: millis(self.give_up_ms),
+            target_latency: millis(self.aim_ms),
+            lifetime: millis(self.give_up_ms),
             // A gateway remembers no keys, and one that resets streams at random may have taken the message
             // with any reason it gives: such a class is never sent again once it may have run.
             effect: match self.repeat {
@@ -49,7 +49,7 @@
                 Repeat::Never => Effect::Unsafe,
             },
             late_worth: Some(self.late_worth),
-            credit: Some(self.worth),
+            worth: Some(self.worth),
             ..slatethread::Class::default()
         }
     }
@@ -74,25 +74,25 @@
     let limits = &file.limits;
     let rated = file.upstreams.iter().any(|u| u.rate.is_some());
     Settings {
-        couriers: Some(limits.relays.max(1)),
-        step: Some(millis(limits.step_ms)),
+        relays: Some(limits.relays.max(1)),
+        round_interval: Some(millis(limits.step_ms)),
         classes: file.classes.iter().map(ClassTable::class).collect(),
-        fade: Some(Fade::Line),
+        worth_decay: Some(WorthDecay::Linear),
         kinds: vec![Kind::default()],
         slots: Some(limits.slots),
-        max_held: Some(limits.jobs),
-        max_tries: Some(limits.tries),
+        max_queued: Some(limits.jobs),
+        max_attempts: Some(limits.tries),
         max_backoff: Some(millis(limits.longest_backoff_ms.max(1))),
         idle_close: Some(millis(limits.idle_close_ms)),
         dial_timeout: Some(millis(limits.dial_timeout_ms)),
-        backoff_told: true,
+        refusals_carry_backoff: true,
         weights: if rated { Weights::Exact } else { Weights::Nothing },
         // The platform's figures: nothing better is known of gateways that come back cold.
         rules: slatethread::Rules {
-            cold: Some(millis(14_000)),
+            warm_up_time: Some(millis(14_000)),
             cold_share: Some(0.18),
-            fall_multiple: Some(2.0),
-            fall: Some(millis(3000)),
+            overload_factor: Some(2.0),
+            overload_time: Some(millis(3000)),
             ..slatethread::Rules::default()
         },
         ..Settings::default()
--- a/relay/src/config/rules.rs
+++ b/relay/src/config/rules.rs
@@ -13,12 +13,12 @@
 impl Rules {
     /// Least time between rounds.
     pub fn step(&self) -> Duration {
-        span(self.settings.step, Duration::from_millis(5))
+        span(self.settings.round_interval, Duration::from_millis(5))
     }
 
     /// The list must be watched or asked for this often.
     pub fn must_ask_in(&self) -> Duration {
-        span(self.settings.rules.must_ask_in, Duration::from_secs(10))
+        span(self.settings.rules.list_poll_interval, Duration::from_secs(10))
     }
 
     /// A connection that is not up within this time has failed.
--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -503,8 +503,9 @@
     /// How a message ends whose time is over: handed back where that is harmless.
     fn end_of(&self, message: &StoredMessage) -> Notice {
         let request = QueuedRequest::decode(&message.payload);
-        let returns =
-            request.as_ref().is_ok_and(|request| !request.may_have_run() || request.rules().may_come_again());
+        let returns = request
+            .as_ref()
+            .is_ok_and(|request| !request.may_have_run() || request.rules().may_be_resubmitted());
         if let Ok(request) = &request {
             self.figures.ended(&request.job.class, if returns { Ended::TurnedBack } else { Ended::Failed });
         }
--- a/relay/src/core/backlog/tests.rs
+++ b/relay/src/core/backlog/tests.rs
@@ -121,15 +121,15 @@
 fn rules(classes: &[&str]) -> Rules {
     let class = Class {
         effect: Effect::Unsafe,
-        give_up: LONG_LIFE.as_nanos() as u64,
-        aim: 1_000_000_000,
+        lifetime: LONG_LIFE.as_nanos() as u64,
+        target_latency: 1_000_000_000,
         ..Class::default()
     };
     let settings = Settings {
         classes: vec![class; classes.len()],
-        max_held: Some(MOST_HELD),
+        max_queued: Some(MOST_HELD),
         slots: Some(CALLS),
-        max_tries: Some(1_000),
+        max_attempts: Some(1_000),
         ..Settings::default()
     };
     let classes = classes.iter().map(|class| (*class).to_owned()).collect();
--- a/relay/src/core/life.rs
+++ b/relay/src/core/life.rs
@@ -1,5 +1,7 @@
 //! The life of one job, and its place at the module.
-use slatethread::{Class, ClassId, DestId, EndpointId, Event, MsgId, Report, Request, Risk, ZoneId};
+use slatethread::{
+    Class, ClassId, DestId, EndpointId, Event, MsgId, Report, Request, UnconfirmedAttempt, ZoneId,
+};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
@@ -394,7 +396,7 @@
 
     /// Whether handing the job in again is harmless, as the rules have it.
     fn may_return(&self, job: &Job, course: &Course) -> bool {
-        (course.risk.is_none() || course.rules.may_come_again()) && !job.left().is_zero()
+        (course.risk.is_none() || course.rules.may_be_resubmitted()) && !job.left().is_zero()
     }
 
     fn record(&self, job: &Job, rules: &Class) -> Option<TakenOn> {
@@ -417,7 +419,7 @@
         let risk = course.risk.as_ref().map(|risk| {
             let ago = risk.ago(now);
             let zone = risk.zone.as_ref().and_then(|z| self.rules().names.zones.iter().position(|n| n == z));
-            Risk {
+            UnconfirmedAttempt {
                 sent: self.module_time(Instant::now()).saturating_sub(nanos(ago)),
                 // One that is no longer listed has no number; none is ever given twice.
                 endpoint: state.nodes.named(&risk.node).map_or(EndpointId(u32::MAX), |node| node.id),
@@ -439,12 +441,12 @@
             class: ClassId(course.class),
             tenant: None,
             key: None,
-            patience: nanos(job.deadline.duration_since(now).unwrap_or_default()),
+            time_left: nanos(job.deadline.duration_since(now).unwrap_or_default()),
             retry: job.retry,
             reconnect: job.reconnect,
-            tries: course.tries,
-            risk,
-            kept: course.kept,
+            previous_attempts: course.tries,
+            unconfirmed: risk,
+            restored: course.kept,
             rules: Some(course.rules.clone()),
         }));
         self.wake.notify_one();
@@ -454,7 +456,7 @@
 
 /// Until when an earlier claim is surely remembered, where a repeat matters.
 fn memory_ends(rules: &Class, risk: &MayHaveRun) -> Option<Instant> {
-    let memory = Duration::from_nanos(rules.memory()?);
+    let memory = Duration::from_nanos(rules.resend_window()?);
     Some(Instant::now() + memory.saturating_sub(risk.ago(clock::now())))
 }
 
@@ -497,13 +499,13 @@
     }
 
     fn report_closed(&self, attempt: u32, node: &Node, outcome: Outcome, took: Duration, report: Report) {
-        self.report(Event::Closed {
+        self.report(Event::AttemptEnded {
             msg: self.msg,
             attempt,
             endpoint: node.id,
             outcome: outcome.for_module(),
             latency: nanos(took),
-            no_more: outcome.ends_job(),
+            message_done: outcome.ends_job(),
             report,
         });
     }
@@ -525,7 +527,7 @@
             }
             order = self.orders.try_recv().ok();
         }
-        self.report(Event::Expired { msg: self.msg });
+        self.report(Event::Abandoned { msg: self.msg });
     }
 }
 
--- a/relay/src/core/list_confirmation.rs
+++ b/relay/src/core/list_confirmation.rs
@@ -30,7 +30,7 @@
     /// A lease without end, for lists that are not asked for. `start` is when the module's clock began.
     pub fn new(start: Instant) -> Self {
         ListClock {
-            lease: RefCell::new(ListLease::endless()),
+            lease: RefCell::new(ListLease::unbounded()),
             start,
             record: RefCell::default(),
             lapsed: Cell::new(false),
@@ -56,7 +56,7 @@
     /// How long ago the list was last known to be complete; none where it is not asked for, or was never confirmed.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         let lease = self.lease.borrow();
-        let confirmed = lease.confirmed().filter(|_| lease.ends_at().is_some())?;
+        let confirmed = lease.confirmed_at().filter(|_| lease.ends_at().is_some())?;
         Some(Duration::from_nanos(self.module_time(now).saturating_sub(confirmed)))
     }
 
@@ -74,7 +74,7 @@
     /// or an older one, and `first_start` that there was none. Then what the configuration says is taken as confirmed just now.
     pub fn bind_list(&self, record: Option<LeaseRecord>, before: Option<Confirmed>, first_start: bool) {
         let now = self.module_time(Instant::now());
-        let mut lease = ListLease::asked_for(nanos(self.rules().must_ask_in()));
+        let mut lease = ListLease::for_polled_list(nanos(self.rules().must_ask_in()));
         match before {
             Some(before) => lease.restore(now.saturating_sub(nanos(before.ago))),
             None if first_start => lease.restore(now),
@@ -89,7 +89,7 @@
     /// The first byte of an answer with a list has come.
     pub fn list_answer_begins(&self, first: Instant) {
         let first = self.module_time(first);
-        self.list_clock.change(|lease| lease.answer_begins(first));
+        self.list_clock.change(|lease| lease.answer_started(first));
         self.wake.notify_one();
     }
 
@@ -106,8 +106,8 @@
         let now = self.module_time(Instant::now());
         let must_ask_in = nanos(self.rules().must_ask_in());
         self.list_clock.change(|lease| {
-            lease.settle(must_ask_in);
-            lease.reload(now);
+            lease.set_poll_interval(must_ask_in);
+            lease.configuration_reloaded(now);
         });
         self.record_lease();
         self.wake.notify_one();
@@ -116,7 +116,7 @@
     /// A call to discovery failed.
     pub(super) fn list_call_failed(&self, how: ListScope) {
         let now = self.module_time(Instant::now());
-        self.list_clock.change(|lease| lease.fail(now, how));
+        self.list_clock.change(|lease| lease.call_failed(now, how));
         self.record_lease();
     }
 
@@ -138,7 +138,7 @@
     fn record_lease(&self) {
         if let Some(record) = &mut *self.list_clock.record.borrow_mut() {
             let now = self.module_time(Instant::now());
-            let confirmed = self.list_clock.lease.borrow().inheritable();
+            let confirmed = self.list_clock.lease.borrow().inheritable_confirmation();
             let generation = self.generation.get();
             record.write(confirmed.zip(generation).map(|(confirmed, generation)| Confirmed {
                 generation,
--- a/relay/src/core/mod.rs
+++ b/relay/src/core/mod.rs
@@ -10,7 +10,7 @@
 mod rounds;
 mod succession;
 
-use slatethread::{Courier, EndpointId, Event, MsgId, Nanos};
+use slatethread::{Dispatcher, EndpointId, Event, MsgId, Nanos};
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -74,7 +74,7 @@
 }
 
 struct State {
-    courier: Courier,
+    courier: Dispatcher,
     /// What has happened since the last round.
     inbox: Vec<Event>,
     timers: BinaryHeap<Reverse<(Instant, u64)>>,
@@ -191,7 +191,7 @@
         figures: Rc<Figures>,
     ) -> Rc<Self> {
         let state = State {
-            courier: Courier::new(rules.settings.clone(), seed),
+            courier: Dispatcher::new(rules.settings.clone(), seed),
             inbox: Vec::new(),
             timers: BinaryHeap::new(),
             seats: HashMap::new(),
@@ -246,7 +246,7 @@
     /// are known to open jobs and nodes by their places in the settings, so these can't change under them.
     pub fn settle(&self, mut rules: Rules, disk: u64) {
         // What follows who is there is not for the settings to tell.
-        rules.settings.couriers = self.divided.get().or(rules.settings.couriers);
+        rules.settings.relays = self.divided.get().or(rules.settings.relays);
         rules.settings.list_shared = self.rules().settings.list_shared;
         self.journal.borrow_mut().set_limit(disk);
         let old = self.rules();
@@ -256,7 +256,7 @@
             self.list_reloaded();
             return;
         }
-        self.state.borrow_mut().courier.settle(rules.settings.clone());
+        self.state.borrow_mut().courier.apply_settings(rules.settings.clone());
         *self.rules.borrow_mut() = Rc::new(rules);
         self.list_reloaded();
         self.lend();
@@ -266,9 +266,9 @@
     pub fn divide_limits(&self, relays: u32) {
         self.divided.set(Some(relays));
         let mut rules = (*self.rules()).clone();
-        if rules.settings.couriers != Some(relays) {
-            rules.settings.couriers = Some(relays);
-            self.state.borrow_mut().courier.settle(rules.settings.clone());
+        if rules.settings.relays != Some(relays) {
+            rules.settings.relays = Some(relays);
+            self.state.borrow_mut().courier.apply_settings(rules.settings.clone());
             *self.rules.borrow_mut() = Rc::new(rules);
         }
     }
@@ -281,7 +281,7 @@
             return successor.admit(job).await;
         }
         let held = self.state.borrow().seats.len() + self.borrowed.get();
-        let full = self.rules().settings.max_held.is_some_and(|m| held >= m as usize);
+        let full = self.rules().settings.max_queued.is_some_and(|m| held >= m as usize);
         let winding_down = self.winding_down.get();
         if full || winding_down || !self.knows(job.dest) {
             tracing::debug!(id = job.id, dest = job.dest, full, winding_down, "turned away at the door");
@@ -335,7 +335,13 @@
         let (known, closed) = state.nodes.count();
         let list_age = self.list_clock.age(Instant::now());
         let unwritten_records = self.journal_health.unwritten();
-        Census { in_progress, known, skipped: closed + state.courier.avoided(), list_age, unwritten_records }
+        Census {
+            in_progress,
+            known,
+            skipped: closed + state.courier.down_endpoints(),
+            list_age,
+            unwritten_records,
+        }
     }
 
     /// Whether a job has no end yet.
@@ -378,7 +384,7 @@
                 let list_age = self.list_clock.age(Instant::now());
                 let (open, kept) = {
                     let state = self.state.borrow();
-                    (state.ids.len(), state.courier.kept())
+                    (state.ids.len(), state.courier.record_counts())
                 };
                 tracing::info!(
                     front,
--- a/relay/src/core/nodes.rs
+++ b/relay/src/core/nodes.rs
@@ -478,7 +478,7 @@
         self.carrier.forget(node);
         state.nodes.remove(node);
         state.waits.remove(&(node.dest, Some(node.id)));
-        self.endpoint(node, Condition::Left)
+        self.endpoint(node, Condition::Removed)
     }
 
     /// Whether there is such a destination, or was one a moment ago. Guards against holding what nobody will ever
@@ -538,7 +538,7 @@
 
     /// How long an answer of discovery is waited for that is no watch's renewal; `held` says whether it is to bring changes to a list.
     pub fn list_patience(&self, held: bool) -> Duration {
-        Duration::from_nanos(self.state.borrow().courier.list_patience(held))
+        Duration::from_nanos(self.state.borrow().courier.list_timeout(held))
     }
 
     /// The leave of a job's claim to be sent to a node, before that time if one is given.
@@ -569,7 +569,7 @@
 
     /// Whether nodes of its kind are routes apart.
     pub(super) fn is_apart(&self, node: &Node) -> bool {
-        self.rules().settings.kinds.get(node.kind().0).and_then(|k| k.apart).unwrap_or(false)
+        self.rules().settings.kinds.get(node.kind().0).and_then(|k| k.separate_routes).unwrap_or(false)
     }
 
     /// A wait was told there: nothing goes out before its end, nor before that of one told earlier.
@@ -627,7 +627,7 @@
     }
 
     pub(super) fn condition(&self) -> Condition {
-        if self.is_open() { Condition::Active } else { Condition::Leaving }
+        if self.is_open() { Condition::Active } else { Condition::Draining }
     }
 
     fn weight(&self) -> Option<f64> {
--- a/relay/src/core/nodes/tests.rs
+++ b/relay/src/core/nodes/tests.rs
@@ -130,10 +130,10 @@
         let mut heard = take(&core, true, fewer).await;
         heard[1..3].sort_by_key(|(id, _)| *id);
         // What drains and has gone; then the one that moved, as another node.
-        assert_eq!(heard, [(2001, Leaving), (2499, Left), (2500, Left), (1, Left), (2501, Active)]);
+        assert_eq!(heard, [(2001, Draining), (2499, Removed), (2500, Removed), (1, Removed), (2501, Active)]);
         assert!(core.knows(2498), "a moment ago there was one");
         let deleted = vec![entry(5, 1, Lifecycle::Deleted), entry(9999, 1, Lifecycle::Deleted)];
-        assert_eq!(take(&core, false, deleted).await, [(6, Left)]);
+        assert_eq!(take(&core, false, deleted).await, [(6, Removed)]);
         // A weight is taken up where the node stands: claims look at that very record.
         let node = core.state.borrow().nodes.named("n7").cloned().expect("listed");
         let heavier = NodeEntry { weight: Some(3.0), ..entry(7, 1, Lifecycle::Serving) };
@@ -165,14 +165,14 @@
         assert!(matches!(core.set_out("n9", false), Err(NotOut::Unknown)));
         core.set_out("n1", true).expect("listed");
         core.set_out("n1", true).expect("listed");
-        assert_eq!(heard(), [(1, Leaving, false)]);
+        assert_eq!(heard(), [(1, Condition::Draining, false)]);
         // Through lists, its leaving and its coming again, and a restart of this process.
         assert_eq!(take(&core, true, list(Serving)).await, []);
-        assert_eq!(take(&core, true, list(Draining)).await, [(1, Leaving)]);
-        assert_eq!(take(&core, false, vec![entry(1, 1, Deleted)]).await, [(1, Left)]);
-        assert_eq!(take(&core, false, list(Serving)).await, [(3, Leaving)]);
+        assert_eq!(take(&core, true, list(Lifecycle::Draining)).await, [(1, Condition::Draining)]);
+        assert_eq!(take(&core, false, vec![entry(1, 1, Deleted)]).await, [(1, Removed)]);
+        assert_eq!(take(&core, false, list(Serving)).await, [(3, Condition::Draining)]);
         let after = self::core(folder.path());
-        assert_eq!(take(&after, true, list(Serving)).await, [(1, Leaving), (2, Active)]);
+        assert_eq!(take(&after, true, list(Serving)).await, [(1, Condition::Draining), (2, Active)]);
         core.set_out("n1", false).expect("out");
         core.set_out("n1", false).expect("listed");
         core.set_out("n2", false).expect("listed");
--- a/relay/src/core/rounds.rs
+++ b/relay/src/core/rounds.rs
@@ -111,13 +111,14 @@
         bundles: &mut HashMap<EndpointId, Rc<Bundle>>,
     ) {
         match action {
-            Action::Send { msg, endpoint, limit } => {
+            Action::Send { msg, endpoint, timeout: limit } => {
                 let Some(node) = state.nodes.get(endpoint).cloned() else {
                     tracing::error!(endpoint = endpoint.0, "the module named a node that is not listed");
                     return;
                 };
                 let limit = Duration::from_nanos(limit);
-                let most = self.rules().settings.kinds.get(node.kind().0).and_then(|k| k.bundle).unwrap_or(1);
+                let most =
+                    self.rules().settings.kinds.get(node.kind().0).and_then(|k| k.max_batch).unwrap_or(1);
                 let share = (most > 1).then(|| {
                     let bundle = bundles.entry(endpoint).or_insert_with(Bundle::new);
                     if bundle.size() >= most as usize {
@@ -128,7 +129,7 @@
                 });
                 order(state, msg, Order::Claim { node, limit, share });
             }
-            Action::Refuse { msg, backoff, why } => {
+            Action::Refuse { msg, backoff, reason: why } => {
                 let after = backoff.map(Duration::from_nanos);
                 order(state, msg, Order::Refuse { after, why: Some(why) });
             }
@@ -137,14 +138,14 @@
             Action::SetTimer { nonce, after } => {
                 state.timers.push(Reverse((now + Duration::from_nanos(after), nonce)));
             }
-            Action::Close { endpoint } => {
+            Action::CloseIdle { endpoint } => {
                 if let Some(node) = state.nodes.get(endpoint) {
                     self.carrier.close_idle(node);
                 }
             }
             Action::Log { line } => tracing::info!("module: {}", named(state, &line)),
-            Action::Follow { want: true } | Action::Reload => self.follow.notify_one(),
-            Action::Follow { want: false } | Action::Probe { .. } | Action::Tell { .. } => {
+            Action::Subscribe { open: true } | Action::FetchList => self.follow.notify_one(),
+            Action::Subscribe { open: false } | Action::Probe { .. } | Action::SendToRelays { .. } => {
                 tracing::error!(?action, "the module asked for what no front offers");
             }
         }
--- a/relay/src/core/succession.rs
+++ b/relay/src/core/succession.rs
@@ -4,7 +4,7 @@
 //! until it comes home; its job is the new owner's, which holds it back and leaves its slot alone for so long.
 use futures_util::future::LocalBoxFuture;
 use onyxglade_backlog::planner::Outcome as Left;
-use slatethread::{DestId, Learned, LearnedPeer};
+use slatethread::{DestId, DestinationSnapshot, EndpointSnapshot};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -59,30 +59,30 @@
             node: node.and_then(name),
             left: until.get() - now,
         });
-        let learned = state.courier.learned(self.module_time(now)).into_iter().map(|learned| LearnedUnit {
+        let learned = state.courier.snapshot(self.module_time(now)).into_iter().map(|learned| LearnedUnit {
             dest: learned.dest.0,
             route: learned.route.and_then(name),
-            wait_left: span(learned.wait_left),
+            wait_left: span(learned.retry_after_left),
             window: learned.window,
-            pace: learned.pace,
-            cut_ago: learned.cut_ago.map(span),
-            proven: learned.proven,
-            least: learned.least,
-            recent: learned.recent,
-            mean: learned.mean,
+            pace: learned.rate,
+            cut_ago: learned.rate_cut_ago.map(span),
+            proven: learned.proven_rate,
+            least: learned.min_latency,
+            recent: learned.latest_latency,
+            mean: learned.mean_latency,
             answered_ago: span(learned.answered_ago),
             demand: learned.demand,
             nodes: learned
-                .peers
+                .endpoints
                 .iter()
                 .filter_map(|peer| {
                     Some(LearnedNode {
                         name: name(peer.id)?,
                         down: peer.down,
                         returning_ago: peer.returning_ago.map(span),
-                        since_ago: span(peer.since_ago),
-                        bad: peer.bad,
-                        trial_left: span(peer.trial_left),
+                        since_ago: span(peer.unhealthy_ago),
+                        bad: peer.failure_average,
+                        trial_left: span(peer.next_trial_in),
                         served_ago: peer.served_ago.map(span),
                     })
                 })
@@ -161,40 +161,40 @@
         let at = self.module_time(now);
         let id = |name: &String| state.nodes.named(name).map(|node| node.id);
         for unit in &estate.learned {
-            let learned = Learned {
+            let learned = DestinationSnapshot {
                 dest: DestId(unit.dest),
                 route: unit.route.as_ref().and_then(id),
-                wait_left: nanos(unit.wait_left),
+                retry_after_left: nanos(unit.wait_left),
                 window: unit.window,
-                pace: unit.pace,
-                cut_ago: unit.cut_ago.map(nanos),
-                proven: unit.proven,
-                least: unit.least,
-                recent: unit.recent,
-                mean: unit.mean,
+                rate: unit.pace,
+                rate_cut_ago: unit.cut_ago.map(nanos),
+                proven_rate: unit.proven,
+                min_latency: unit.least,
+                latest_latency: unit.recent,
+                mean_latency: unit.mean,
                 answered_ago: nanos(unit.answered_ago),
                 demand: unit.demand,
-                peers: unit
+                endpoints: unit
                     .nodes
                     .iter()
                     .filter_map(|node| {
-                        Some(LearnedPeer {
+                        Some(EndpointSnapshot {
                             id: id(&node.name)?,
                             down: node.down,
                             returning_ago: node.returning_ago.map(nanos),
-                            since_ago: nanos(node.since_ago),
-                            bad: node.bad,
-                            trial_left: nanos(node.trial_left),
+                            unhealthy_ago: nanos(node.since_ago),
+                            failure_average: node.bad,
+                            next_trial_in: nanos(node.trial_left),
                             served_ago: node.served_ago.map(nanos),
                         })
                     })
                     .collect(),
             };
-            state.courier.recall(at, &learned);
+            state.courier.restore(at, &learned);
         }
         for wait in &estate.waits {
             let route = wait.node.as_ref().and_then(id);
-            state.courier.told_wait(at, DestId(wait.dest), route, nanos(wait.left));
+            state.courier.apply_retry_after(at, DestId(wait.dest), route, nanos(wait.left));
             let until = state.waits.entry((wait.dest, route)).or_insert_with(|| Rc::new(Cell::new(now)));
             until.set(until.get().max(now + wait.left));
         }
@@ -203,7 +203,7 @@
 
     /// Slots of claims that another process has out are not used here.
     pub(super) fn lend(&self) {
-        self.state.borrow_mut().courier.lend(self.borrowed.get());
+        self.state.borrow_mut().courier.reserve_slots(self.borrowed.get());
         self.wake.notify_one();
     }
 
@@ -248,7 +248,7 @@
         self.begin_wait(&node, left);
         let route = self.is_apart(&node).then_some(node.id);
         let now = self.module_time(Instant::now());
-        self.state.borrow_mut().courier.told_wait(now, DestId(node.dest), route, nanos(left));
+        self.state.borrow_mut().courier.apply_retry_after(now, DestId(node.dest), route, nanos(left));
         self.wake.notify_one();
     }
 
--- a/relay/src/discovery.rs
+++ b/relay/src/discovery.rs
@@ -80,7 +80,7 @@
             Ok(()) = place.changed() => moved = true,
             fault = session(&core, &now, &mut held, &mut doubts, sharing.as_ref()) => {
                 let Fault { text, how, unconnected, waited } = fault;
-                let doubtful = matches!(how, ListScope::Torn | ListScope::Silent) && !unconnected;
+                let doubtful = matches!(how, ListScope::Truncated | ListScope::TimedOut) && !unconnected;
                 doubts = if doubtful { doubts + 1 } else { 0 };
                 held = held.filter(|_| doubts < DOUBTS);
                 tracing::warn!(
@@ -90,7 +90,7 @@
                     "discovery cannot be followed; the module asks again later"
                 );
                 if let Some(sharing) = &sharing {
-                    sharing.failed(how == ListScope::Torn);
+                    sharing.failed(how == ListScope::Truncated);
                 }
                 core.list_broken(how);
             }
@@ -124,9 +124,9 @@
     /// The same for the figures.
     fn heard(&self) -> Heard {
         match self.how {
-            ListScope::Broken => Heard::Refused,
-            ListScope::Busy => Heard::TurnedAway,
-            ListScope::Torn => Heard::BrokeOff,
+            ListScope::Unreachable => Heard::Refused,
+            ListScope::Rejected => Heard::TurnedAway,
+            ListScope::Truncated => Heard::BrokeOff,
             _ => Heard::Silent,
         }
     }
@@ -136,12 +136,12 @@
     fn unconnected(error: &ConnectError) -> Self {
         let refused =
             matches!(error, ConnectError::Io(e) if e.kind() == std::io::ErrorKind::ConnectionRefused);
-        let how = if refused { ListScope::Broken } else { ListScope::Silent };
+        let how = if refused { ListScope::Unreachable } else { ListScope::TimedOut };
         Fault { unconnected: true, ..Fault::new(how, error) }
     }
 
     fn torn(text: impl ToString) -> Self {
-        Fault::new(ListScope::Torn, text)
+        Fault::new(ListScope::Truncated, text)
     }
 }
 
@@ -267,7 +267,7 @@
         })?;
         if response.status() != 200 {
             let text = format!("status {}", response.status().as_u16());
-            return Err(Fault::new(ListScope::Busy, text));
+            return Err(Fault::new(ListScope::Rejected, text));
         }
         let first = Instant::now();
         core.list_answer_begins(first);
@@ -287,5 +287,5 @@
         let read = spawn_blocking(move || NodeList::read(text)).await;
         Ok((read.map_err(Fault::torn)?.map_err(Fault::torn)?, first))
     };
-    timeout(patience, call).await.unwrap_or_else(|_| Err(Fault::new(ListScope::Silent, "no answer")))
+    timeout(patience, call).await.unwrap_or_else(|_| Err(Fault::new(ListScope::TimedOut, "no answer")))
 }
--- a/relay/src/job.rs
+++ b/relay/src/job.rs
@@ -74,8 +74,8 @@
         match self {
             // The node served the call; that nobody can deliver the message is no fault of the node's.
             Outcome::Delivered | Outcome::Rejected(_) => To::Ok,
-            Outcome::Over | Outcome::NotSent => To::Moot,
-            Outcome::Full { wait } => To::Full { wait: wait.map(nanos) },
+            Outcome::Over | Outcome::NotSent => To::NotSent,
+            Outcome::Full { wait } => To::Overloaded { retry_after: wait.map(nanos) },
             Outcome::Error => To::Error,
             Outcome::TimedOut => To::Timeout,
             Outcome::Reset => To::Reset,
--- a/relay/src/journal/record.rs
+++ b/relay/src/journal/record.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, SystemTime};
 
 use onyxglade_backlog::message::{ClassNumber, Lane, Place};
-use slatethread::{Class, Effect, Group};
+use slatethread::{Class, DedupScope, Effect};
 
 use super::Key;
 use crate::job::{Job, Notice};
@@ -88,21 +88,21 @@
     credit: Option<f64>,
 }
 
-const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Keyed, Effect::Unsafe];
-const GROUPS: [Group; 3] = [Group::All, Group::Zone, Group::Endpoint];
+const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Deduplicated, Effect::Unsafe];
+const GROUPS: [DedupScope; 3] = [DedupScope::All, DedupScope::Zone, DedupScope::Endpoint];
 
 impl From<&Class> for TakenUnder {
     fn from(class: &Class) -> Self {
         let place = |found: Option<usize>| found.expect("all are listed") as u8;
         TakenUnder {
             effect: place(EFFECTS.iter().position(|effect| *effect == class.effect)),
-            group: place(GROUPS.iter().position(|group| *group == class.group)),
-            window: class.window,
-            aim: class.aim,
-            give_up: class.give_up,
+            group: place(GROUPS.iter().position(|group| *group == class.dedup_scope)),
+            window: class.dedup_window,
+            aim: class.target_latency,
+            give_up: class.lifetime,
             ordered: class.ordered,
             late_worth: class.late_worth,
-            credit: class.credit,
+            credit: class.worth,
         }
     }
 }
@@ -112,13 +112,13 @@
     pub fn class(&self) -> Option<Class> {
         Some(Class {
             effect: *EFFECTS.get(usize::from(self.effect))?,
-            group: *GROUPS.get(usize::from(self.group))?,
-            window: self.window,
-            aim: self.aim,
-            give_up: self.give_up,
+            dedup_scope: *GROUPS.get(usize::from(self.group))?,
+            dedup_window: self.window,
+            target_latency: self.aim,
+            lifetime: self.give_up,
             ordered: self.ordered,
             late_worth: self.late_worth,
-            credit: self.credit,
+            worth: self.credit,
         })
     }
 }
--- a/relay/src/journal/tests.rs
+++ b/relay/src/journal/tests.rs
@@ -1,7 +1,7 @@
 use super::record::*;
 use super::*;
 use crate::job::NoticeEnd;
-use slatethread::{Effect, Group};
+use slatethread::{DedupScope, Effect};
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -26,10 +26,10 @@
 
 pub(super) fn rules() -> Class {
     Class {
-        effect: Effect::Keyed,
-        group: Group::Zone,
-        window: Some(7),
-        credit: Some(1.5),
+        effect: Effect::Deduplicated,
+        dedup_scope: DedupScope::Zone,
+        dedup_window: Some(7),
+        worth: Some(1.5),
         ..Class::default()
     }
 }
--- a/relay/src/push/server.rs
+++ b/relay/src/push/server.rs
@@ -110,7 +110,7 @@
             };
         }
         // No more requests are read at once than jobs may be held.
-        let most = self.core.rules().settings.max_held.map_or(usize::MAX, |m| m as usize);
+        let most = self.core.rules().settings.max_queued.map_or(usize::MAX, |m| m as usize);
         if self.reading.get() >= most {
             return refused(Some(Duration::from_secs(1)));
         }
@@ -165,10 +165,10 @@
             .parse()
             .unwrap_or(u64::MAX);
         let class_of = &rules.settings.classes[class_at];
-        let most = Duration::from_nanos(class_of.give_up);
+        let most = Duration::from_nanos(class_of.lifetime);
         // At once or never: while it still earns its full worth, it counts as at once.
         let left = if asked == 0 {
-            Duration::from_nanos(class_of.aim)
+            Duration::from_nanos(class_of.target_latency)
         } else {
             Duration::from_secs(asked).min(most)
         };
--- a/relay/src/run.rs
+++ b/relay/src/run.rs
@@ -459,9 +459,9 @@
     let rules = core.rules();
     let classes = rules.names.classes.iter().zip(&rules.settings.classes);
     let classes: Vec<_> = classes
-        .map(|(name, class)| BacklogClass { name: name.clone(), worth: class.credit.unwrap_or(1.0) })
+        .map(|(name, class)| BacklogClass { name: name.clone(), worth: class.worth.unwrap_or(1.0) })
         .collect();
-    let most = rules.settings.max_held;
+    let most = rules.settings.max_queued;
     let figures = BacklogFigures::register(core.figures());
     let opened = Backlog::open(settings, owner, &classes, most, journaled, figures).await;
     let (backlog, actions) = opened.map_err(|error| format!("backlog.folder: {error}"))?;
--- a/src/call_pause.rs
+++ b/src/call_pause.rs
@@ -2,9 +2,9 @@
 //!
 //! What waits goes on waiting and is given up by the same rules as ever; no endpoint's health and no message's tries
 //! follow from it.
-use crate::choice::Courier;
+use crate::choice::Dispatcher;
 
-impl Courier {
+impl Dispatcher {
     /// Has no call begin from the next round on, or has them begin again. What waited meanwhile is looked at anew then.
     pub fn pause_calls(&mut self, paused: bool) {
         self.calls_resumed |= self.calls_paused && !paused;
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -159,7 +159,7 @@
 
 /// The decisions of one courier.
 #[derive(Default)]
-pub struct Courier {
+pub struct Dispatcher {
     pub(crate) settings: Settings,
     /// All that is listed. Full records are made of what a message comes for, and only of that.
     pub(crate) roster: Roster,
@@ -184,7 +184,7 @@
     trials: usize,
     pub(crate) keys: BTreeMap<OrderKey, KeyLine>,
     /// What was learned of each kind of destination.
-    by_kind: Vec<Learned>,
+    by_kind: Vec<KindStats>,
     quotas: Vec<Tokens>,
     service: Service,
     /// What a unit of each class's worth counts just now.
@@ -209,28 +209,28 @@
     pub(crate) random: Random,
 }
 
-impl Courier {
+impl Dispatcher {
     /// A courier that knows its settings and nothing else. The seed feeds its jitter.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let start = Courier { load: 1.0, look: LOOK, ..Courier::default() };
-        let mut courier = Courier { random: Random(seed), ..start };
-        courier.settle(settings);
+        let start = Dispatcher { load: 1.0, look: LOOK, ..Dispatcher::default() };
+        let mut courier = Dispatcher { random: Random(seed), ..start };
+        courier.apply_settings(settings);
         courier
     }
 
     /// Takes up settings, at the start or in place of earlier ones; what was learned stays.
-    pub fn settle(&mut self, settings: Settings) {
-        let learned = Learned::new(settings.idle_close.unwrap_or(SECOND), REST_START);
-        self.couriers = f64::from(settings.couriers.unwrap_or(1).max(1));
+    pub fn apply_settings(&mut self, settings: Settings) {
+        let learned = KindStats::new(settings.idle_close.unwrap_or(SECOND), REST_START);
+        self.couriers = f64::from(settings.relays.unwrap_or(1).max(1));
         self.units.values_mut().for_each(|unit| unit.divide(self.couriers));
         self.slots = settings.slots.map_or(usize::MAX, |s| s as usize);
         self.lost_slots = (self.slots as f64 * LOST_SHARE).ceil() as usize;
-        self.guard = GUARD_STEPS * settings.step.unwrap_or(LOOK);
+        self.guard = GUARD_STEPS * settings.round_interval.unwrap_or(LOOK);
         self.quotas.resize_with(settings.tenants.len(), Tokens::default);
         self.service.resize(settings.classes.len());
         self.by_kind.resize(settings.kinds.len(), learned);
-        self.cold = settings.rules.cold.unwrap_or(10 * SECOND).max(1);
-        self.fall = settings.rules.fall.unwrap_or(SECOND);
+        self.cold = settings.rules.warm_up_time.unwrap_or(10 * SECOND).max(1);
+        self.fall = settings.rules.overload_time.unwrap_or(SECOND);
         self.schedule.settle(&settings);
         self.settings = settings;
     }
@@ -242,17 +242,17 @@
             match event {
                 Event::List { scope, entries } => self.take_list(now, *scope, entries, actions),
                 Event::Request(request) => self.take_request(now, request, &mut fresh, actions),
-                Event::Closed { .. } => self.take_outcome(now, event, actions),
-                Event::Expired { msg } => self.end(*msg),
-                Event::Probed { endpoint, outcome, .. } => self.judge(now, *endpoint, *outcome, actions),
+                Event::AttemptEnded { .. } => self.take_outcome(now, event, actions),
+                Event::Abandoned { msg } => self.end(*msg),
+                Event::ProbeEnded { endpoint, outcome, .. } => self.judge(now, *endpoint, *outcome, actions),
                 Event::Timer { nonce: ASK_NONCE } => self.ask(now, 0, actions),
-                Event::Timer { .. } | Event::First { .. } | Event::Note { .. } => {}
+                Event::Timer { .. } | Event::StreamStarted { .. } | Event::RelayMessage { .. } => {}
             }
         }
         self.ask_first(now, actions);
         let quiet = events.iter().all(|e| matches!(e, Event::Timer { .. }));
         self.look = if quiet { (self.look * 2).min(LOOK_OUT) } else { LOOK };
-        self.weights = self.service.weights(self.settings.worst_class);
+        self.weights = self.service.weights(self.settings.worst_class_weight);
         self.watch_silence(now, actions);
         self.measure_load(now);
         self.admit(now, &fresh, actions);
@@ -311,7 +311,7 @@
 
     fn bundle(&self, id: UnitId) -> f64 {
         let kind = self.endpoints(id).next().and_then(|p| self.settings.kinds.get(p.entry.kind.0));
-        f64::from(kind.and_then(|k| k.bundle).unwrap_or(1).max(1))
+        f64::from(kind.and_then(|k| k.max_batch).unwrap_or(1).max(1))
     }
 
     /// Most calls out to one unit.
@@ -334,15 +334,16 @@
         let known = || self.settings.classes.get(request.class.0).cloned();
         let class = request.rules.clone().or_else(known).unwrap_or_default();
         let over = request.tenant.is_some_and(|t| self.over_share(now, t));
-        let kept = self.settings.over_share_worth.filter(|_| over).unwrap_or(1.0);
+        let kept = self.settings.over_quota_worth.filter(|_| over).unwrap_or(1.0);
         let key = request.key.filter(|_| class.ordered);
         if let Some(key) = key {
             self.keys.entry(key).or_default().line.push_back(request.msg);
         }
         let mut message = Message::new(request, class, key, now);
-        message.worth = message.rules.credit.unwrap_or(1.0) * kept;
+        message.worth = message.rules.worth.unwrap_or(1.0) * kept;
         self.service.asked(request.class.0, message.worth);
-        message.aim_at = (message.deadline + message.rules.aim).saturating_sub(message.rules.give_up);
+        message.aim_at =
+            (message.deadline + message.rules.target_latency).saturating_sub(message.rules.lifetime);
         self.messages.insert(request.msg, message);
         self.open += 1;
         fresh.push(request.msg);
@@ -363,10 +364,10 @@
             let unit = self.best_unit(now, message);
             let held = unit.and_then(|u| self.units.get(&u)).map_or(0, |u| u.held);
             let wait = unit.map_or(0.0, |u| self.expected(now, u, self.ahead(now, u, message)));
-            let room = f64::from(self.settings.max_held.unwrap_or(u32::MAX));
+            let room = f64::from(self.settings.max_queued.unwrap_or(u32::MAX));
             let crowded = unit.is_some_and(|u| self.ailing(u)) && f64::from(held) > room * HOLD_ILL;
             if (wait > self.left(now, message) || crowded) && !message.owed() {
-                let why = if crowded { GiveUpReason::DestinationCrowded } else { GiveUpReason::TooSlow };
+                let why = if crowded { GiveUpReason::DestinationQueueFull } else { GiveUpReason::TooSlow };
                 self.give_up(now, id, wait, why, actions);
             } else {
                 self.hold_in(now, id, unit);
@@ -384,7 +385,7 @@
 
     /// Gives up the least of what is held once the hold is full, so that arrivals are not turned away unseen.
     fn make_room(&mut self, now: Nanos, actions: &mut Vec<Action>) {
-        let most = self.settings.max_held.map_or(usize::MAX, |m| m as usize);
+        let most = self.settings.max_queued.map_or(usize::MAX, |m| m as usize);
         let surplus = (self.open + 1).saturating_sub(most);
         if surplus == 0 {
             return;
@@ -393,7 +394,7 @@
             self.hold.all().filter_map(|(dest, lane, queue)| self.last(now, dest, lane, queue)).collect();
         for _ in 0..surplus {
             let Some((_, id, dest, lane)) = worst.pop_last() else { return };
-            self.give_up(now, id, 0.0, GiveUpReason::HoldFull, actions);
+            self.give_up(now, id, 0.0, GiveUpReason::QueueFull, actions);
             let next = self.hold.lane(dest, &lane).and_then(|queue| self.last(now, dest, &lane, queue));
             worst.extend(next);
         }
@@ -495,17 +496,17 @@
     /// Why a held message cannot be served any more, with the time it would take.
     fn hopeless(&self, now: Nanos, message: &Message) -> Option<(f64, GiveUpReason)> {
         let left = self.left(now, message);
-        let tired = self.settings.max_tries.is_some_and(|most| message.tries >= most);
-        let ran = message.risk.zip(message.rules.memory());
+        let tired = self.settings.max_attempts.is_some_and(|most| message.tries >= most);
+        let ran = message.risk.zip(message.rules.resend_window());
         let forgotten = ran.is_some_and(|(risk, memory)| now + self.guard >= risk.sent + memory);
         let rest = secs(message.full.unwrap_or(0).saturating_sub(now));
         let soonest = self.soonest(now, message.dest, self.rested(now, message)) + rest;
         let why = match () {
-            () if left <= 0.0 => GiveUpReason::OutOfTime,
+            () if left <= 0.0 => GiveUpReason::DeadlineReached,
             () if message.owed() => return None,
-            () if tired => GiveUpReason::OutOfTries,
-            () if forgotten => GiveUpReason::Forgotten,
-            () if self.outlasted(now, message) => GiveUpReason::NoList,
+            () if tired => GiveUpReason::AttemptsExhausted,
+            () if forgotten => GiveUpReason::ResendWindowOver,
+            () if self.outlasted(now, message) => GiveUpReason::NoUsableList,
             () if soonest > left => GiveUpReason::TooSlow,
             () => return None,
         };
@@ -601,7 +602,7 @@
                 let idle = peer.warm.pop().map(|used| now - used);
                 if idle.is_some_and(|idle| idle > keep) {
                     peer.warm.clear();
-                    actions.push(Action::Close { endpoint: to });
+                    actions.push(Action::CloseIdle { endpoint: to });
                 }
                 let idle = idle.filter(|idle| *idle <= keep);
                 let trial = suspect && (down || peer.health == Health::Up);
@@ -630,7 +631,7 @@
         message.out = Some(Attempt::new(message.attempts, to, unit_id, call, now));
         message.attempts += 1;
         message.tries += 1;
-        actions.push(Action::Send { msg: id, endpoint: to, limit });
+        actions.push(Action::Send { msg: id, endpoint: to, timeout: limit });
     }
 
     /// Time-out of an attempt: what may not be repeated waits as long as it can, the rest until the call
@@ -644,7 +645,10 @@
     }
 
     fn take_outcome(&mut self, now: Nanos, event: &Event, actions: &mut Vec<Action>) {
-        let &Event::Closed { msg: id, attempt, outcome, latency, no_more, report, .. } = event else {
+        let &Event::AttemptEnded {
+            msg: id, attempt, outcome, latency, message_done: no_more, report, ..
+        } = event
+        else {
             return;
         };
         let Some(message) = self.messages.get_mut(&id) else { return };
@@ -653,12 +657,12 @@
         let ran = matches!(outcome, Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
         if ran && message.risk.is_none() {
             let zone = self.peers.get(&out.endpoint).map(|p| p.entry.zone);
-            message.risk = Some(Risk { sent: out.sent, endpoint: out.endpoint, zone });
+            message.risk = Some(UnconfirmedAttempt { sent: out.sent, endpoint: out.endpoint, zone });
         }
         if let Some(key) = message.key
             && matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled)
         {
-            let rest = self.settings.rules.order_settle.unwrap_or(0);
+            let rest = self.settings.rules.order_settle_time.unwrap_or(0);
             self.keys.entry(key).or_default().rest_until = now + rest;
         }
         let (ended, unit_id) = (message.ended || no_more, out.unit);
@@ -708,13 +712,13 @@
         let base = if kind.told > 0.0 { kind.told / REST_START } else { even.map_or(1.0, |e| 1.0 / e) };
         let again = message.full.is_some();
         match outcome {
-            Outcome::Full { wait: None } => {
-                let most = secs(self.settings.classes.iter().map(|c| c.give_up).max().unwrap_or(SECOND));
+            Outcome::Overloaded { retry_after: None } => {
+                let most = secs(self.settings.classes.iter().map(|c| c.lifetime).max().unwrap_or(SECOND));
                 let grown = (kind.rest * REST_GROW).min((most / base).max(REST_START));
                 kind.rest = if again { grown } else { kind.rest };
                 message.full = Some(now + nanos(kind.rest * base * (0.5 + self.random.unit())));
             }
-            Outcome::Full { wait: Some(wait) } => {
+            Outcome::Overloaded { retry_after: Some(wait) } => {
                 kind.told += (secs(wait) - kind.told) * if kind.told > 0.0 { MEAN_STEP } else { 1.0 };
             }
             Outcome::Ok if again => kind.rest = (kind.rest * REST_EASE).max(REST_START / 4.0),
@@ -735,7 +739,7 @@
             }
             if let Some(peer) = self.peers.get_mut(&out.endpoint) {
                 peer.calls = peer.calls.saturating_sub(1);
-                if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full { .. }) {
+                if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Overloaded { .. }) {
                     peer.warm.push(now);
                     self.warm = true;
                 }
@@ -786,7 +790,7 @@
             Outcome::Timeout => (unit.predictor.recent, unit.predictor.answered) = (secs(latency), now),
             _ => {}
         }
-        if let Outcome::Full { wait: Some(wait) } = outcome
+        if let Outcome::Overloaded { retry_after: Some(wait) } = outcome
             && now + wait > unit.wait_until
         {
             // Guards against all couriers told the same end coming at once: they come spread over the length
@@ -801,32 +805,32 @@
         if let Some(ramp) = unit.ramp.as_mut().filter(|_| first) {
             match outcome {
                 Outcome::Ok => ramp.answered(now),
-                Outcome::Error | Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => {}
+                Outcome::Error | Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFault => {}
                 _ => ramp.failed(now),
             }
         }
         match outcome {
             _ if !first => {}
             Outcome::Ok => unit.grow(now),
-            Outcome::Full { .. } => {
+            Outcome::Overloaded { .. } => {
                 unit.shrink();
                 if limited {
                     unit.refused(now, &mut self.random);
                 }
             }
             Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => unit.shrink(),
-            Outcome::Error | Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => {}
+            Outcome::Error | Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFault => {}
         }
     }
 
     /// Gives the final answer at once: refused with a backoff where a repeat is safe, else failed.
     fn give_up(&mut self, now: Nanos, id: MsgId, wait: f64, why: GiveUpReason, actions: &mut Vec<Action>) {
         let Some(message) = self.messages.get(&id).filter(|m| !m.ended) else { return };
-        let repeatable = message.risk.is_none() || message.rules.may_come_again();
+        let repeatable = message.risk.is_none() || message.rules.may_be_resubmitted();
         if repeatable && message.out.is_none() && now < message.deadline {
             let most = self.settings.max_backoff.unwrap_or(SECOND);
-            let backoff = self.settings.backoff_told.then(|| nanos(wait).clamp(most / 2, most));
-            actions.push(Action::Refuse { msg: id, backoff, why });
+            let backoff = self.settings.refusals_carry_backoff.then(|| nanos(wait).clamp(most / 2, most));
+            actions.push(Action::Refuse { msg: id, backoff, reason: why });
         } else {
             actions.push(Action::Fail { msg: id });
         }
@@ -862,7 +866,7 @@
         if scope != ListScope::Patch {
             for id in self.roster.keep_only(entries) {
                 let Some(peer) = self.peers.get_mut(&id) else { continue };
-                peer.entry.condition = Condition::Left;
+                peer.entry.condition = Condition::Removed;
                 self.hold.touch(peer.entry.dest);
             }
         }
@@ -889,12 +893,12 @@
             let keep = self.by_kind.get(peer.entry.kind.0).map_or(0, |k| k.keep);
             if peer.warm.last().is_some_and(|used| now > used + keep) {
                 peer.warm.clear();
-                actions.push(Action::Close { endpoint: peer.entry.id });
+                actions.push(Action::CloseIdle { endpoint: peer.entry.id });
             }
             self.warm |= !peer.warm.is_empty();
         }
         self.peers.retain(|id, peer| {
-            let stays = peer.entry.condition != Condition::Left || peer.calls > 0;
+            let stays = peer.entry.condition != Condition::Removed || peer.calls > 0;
             if !stays && let Some(ids) = self.by_dest.get_mut(&peer.entry.dest) {
                 ids.retain(|e| e != id);
             }
--- a/src/cold_return.rs
+++ b/src/cold_return.rs
@@ -1,14 +1,14 @@
 //! Destinations that come back from an outage cold: which do, and how much one is sent while it warms up.
 //!
 //! Owns what an outage's calls tell of a cold start ([`Return`]), the bound on the pace afterwards
-//! ([`ColdReturn`]) and the spacing of calls to single endpoints that may be cold ([`Courier::cold_gap`]). A
+//! ([`ColdReturn`]) and the spacing of calls to single endpoints that may be cold ([`Dispatcher::cold_gap`]). A
 //! process was gone where connections failed for longer than `rules.fall`, or where the list tells of a
 //! start; lost answers, stalls and errors that two close answers end are no starts. The settings say how a
 //! cold destination warms (evenly, from `cold_share` within `cold`) and what makes it fall over
 //! (`fall_multiple` times what it takes, for `fall`). Each relay keeps to an even part of that: all of them
 //! together stay within it, whatever the destination answers. Which outcomes make an outage is decided in
 //! [`crate::health`].
-use crate::choice::Courier;
+use crate::choice::Dispatcher;
 use crate::interface::*;
 use crate::ramp::Warming;
 use crate::state::*;
@@ -64,7 +64,7 @@
     pub settled: bool,
 }
 
-impl Courier {
+impl Dispatcher {
     /// How an endpoint that was down comes back, as its outage tells.
     pub(crate) fn kind_of_return(&self, now: Nanos, peer: &Peer, settled: bool) -> Return {
         let long = now > peer.since + self.fall;
@@ -135,7 +135,7 @@
     /// back: more than is allowed within `fall`, and two standard deviations and two calls over for chance.
     /// What one courier does on its own account is too much then if all do it.
     pub(crate) fn outnumbers_cold_budget(&self, unit: &Unit) -> bool {
-        let multiple = self.settings.rules.fall_multiple.unwrap_or(1.0);
+        let multiple = self.settings.rules.overload_factor.unwrap_or(1.0);
         let listed = unit.even * self.couriers;
         let allowed = multiple * self.cold_share() * listed * secs(self.fall);
         unit.scarce() && self.couriers > allowed + 2.0 * allowed.sqrt() + 2.0
@@ -187,6 +187,6 @@
 
     /// How many times what it takes a cold destination is sent at most.
     fn cold_multiple(&self) -> f64 {
-        COLD_PART * self.settings.rules.fall_multiple.unwrap_or(1.0)
+        COLD_PART * self.settings.rules.overload_factor.unwrap_or(1.0)
     }
 }
--- a/src/discovery_schedule.rs
+++ b/src/discovery_schedule.rs
@@ -12,7 +12,7 @@
 //! breaks, it asks within what is left of that; after a call that failed it keeps to its turn, since asking
 //! sooner is what keeps all others from being answered. A courier without a list sends nothing, and keeps to
 //! its turn from the start.
-use crate::choice::Courier;
+use crate::choice::Dispatcher;
 use crate::interface::{Action, ListScope, Nanos, Settings};
 use crate::state::{Message, Random, SECOND, nanos, secs};
 
@@ -83,9 +83,9 @@
     pub fn settle(&mut self, settings: &Settings) {
         // Where lists are pushed, who has them is on this machine and serves nobody else; where they are
         // shared, who asks is decided elsewhere.
-        let couriers = settings.couriers.filter(|_| settings.list_on_request && !settings.list_shared);
+        let couriers = settings.relays.filter(|_| settings.list_on_request && !settings.list_shared);
         self.couriers = f64::from(couriers.unwrap_or(1).max(1));
-        self.quiet = settings.rules.must_ask_in.unwrap_or(10 * SECOND);
+        self.quiet = settings.rules.list_poll_interval.unwrap_or(10 * SECOND);
         self.turn = self.turn.max(self.first_turn());
     }
 
@@ -126,13 +126,13 @@
         let after = if !self.listed {
             self.widen_unlisted(how, asked_at.map_or(0, |at| now.saturating_sub(at)));
             nanos(secs(self.turn) * (0.5 + lot))
-        } else if how == ListScope::Broken {
+        } else if how == ListScope::Unreachable {
             self.turn = (self.turn * REFUSED).min(self.most_at_door()).max(self.turn);
             let soon = left.filter(|left| *left > 0).map_or(self.turn, |left| self.turn.min(left / 2));
             nanos(secs(soon.max(LEAST_AGAIN)) * (0.5 + lot))
         } else if let Some(asked_at) = asked_at {
             // What broke off had been begun: that it took long is no sign of a queue.
-            let waited = if how == ListScope::Torn { 0 } else { now.saturating_sub(asked_at) };
+            let waited = if how == ListScope::Truncated { 0 } else { now.saturating_sub(asked_at) };
             self.after_queue(waited, lot)
         } else if anew {
             // A watch that went well until now.
@@ -157,7 +157,7 @@
     }
 
     fn widen_unlisted(&mut self, how: ListScope, waited: Nanos) {
-        if how != ListScope::Broken && waited >= QUEUED {
+        if how != ListScope::Unreachable && waited >= QUEUED {
             self.turn = (self.turn * 2).max(waited * WAITED).min(self.widest());
         }
     }
@@ -212,10 +212,10 @@
     }
 }
 
-impl Courier {
+impl Dispatcher {
     /// How long an answer of discovery is waited for that is no watch's renewal, in nanoseconds; `held` says
     /// whether it is to bring changes to a list that is held.
-    pub fn list_patience(&self, held: bool) -> Nanos {
+    pub fn list_timeout(&self, held: bool) -> Nanos {
         self.schedule.patience(held)
     }
 
@@ -263,7 +263,7 @@
             actions.push(Action::SetTimer { nonce: ASK_NONCE, after });
         } else {
             self.schedule.asked(now);
-            actions.push(Action::Follow { want: true });
+            actions.push(Action::Subscribe { open: true });
         }
     }
 
--- a/src/health.rs
+++ b/src/health.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns the step from outcomes and silence to [`Health`]. How slowly one is called that may be cold is
 //! decided in [`crate::cold_return`], which messages go where in [`crate::choice`].
-use crate::choice::Courier;
+use crate::choice::Dispatcher;
 use crate::cold_return::{Recovery, Return};
 use crate::interface::*;
 use crate::state::*;
@@ -19,7 +19,7 @@
 /// Answers less than so many `rules.fall` apart, with no failure but silence between, end an outage at once.
 const LAPSE: u64 = 2;
 
-impl Courier {
+impl Dispatcher {
     /// Whether no endpoint of the unit is up.
     pub(crate) fn ailing(&self, id: UnitId) -> bool {
         let mut ids = self.endpoints(id).peekable();
@@ -35,7 +35,7 @@
 
     /// Age from which an unanswered call counts as silence; an aim where nothing is measured yet.
     pub(crate) fn silence(&self, id: UnitId) -> f64 {
-        let aim = secs(self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(SECOND));
+        let aim = secs(self.settings.classes.iter().map(|c| c.target_latency).min().unwrap_or(SECOND));
         let predictor = self.units.get(&id).map(|u| &u.predictor).filter(|p| p.least.is_some());
         predictor.map_or(aim, |p| SILENT_MEANS * p.mean + SILENT_AIM * aim)
     }
@@ -109,8 +109,8 @@
         let at_limit = scarce || now - peer.served < self.fall;
         match outcome {
             Outcome::Ok => return self.note_answer(now, id, actions),
-            Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => return,
-            Outcome::Full { .. } if at_limit => return,
+            Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFault => return,
+            Outcome::Overloaded { .. } if at_limit => return,
             _ => {}
         }
         peer.bad += (1.0 - peer.bad) * BAD_STEP;
--- a/src/heir.rs
+++ b/src/heir.rs
@@ -2,44 +2,44 @@
 //!
 //! Owns the way between full records and plain facts, in which times are ages or spans left: the two have clocks of
 //! their own. It decides on no call. What is not told is learned anew: how long connections keep, rests after refusals.
-use crate::choice::Courier;
+use crate::choice::Dispatcher;
 use crate::interface::*;
 use crate::state::{Health, SECOND, UnitId, nanos, secs};
 
 /// What was learned of a destination, or of a route where routes are apart.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Learned {
+pub struct DestinationSnapshot {
     /// The destination.
     pub dest: DestId,
     /// The route.
     pub route: Option<EndpointId>,
     /// How much of a told wait is left.
-    pub wait_left: Nanos,
+    pub retry_after_left: Nanos,
     /// Calls that may be out at once.
     pub window: f64,
     /// Calls a second; infinite where no limit was felt.
-    pub pace: f64,
+    pub rate: f64,
     /// When that was last cut.
-    pub cut_ago: Option<Nanos>,
+    pub rate_cut_ago: Option<Nanos>,
     /// The most calls a second that it served without refusing any.
-    pub proven: f64,
+    pub proven_rate: f64,
     /// Least completion time in seconds, where there is one.
-    pub least: Option<f64>,
+    pub min_latency: Option<f64>,
     /// The latest, and the mean.
-    pub recent: f64,
+    pub latest_latency: f64,
     /// The mean.
-    pub mean: f64,
+    pub mean_latency: f64,
     /// When it last answered.
     pub answered_ago: Nanos,
     /// Messages a second that came for it.
     pub demand: f64,
     /// Its endpoints.
-    pub peers: Vec<LearnedPeer>,
+    pub endpoints: Vec<EndpointSnapshot>,
 }
 
 /// What was learned of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LearnedPeer {
+pub struct EndpointSnapshot {
     /// Which.
     pub id: EndpointId,
     /// It is in outage.
@@ -47,25 +47,25 @@
     /// It answers again since then.
     pub returning_ago: Option<Nanos>,
     /// Since when it is not up.
-    pub since_ago: Nanos,
+    pub unhealthy_ago: Nanos,
     /// Average of its failures.
-    pub bad: f64,
+    pub failure_average: f64,
     /// Time to the next trial.
-    pub trial_left: Nanos,
+    pub next_trial_in: Nanos,
     /// When it last served.
     pub served_ago: Option<Nanos>,
 }
 
-impl Courier {
+impl Dispatcher {
     /// What was learned of all that is in use.
-    pub fn learned(&self, now: Nanos) -> Vec<Learned> {
+    pub fn snapshot(&self, now: Nanos) -> Vec<DestinationSnapshot> {
         let ago = |at: Nanos| now.saturating_sub(at);
         let units = self.units.iter().map(|(id, unit)| {
             let (dest, route) = match *id {
                 UnitId::Dest(dest) => (Some(dest), None),
                 UnitId::Route(route) => (self.peers.get(&route).map(|p| p.entry.dest), Some(route)),
             };
-            let peers = self.peers.values().filter(|peer| peer.unit == *id).map(|peer| LearnedPeer {
+            let peers = self.peers.values().filter(|peer| peer.unit == *id).map(|peer| EndpointSnapshot {
                 id: peer.entry.id,
                 down: peer.health == Health::Down,
                 returning_ago: match peer.health {
@@ -74,45 +74,46 @@
                     // The next courier spaces its calls, where this one bounds its destination's pace.
                     Health::Up => unit.cold_return.map(|cold_return| ago(cold_return.since())),
                 },
-                since_ago: ago(peer.since),
-                bad: peer.bad,
-                trial_left: peer.next_trial.saturating_sub(now),
+                unhealthy_ago: ago(peer.since),
+                failure_average: peer.bad,
+                next_trial_in: peer.next_trial.saturating_sub(now),
                 served_ago: (peer.served > 0).then(|| ago(peer.served)),
             });
-            dest.map(|dest| Learned {
+            dest.map(|dest| DestinationSnapshot {
                 dest,
                 route,
-                wait_left: unit.wait_until.saturating_sub(now),
+                retry_after_left: unit.wait_until.saturating_sub(now),
                 window: unit.window,
-                pace: unit.pace,
-                cut_ago: (unit.cut > 0).then(|| ago(unit.cut)),
-                proven: unit.proven,
-                least: unit.predictor.least,
-                recent: unit.predictor.recent,
-                mean: unit.predictor.mean,
+                rate: unit.pace,
+                rate_cut_ago: (unit.cut > 0).then(|| ago(unit.cut)),
+                proven_rate: unit.proven,
+                min_latency: unit.predictor.least,
+                latest_latency: unit.predictor.recent,
+                mean_latency: unit.predictor.mean,
                 answered_ago: ago(unit.predictor.answered),
                 demand: unit.arrived / secs(ago(unit.known).max(SECOND)),
-                peers: peers.collect(),
+                endpoints: peers.collect(),
             })
         });
         units.flatten().collect()
     }
 
     /// Takes up what another courier learned, of what is listed here.
-    pub fn recall(&mut self, now: Nanos, learned: &Learned) {
+    pub fn restore(&mut self, now: Nanos, learned: &DestinationSnapshot) {
         self.wake(now, learned.dest, &mut Vec::new());
         let at = |ago: Nanos| now.saturating_sub(ago);
         let id = learned.route.map_or(UnitId::Dest(learned.dest), UnitId::Route);
         let Some(unit) = self.units.get_mut(&id) else { return };
         unit.window = learned.window.max(1.0);
-        (unit.pace, unit.proven) = (learned.pace, learned.proven);
-        unit.cut = learned.cut_ago.map_or(0, at);
+        (unit.pace, unit.proven) = (learned.rate, learned.proven_rate);
+        unit.cut = learned.rate_cut_ago.map_or(0, at);
         let predictor = &mut unit.predictor;
-        (predictor.least, predictor.recent, predictor.mean) = (learned.least, learned.recent, learned.mean);
+        (predictor.least, predictor.recent, predictor.mean) =
+            (learned.min_latency, learned.latest_latency, learned.mean_latency);
         predictor.answered = at(learned.answered_ago);
         // As if it had come for as long as a cold start lasts, so that it weighs against a share of a listed rate.
         (unit.known, unit.arrived) = (at(self.cold), learned.demand * secs(self.cold));
-        for told in &learned.peers {
+        for told in &learned.endpoints {
             let Some(peer) = self.peers.get_mut(&told.id) else { continue };
             peer.health = match told.returning_ago {
                 Some(ago) => Health::Returning(at(ago)),
@@ -120,14 +121,15 @@
                 None => Health::Up,
             };
             // How its calls failed is not told, so the worst is assumed.
-            (peer.since, peer.bad, peer.connect_failed) = (at(told.since_ago), told.bad, told.down);
-            (peer.next_trial, peer.served) = (now + told.trial_left, told.served_ago.map_or(0, at));
+            (peer.since, peer.bad, peer.connect_failed) =
+                (at(told.unhealthy_ago), told.failure_average, told.down);
+            (peer.next_trial, peer.served) = (now + told.next_trial_in, told.served_ago.map_or(0, at));
         }
-        self.told_wait(now, learned.dest, learned.route, learned.wait_left);
+        self.apply_retry_after(now, learned.dest, learned.route, learned.retry_after_left);
     }
 
     /// A wait that somebody else was told.
-    pub fn told_wait(&mut self, now: Nanos, dest: DestId, route: Option<EndpointId>, left: Nanos) {
+    pub fn apply_retry_after(&mut self, now: Nanos, dest: DestId, route: Option<EndpointId>, left: Nanos) {
         self.wake(now, dest, &mut Vec::new());
         let unit = self.units.get_mut(&route.map_or(UnitId::Dest(dest), UnitId::Route));
         unit.into_iter()
@@ -136,7 +138,7 @@
 
     /// So many of the slots are taken by calls that are not this courier's; all others are its own again. To be said
     /// anew after settings were taken up.
-    pub fn lend(&mut self, slots: usize) {
+    pub fn reserve_slots(&mut self, slots: usize) {
         let all = self.settings.slots.map_or(usize::MAX, |slots| slots as usize);
         self.slots = all.saturating_sub(slots);
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -36,7 +36,7 @@
     /// Repeats are harmless.
     Safe,
     /// Repeats are dropped by the endpoints that remember the key.
-    Keyed,
+    Deduplicated,
     /// Must never take effect twice.
     #[default]
     Unsafe,
@@ -44,7 +44,7 @@
 
 /// Which endpoints of a destination share the memory of keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -58,38 +58,38 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
     /// Delivered within this time, a message earns its full worth.
-    pub aim: Nanos,
+    pub target_latency: Nanos,
     /// Time for which a message may be delivered, from when it was first handed in.
-    pub give_up: Nanos,
+    pub lifetime: Nanos,
     /// What a repeat does.
     pub effect: Effect,
     /// Who remembers keys.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// How long keys are remembered, from the first send that may have run.
-    pub window: Option<Nanos>,
+    pub dedup_window: Option<Nanos>,
     /// Whether messages sharing a key keep their order.
     pub ordered: bool,
     /// Share of the worth that is left at the deadline.
     pub late_worth: Option<f64>,
     /// Worth of a message.
-    pub credit: Option<f64>,
+    pub worth: Option<f64>,
 }
 
 impl Class {
     /// For how long after it may have run a message may be sent again; none if for ever.
-    pub fn memory(&self) -> Option<Nanos> {
+    pub fn resend_window(&self) -> Option<Nanos> {
         match self.effect {
             Effect::Safe => None,
-            Effect::Keyed => Some(self.window.unwrap_or(0)),
+            Effect::Deduplicated => Some(self.dedup_window.unwrap_or(0)),
             Effect::Unsafe => Some(0),
         }
     }
 
     /// Whether its client may hand a message in again that may have run.
-    pub fn may_come_again(&self) -> bool {
+    pub fn may_be_resubmitted(&self) -> bool {
         match self.effect {
             Effect::Safe => true,
-            Effect::Keyed => self.group == Group::All,
+            Effect::Deduplicated => self.dedup_scope == DedupScope::All,
             Effect::Unsafe => false,
         }
     }
@@ -97,11 +97,11 @@
 
 /// How worth falls after the aim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fade {
+pub enum WorthDecay {
     /// Evenly, down to the late worth at the deadline.
-    Line,
+    Linear,
     /// By half with each further aim, but not under the late worth.
-    Halves,
+    Halving,
 }
 
 /// What the weights in the list state.
@@ -120,7 +120,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     /// Share of the limit that is left.
-    pub left: Option<f64>,
+    pub remaining_share: Option<f64>,
     /// Calls a second that the limit allows; zero where there is none.
     pub limit: Option<f64>,
 }
@@ -136,53 +136,53 @@
 #[derive(Clone, Debug, Default)]
 pub struct Kind {
     /// Whether the endpoints of a destination are separate routes.
-    pub apart: Option<bool>,
+    pub separate_routes: Option<bool>,
     /// Messages in one call at most.
-    pub bundle: Option<u32>,
+    pub max_batch: Option<u32>,
 }
 
 /// The figures of the rules.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
     /// How long after an outage a destination may stay cold.
-    pub cold: Option<Nanos>,
+    pub warm_up_time: Option<Nanos>,
     /// Least share of its capacity that it has then.
     pub cold_share: Option<f64>,
     /// Sent over this multiple of its present capacity ...
-    pub fall_multiple: Option<f64>,
+    pub overload_factor: Option<f64>,
     /// ... for this long, it falls over.
-    pub fall: Option<Nanos>,
+    pub overload_time: Option<Nanos>,
     /// Longest that a courier without a subscription may go without asking for the list.
-    pub must_ask_in: Option<Nanos>,
+    pub list_poll_interval: Option<Nanos>,
     /// How long a key rests after an attempt that may still be executing.
-    pub order_settle: Option<Nanos>,
+    pub order_settle_time: Option<Nanos>,
 }
 
 /// What a courier is told when it starts. An absent value was not told.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Couriers in this tier.
-    pub couriers: Option<u32>,
+    pub relays: Option<u32>,
     /// This courier's zone.
     pub zone: Option<ZoneId>,
     /// Least time between rounds.
-    pub step: Option<Nanos>,
+    pub round_interval: Option<Nanos>,
     /// Classes of message.
     pub classes: Vec<Class>,
     /// How worth falls after the aim.
-    pub fade: Option<Fade>,
+    pub worth_decay: Option<WorthDecay>,
     /// Tenants; there may be none.
     pub tenants: Vec<Tenant>,
     /// Part of its worth that a message keeps when its tenant is over its share.
-    pub over_share_worth: Option<f64>,
+    pub over_quota_worth: Option<f64>,
     /// Kinds of destination.
     pub kinds: Vec<Kind>,
     /// Calls that may be out at once.
     pub slots: Option<u32>,
     /// Messages that may be held, sent or not.
-    pub max_held: Option<u32>,
+    pub max_queued: Option<u32>,
     /// Most attempts for a message.
-    pub max_tries: Option<u32>,
+    pub max_attempts: Option<u32>,
     /// Longest backoff that a client heeds.
     pub max_backoff: Option<Nanos>,
     /// Idle connections close after this.
@@ -190,7 +190,7 @@
     /// A connection that is not up within this time has failed.
     pub dial_timeout: Option<Nanos>,
     /// Whether refusals may carry a backoff.
-    pub backoff_told: bool,
+    pub refusals_carry_backoff: bool,
     /// Whether the list comes only when asked for.
     pub list_on_request: bool,
     /// Whether couriers pass lists on to one another, so that few of them ask, whatever their number.
@@ -200,14 +200,14 @@
     /// Whether endpoints may be probed.
     pub probing: bool,
     /// Whether couriers may send each other notes.
-    pub notes: bool,
+    pub relay_messages: bool,
     /// A destination unused for so long is cold until it shows otherwise, as is one never used, one that came
     /// after the first list, and one that started lately. Absent: health alone tells what is cold.
     pub cold_after: Option<Nanos>,
     /// The figures of the rules.
     pub rules: Rules,
     /// How much the worst served class counts by itself, against the whole.
-    pub worst_class: f64,
+    pub worst_class_weight: f64,
 }
 
 /// What the list says of an endpoint.
@@ -216,9 +216,9 @@
     /// Listed; nothing is said of its health.
     Active,
     /// Draining.
-    Leaving,
+    Draining,
     /// Gone.
-    Left,
+    Removed,
 }
 
 /// An entry of the list.
@@ -246,17 +246,17 @@
     /// Its destination would serve it too late, by what is predicted.
     TooSlow,
     /// Too much waits for its destination already, which serves nothing just now.
-    DestinationCrowded,
+    DestinationQueueFull,
     /// The hold is full, and it is worth least.
-    HoldFull,
+    QueueFull,
     /// Its time is over.
-    OutOfTime,
+    DeadlineReached,
     /// It has had all its tries.
-    OutOfTries,
+    AttemptsExhausted,
     /// Who got it before may no longer know it.
-    Forgotten,
+    ResendWindowOver,
     /// No list that may be acted on will be there in time.
-    NoList,
+    NoUsableList,
 }
 
 /// How much of the list an event brings.
@@ -269,19 +269,22 @@
     /// The whole list as it was last had, maybe old.
     Stale,
     /// A request for the list was not taken, or the subscription broke; no entries.
-    Broken,
+    Unreachable,
     /// The same, but it was turned away after it had been taken.
-    Busy,
+    Rejected,
     /// The same, but the answer broke off: what it held may count as told.
-    Torn,
+    Truncated,
     /// The same, but nothing was heard in time: what was to be told may count as told.
-    Silent,
+    TimedOut,
 }
 
 impl ListScope {
     /// Whether it brings no list.
     pub fn is_failure(self) -> bool {
-        matches!(self, ListScope::Broken | ListScope::Busy | ListScope::Torn | ListScope::Silent)
+        matches!(
+            self,
+            ListScope::Unreachable | ListScope::Rejected | ListScope::Truncated | ListScope::TimedOut
+        )
     }
 }
 
@@ -299,24 +302,24 @@
     /// Its order key.
     pub key: Option<OrderKey>,
     /// How long it may still be delivered.
-    pub patience: Nanos,
+    pub time_left: Nanos,
     /// The client marked it as another try.
     pub retry: bool,
     /// A courier that had it has died.
     pub reconnect: bool,
     /// Attempts made before: not zero only for a message that outlived its courier's process.
-    pub tries: u32,
+    pub previous_attempts: u32,
     /// The first of those attempts that may have run.
-    pub risk: Option<Risk>,
+    pub unconfirmed: Option<UnconfirmedAttempt>,
     /// It outlived its courier's process.
-    pub kept: bool,
+    pub restored: bool,
     /// The rules of its class under which it was taken on; those of the settings if none.
     pub rules: Option<Class>,
 }
 
 /// The first attempt of a message that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Risk {
+pub struct UnconfirmedAttempt {
     /// When it was sent; it may lie before the courier's first round.
     pub sent: Nanos,
     /// Where to.
@@ -333,9 +336,9 @@
     /// Answered with an error; may have run.
     Error,
     /// Turned away unseen, with the wait told, if any.
-    Full {
+    Overloaded {
         /// Time to send nothing there.
-        wait: Option<Nanos>,
+        retry_after: Option<Nanos>,
     },
     /// No answer in time; may have run.
     Timeout,
@@ -346,7 +349,7 @@
     /// Called off; may have run.
     Cancelled,
     /// Not sent; never ran.
-    Moot,
+    NotSent,
     /// Not sent, by a fault of this machine; never ran, and is no try.
     LocalFault,
 }
@@ -364,7 +367,7 @@
     /// A new message.
     Request(Request),
     /// An attempt ended.
-    Closed {
+    AttemptEnded {
         /// Which message.
         msg: MsgId,
         /// Which attempt, from 0.
@@ -376,17 +379,17 @@
         /// Time since it was sent.
         latency: Nanos,
         /// Nothing more is owed for the message.
-        no_more: bool,
+        message_done: bool,
         /// What the answer tells of the limit.
         report: Report,
     },
     /// A stream has started; nothing here streams, so it only tells that the attempt lives.
-    First {
+    StreamStarted {
         /// Which message.
         msg: MsgId,
     },
     /// Nobody wants the message any more.
-    Expired {
+    Abandoned {
         /// Which message.
         msg: MsgId,
     },
@@ -396,7 +399,7 @@
         nonce: u64,
     },
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// Which endpoint.
         endpoint: EndpointId,
         /// How it ended.
@@ -405,7 +408,7 @@
         latency: Nanos,
     },
     /// Another courier sent a note.
-    Note {
+    RelayMessage {
         /// The sender.
         from: u32,
         /// What it sent.
@@ -423,7 +426,7 @@
         /// Which endpoint.
         endpoint: EndpointId,
         /// Give the attempt up after this long.
-        limit: Nanos,
+        timeout: Nanos,
     },
     /// End the message; it may safely come again.
     Refuse {
@@ -432,7 +435,7 @@
         /// How long the client should stay away.
         backoff: Option<Nanos>,
         /// Why, for the log.
-        why: GiveUpReason,
+        reason: GiveUpReason,
     },
     /// End the message as failed.
     Fail {
@@ -459,12 +462,12 @@
         endpoint: EndpointId,
     },
     /// Close idle connections to an endpoint.
-    Close {
+    CloseIdle {
         /// Which endpoint.
         endpoint: EndpointId,
     },
     /// Send a note to one courier or all others.
-    Tell {
+    SendToRelays {
         /// The receiver; all others if absent.
         to: Option<u32>,
         /// What to send.
@@ -476,10 +479,10 @@
         line: String,
     },
     /// Open or close the subscription to the list.
-    Follow {
+    Subscribe {
         /// Open it.
-        want: bool,
+        open: bool,
     },
     /// Ask once for the whole list.
-    Reload,
+    FetchList,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,13 +5,14 @@
 //! out its actions; the library has no clock, thread or I/O of its own.
 //!
 //! ```
-//! use slatethread::{Action, Courier, Endpoint, EndpointId, Event, ListScope, MsgId, Request, Settings};
+//! use slatethread::{Action, Dispatcher, Endpoint, EndpointId, Event, ListScope, MsgId, Request, Settings};
 //! use slatethread::{Class, Condition, DestId, Effect, KindId, ZoneId, ClassId};
 //!
 //! const SECOND: u64 = 1_000_000_000;
-//! let class = Class { aim: 2 * SECOND, give_up: 20 * SECOND, effect: Effect::Safe, ..Class::default() };
+//! let class =
+//!     Class { target_latency: 2 * SECOND, lifetime: 20 * SECOND, effect: Effect::Safe, ..Class::default() };
 //! let settings = Settings { classes: vec![class], slots: Some(4), ..Settings::default() };
-//! let mut courier = Courier::new(settings, 7);
+//! let mut courier = Dispatcher::new(settings, 7);
 //! let endpoint = Endpoint {
 //!     id: EndpointId(1), dest: DestId(5), zone: ZoneId(0), kind: KindId(0),
 //!     condition: Condition::Active, weight: None, started: 0,
@@ -19,7 +20,8 @@
 //! let list = Event::List { scope: ListScope::Whole, entries: vec![endpoint] };
 //! let request = Event::Request(Request {
 //!     msg: MsgId(9), dest: DestId(5), class: ClassId(0), tenant: None, key: None,
-//!     patience: 20 * SECOND, retry: false, reconnect: false, tries: 0, risk: None, kept: false, rules: None,
+//!     time_left: 20 * SECOND, retry: false, reconnect: false, previous_attempts: 0, unconfirmed: None,
+//!     restored: false, rules: None,
 //! });
 //! let mut actions = Vec::new();
 //! courier.on_round(SECOND, &[list, request], &mut actions);
@@ -44,8 +46,8 @@
 mod state;
 mod waiting;
 
-pub use choice::Courier;
-pub use heir::{Learned, LearnedPeer};
+pub use choice::Dispatcher;
+pub use heir::{DestinationSnapshot, EndpointSnapshot};
 pub use interface::*;
 pub use list_lease::ListLease;
-pub use rest::Kept;
+pub use rest::RecordCounts;
--- a/src/list_lease.rs
+++ b/src/list_lease.rs
@@ -57,18 +57,18 @@
 
 impl ListLease {
     /// A lease without end, for lists that come from a file or from this machine's own agent.
-    pub fn endless() -> Self {
+    pub fn unbounded() -> Self {
         ListLease::default()
     }
 
     /// A lease on a list that is asked for, none held yet. `must_ask_in` is the longest time that the
     /// settings let a relay go without asking, in nanoseconds.
-    pub fn asked_for(must_ask_in: Nanos) -> Self {
+    pub fn for_polled_list(must_ask_in: Nanos) -> Self {
         ListLease { span: Some(TOLD_ANYWAY.min(must_ask_in) + USABLE_GRACE), ..ListLease::default() }
     }
 
     /// Takes up other settings; the lease goes on.
-    pub fn settle(&mut self, must_ask_in: Nanos) {
+    pub fn set_poll_interval(&mut self, must_ask_in: Nanos) {
         if let Some(span) = &mut self.span {
             *span = TOLD_ANYWAY.min(must_ask_in) + USABLE_GRACE;
         }
@@ -80,7 +80,7 @@
     }
 
     /// The first byte of an answer with a list or changes has come, and they are not in force yet.
-    pub fn answer_begins(&mut self, now: Nanos) {
+    pub fn answer_started(&mut self, now: Nanos) {
         let [oldest, newest] = &mut self.unread;
         if oldest.is_none() { *oldest = Some(now) } else { *newest = Some(now) }
     }
@@ -98,10 +98,10 @@
     }
 
     /// A call failed, as was heard at `now`.
-    pub fn fail(&mut self, now: Nanos, how: ListScope) {
+    pub fn call_failed(&mut self, now: Nanos, how: ListScope) {
         let binds = self.reloaded.filter(|reloaded| now < reloaded + TOLD_AFTER_RELOAD);
         self.reload_unconfirmed = self.reload_unconfirmed.or(binds);
-        if how != ListScope::Broken {
+        if how != ListScope::Unreachable {
             self.refused = None;
             return;
         }
@@ -112,7 +112,7 @@
     }
 
     /// The configuration was read anew: discovery may have moved.
-    pub fn reload(&mut self, now: Nanos) {
+    pub fn configuration_reloaded(&mut self, now: Nanos) {
         self.reloaded = Some(now);
         self.reload_unconfirmed.get_or_insert(now);
     }
@@ -133,13 +133,13 @@
     }
 
     /// When the list was last known to be complete, none if never; later by what outages took.
-    pub fn confirmed(&self) -> Option<Nanos> {
+    pub fn confirmed_at(&self) -> Option<Nanos> {
         self.confirmed
     }
 
     /// When this lease would have had to be confirmed for it to end when it does: what a process that follows
     /// may rely on.
-    pub fn inheritable(&self) -> Option<Nanos> {
+    pub fn inheritable_confirmation(&self) -> Option<Nanos> {
         Some(self.ends_at()?.saturating_sub(self.span?)).filter(|_| self.confirmed.is_some())
     }
 }
--- a/src/list_lease/tests.rs
+++ b/src/list_lease/tests.rs
@@ -1,34 +1,34 @@
 use super::*;
-use ListScope::{Broken, Busy, Silent, Torn};
+use ListScope::{Rejected, TimedOut, Truncated, Unreachable};
 use proptest::prelude::*;
 
 const MS: Nanos = 1_000_000;
 
 fn confirmed_at(begun: Nanos) -> ListLease {
-    let mut lease = ListLease::asked_for(10 * SECOND);
+    let mut lease = ListLease::for_polled_list(10 * SECOND);
     lease.confirm(begun, begun);
     lease
 }
 
 #[test]
 fn a_confirmation_is_a_lease_from_its_calls_beginning() {
-    assert_eq!(ListLease::asked_for(10 * SECOND).ends_at(), Some(0), "nothing was confirmed");
+    assert_eq!(ListLease::for_polled_list(10 * SECOND).ends_at(), Some(0), "nothing was confirmed");
     assert_eq!(confirmed_at(100 * SECOND).ends_at(), Some(106_300 * MS));
     assert!(
         confirmed_at(100 * SECOND).allows(106_299 * MS) && !confirmed_at(100 * SECOND).allows(106_300 * MS)
     );
-    let mut short = ListLease::asked_for(4 * SECOND);
+    let mut short = ListLease::for_polled_list(4 * SECOND);
     short.confirm(100 * SECOND, 100 * SECOND);
     assert_eq!(short.ends_at(), Some(104_300 * MS), "a relay that is held to ask sooner is told sooner");
-    assert!(ListLease::endless().allows(Nanos::MAX));
+    assert!(ListLease::unbounded().allows(Nanos::MAX));
 }
 
 #[test]
 fn a_503_a_reset_and_silence_prove_nothing() {
-    for how in [Busy, Torn, Silent] {
+    for how in [Rejected, Truncated, TimedOut] {
         let mut lease = confirmed_at(100 * SECOND);
-        lease.fail(101 * SECOND, how);
-        lease.fail(103 * SECOND, how);
+        lease.call_failed(101 * SECOND, how);
+        lease.call_failed(103 * SECOND, how);
         assert_eq!(lease.ends_at(), Some(106_300 * MS), "{how:?}");
     }
 }
@@ -36,29 +36,29 @@
 #[test]
 fn the_time_between_two_refused_connections_does_not_count() {
     let mut lease = confirmed_at(100 * SECOND);
-    lease.fail(102 * SECOND, Broken);
+    lease.call_failed(102 * SECOND, Unreachable);
     assert_eq!(lease.ends_at(), Some(106_300 * MS), "one says nothing of the time before it");
-    lease.fail(105 * SECOND, Broken);
+    lease.call_failed(105 * SECOND, Unreachable);
     assert_eq!(lease.ends_at(), Some(109_300 * MS));
-    lease.fail(106 * SECOND, Busy);
-    lease.fail(108 * SECOND, Broken);
+    lease.call_failed(106 * SECOND, Rejected);
+    lease.call_failed(108 * SECOND, Unreachable);
     assert_eq!(lease.ends_at(), Some(109_300 * MS), "it was there in between");
-    lease.fail(119 * SECOND, Broken);
+    lease.call_failed(119 * SECOND, Unreachable);
     assert_eq!(lease.ends_at(), Some(109_300 * MS), "too far apart");
 }
 
 #[test]
 fn an_answer_that_has_begun_binds_until_it_is_taken_in() {
     let mut lease = confirmed_at(100 * SECOND);
-    lease.answer_begins(101 * SECOND);
-    lease.answer_begins(102 * SECOND);
+    lease.answer_started(101 * SECOND);
+    lease.answer_started(102 * SECOND);
     assert_eq!(lease.ends_at(), Some(101_300 * MS));
-    lease.fail(101_100 * MS, Torn);
+    lease.call_failed(101_100 * MS, Truncated);
     assert_eq!(lease.ends_at(), Some(101_300 * MS), "it broke off, and may have told a drain");
     lease.confirm(103 * SECOND, 103 * SECOND);
     assert_eq!(lease.ends_at(), Some(109_300 * MS));
-    lease.answer_begins(104 * SECOND);
-    lease.answer_begins(104_100 * MS);
+    lease.answer_started(104 * SECOND);
+    lease.answer_started(104_100 * MS);
     lease.confirm(102 * SECOND, 104 * SECOND);
     assert_eq!(lease.ends_at(), Some(104_400 * MS), "the next one is on its way");
 }
@@ -66,30 +66,30 @@
 #[test]
 fn a_reload_binds_until_a_later_call_is_answered() {
     let mut lease = confirmed_at(100 * SECOND);
-    lease.reload(101 * SECOND);
+    lease.configuration_reloaded(101 * SECOND);
     assert_eq!(lease.ends_at(), Some(105_300 * MS));
     lease.confirm(100_900 * MS, 100_900 * MS);
     assert_eq!(lease.ends_at(), Some(105_300 * MS), "begun before it");
-    lease.reload(102 * SECOND);
+    lease.configuration_reloaded(102 * SECOND);
     assert_eq!(lease.ends_at(), Some(105_300 * MS), "the first one binds");
     lease.confirm(101_500 * MS, 101_500 * MS);
     assert_eq!(lease.ends_at(), Some(105_300 * MS), "begun before the second");
     lease.confirm(102_500 * MS, 102_500 * MS);
     assert_eq!(lease.ends_at(), Some(108_800 * MS));
-    lease.fail(103 * SECOND, Busy);
+    lease.call_failed(103 * SECOND, Rejected);
     assert_eq!(lease.ends_at(), Some(106_300 * MS), "what came since counts as told with the reload");
     lease.confirm(104 * SECOND, 104 * SECOND);
-    lease.fail(106_500 * MS, Busy);
+    lease.call_failed(106_500 * MS, Rejected);
     assert_eq!(lease.ends_at(), Some(110_300 * MS));
 }
 
 #[test]
 fn what_a_later_process_may_rely_on_ends_with_the_lease() {
-    assert_eq!(ListLease::asked_for(10 * SECOND).inheritable(), None);
+    assert_eq!(ListLease::for_polled_list(10 * SECOND).inheritable_confirmation(), None);
     let mut lease = confirmed_at(100 * SECOND);
-    lease.reload(100 * SECOND);
-    let mut next = ListLease::asked_for(10 * SECOND);
-    next.restore(lease.inheritable().expect("it was confirmed"));
+    lease.configuration_reloaded(100 * SECOND);
+    let mut next = ListLease::for_polled_list(10 * SECOND);
+    next.restore(lease.inheritable_confirmation().expect("it was confirmed"));
     assert_eq!((next.ends_at(), lease.ends_at()), (Some(104_300 * MS), Some(104_300 * MS)));
 }
 
@@ -110,7 +110,7 @@
     let step = prop_oneof![
         (0u64..3000, 0u64..600).prop_map(|(began, taken_in)| Step::Answered { began, taken_in }),
         Just(Step::TornOff),
-        prop_oneof![Just(Busy), Just(Silent)].prop_map(Step::Fails),
+        prop_oneof![Just(Rejected), Just(TimedOut)].prop_map(Step::Fails),
         Just(Step::Reloaded),
     ];
     proptest::collection::vec((1u64..4000, step), 1..60)
@@ -121,7 +121,7 @@
     /// never later than the grace after the earliest moment at which a change unknown to the relay may count as told.
     #[test]
     fn no_first_byte_comes_after_the_bound(steps in steps()) {
-        let mut lease = ListLease::asked_for(10 * SECOND);
+        let mut lease = ListLease::for_polled_list(10 * SECOND);
         let mut now = 1000 * SECOND;
         // The earliest change that may be unknown, the latest reload not yet answered, and the first unread byte.
         let (mut unknown_since, mut reload, mut unread) = (0, None, None::<Nanos>);
@@ -130,7 +130,7 @@
             match step {
                 Step::Answered { began, taken_in } => {
                     let began = now - began * MS;
-                    lease.answer_begins(now);
+                    lease.answer_started(now);
                     let first = *unread.get_or_insert(now);
                     let answered = now;
                     now += taken_in * MS;
@@ -141,13 +141,13 @@
                     reload = reload.filter(|reloaded| *reloaded > began);
                 }
                 Step::TornOff => {
-                    lease.answer_begins(now);
+                    lease.answer_started(now);
                     unread.get_or_insert(now);
-                    lease.fail(now, Torn);
+                    lease.call_failed(now, Truncated);
                 }
-                Step::Fails(how) => lease.fail(now, how),
+                Step::Fails(how) => lease.call_failed(now, how),
                 Step::Reloaded => {
-                    lease.reload(now);
+                    lease.configuration_reloaded(now);
                     reload = reload.or(Some(now));
                 }
             }
--- a/src/rest.rs
+++ b/src/rest.rs
@@ -3,7 +3,7 @@
 //! Owns the way between the roster's compact records and the full ones that [`crate::choice`] decides on: made when a
 //! message comes for a destination, handed back once it has had nothing to do for a while. It decides on no call.
 use crate::base::{nanos, secs};
-use crate::choice::{Courier, FORGET, LEAST_RATE};
+use crate::choice::{Dispatcher, FORGET, LEAST_RATE};
 use crate::cold_return::COLD_PART;
 use crate::interface::*;
 use crate::ramp::{Ramp, Warming};
@@ -14,27 +14,27 @@
 
 /// How much a courier keeps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct RecordCounts {
     /// Endpoints listed.
     pub listed: usize,
     /// Of them, those with full records: a message came for their destination of late.
     pub full: usize,
     /// Destinations and routes at rest that left something behind.
-    pub rests: usize,
+    pub idle: usize,
     /// Destinations and routes that are paced because they may be cold.
     pub cold: usize,
 }
 
-impl Courier {
+impl Dispatcher {
     /// How much is kept just now.
-    pub fn kept(&self) -> Kept {
+    pub fn record_counts(&self) -> RecordCounts {
         let (listed, rests) = self.roster.sizes();
         let cold = self.units.values().filter(|u| u.ramp.is_some()).count();
-        Kept { listed, full: self.peers.len(), rests, cold }
+        RecordCounts { listed, full: self.peers.len(), idle: rests, cold }
     }
 
     /// How many listed endpoints are left alone for their health, those that drain not counted.
-    pub fn avoided(&self) -> usize {
+    pub fn down_endpoints(&self) -> usize {
         let down = |p: &&Peer| p.entry.condition == Condition::Active && p.health == Health::Down;
         self.peers.values().filter(down).count() + self.roster.down()
     }
@@ -42,10 +42,10 @@
     /// Takes in an entry; costs the same however many there are.
     pub(crate) fn list_endpoint(&mut self, now: Nanos, entry: &Endpoint) {
         self.hold.touch(entry.dest);
-        if entry.condition == Condition::Left {
+        if entry.condition == Condition::Removed {
             self.roster.remove(entry.dest, entry.id);
             if let Some(peer) = self.peers.get_mut(&entry.id) {
-                peer.entry.condition = Condition::Left;
+                peer.entry.condition = Condition::Removed;
             }
             return;
         }
@@ -87,7 +87,7 @@
     /// Makes the full record of an endpoint, with what it left behind when it went to rest. What may be cold, as
     /// `cold_after` has it, is paced until it shows otherwise (exception 11).
     fn enlist(&mut self, now: Nanos, entry: Endpoint, came: bool) {
-        let apart = self.settings.kinds.get(entry.kind.0).and_then(|k| k.apart).unwrap_or(false);
+        let apart = self.settings.kinds.get(entry.kind.0).and_then(|k| k.separate_routes).unwrap_or(false);
         let id = if apart { UnitId::Route(entry.id) } else { UnitId::Dest(entry.dest) };
         let listed = entry.weight.filter(|w| self.settings.weights != Weights::Nothing && *w > 0.0);
         let lately = entry.started > 0 && entry.started + self.cold > now;
@@ -152,7 +152,7 @@
     /// more than the settings allow it: `fall_multiple` times what it takes within `fall`. Nothing for a lone courier.
     fn first_call_delay(&self, unit: &Unit, lot: f64) -> Nanos {
         let rules = &self.settings.rules;
-        let allowed = rules.fall_multiple.unwrap_or(1.0) * rules.cold_share.unwrap_or(0.1) * unit.even;
+        let allowed = rules.overload_factor.unwrap_or(1.0) * rules.cold_share.unwrap_or(0.1) * unit.even;
         // In this time each courier may have one call.
         let turn = nanos(1.0 / allowed.max(1e-9)).min(self.cold);
         let others = 1.0 - 1.0 / self.couriers;
@@ -183,7 +183,7 @@
             self.roster.rest_peer(&peer);
             let served = units.entry(peer.unit).or_default();
             *served = peer.served.max(*served);
-            actions.push(Action::Close { endpoint: peer.entry.id });
+            actions.push(Action::CloseIdle { endpoint: peer.entry.id });
         }
         for (id, served) in units {
             if let Some(unit) = self.units.remove(&id) {
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -96,7 +96,7 @@
         self.listed.insert(place, listed);
         match known {
             None => Change::New,
-            Some(old) if old.condition == Condition::Leaving && came_back(&old, &listed) => Change::Back,
+            Some(old) if old.condition == Condition::Draining && came_back(&old, &listed) => Change::Back,
             Some(_) => Change::Known,
         }
     }
@@ -117,7 +117,7 @@
 
     /// Forgets all that `entries` does not name; tells what that was.
     pub fn keep_only(&mut self, entries: &[Endpoint]) -> Vec<EndpointId> {
-        let stays = entries.iter().filter(|e| e.condition != Condition::Left);
+        let stays = entries.iter().filter(|e| e.condition != Condition::Removed);
         let named: BTreeSet<_> = stays.map(|e| (e.dest, e.id)).collect();
         let gone: Vec<_> = self.listed.keys().filter(|place| !named.contains(place)).copied().collect();
         gone.iter().for_each(|(dest, id)| self.remove(*dest, *id));
--- a/src/roster/tests.rs
+++ b/src/roster/tests.rs
@@ -24,7 +24,7 @@
     let mut roster = Roster::default();
     roster.put(5, &entry(1, 7, Condition::Active));
     roster.put(5, &Endpoint { started: 3, ..entry(2, 7, Condition::Active) });
-    assert_eq!(roster.put(9, &entry(1, 7, Condition::Leaving)), Change::Known);
+    assert_eq!(roster.put(9, &entry(1, 7, Condition::Draining)), Change::Known);
     assert_eq!(roster.put(9, &entry(4, 7, Condition::Active)), Change::New);
     let came: Vec<_> = roster.of(DestId(7)).map(|e| (e.id.0, e.started)).collect();
     assert_eq!(came, [(1, 0), (2, 3), (4, 9)]);
--- a/src/state.rs
+++ b/src/state.rs
@@ -247,7 +247,7 @@
     pub kept: bool,
     pub ended: bool,
     pub out: Option<Attempt>,
-    pub risk: Option<Risk>,
+    pub risk: Option<UnconfirmedAttempt>,
     /// It was turned away as full before, and rests until then.
     pub full: Option<Nanos>,
     /// Where it waits in the hold.
@@ -258,7 +258,7 @@
 
 impl Message {
     pub fn new(request: &Request, rules: Class, key: Option<OrderKey>, came: Nanos) -> Self {
-        let deadline = came.saturating_add(request.patience);
+        let deadline = came.saturating_add(request.time_left);
         Message {
             dest: request.dest,
             class: request.class.0,
@@ -268,12 +268,12 @@
             came,
             aim_at: deadline,
             deadline,
-            tries: request.tries,
-            attempts: request.tries,
-            kept: request.kept,
+            tries: request.previous_attempts,
+            attempts: request.previous_attempts,
+            kept: request.restored,
             ended: false,
             out: None,
-            risk: request.risk,
+            risk: request.unconfirmed,
             full: None,
             lane: None,
             alarm: None,
@@ -347,7 +347,7 @@
 
 /// What was learned of a kind of destination.
 #[derive(Clone, Copy)]
-pub struct Learned {
+pub struct KindStats {
     /// How long a connection may idle and be used again.
     pub keep: Nanos,
     /// Until when that is not cut again.
@@ -360,9 +360,9 @@
     pub told: f64,
 }
 
-impl Learned {
+impl KindStats {
     pub fn new(keep: Nanos, rest: f64) -> Self {
-        Learned { keep, keep_cut: 0, proven: 0, rest, told: 0.0 }
+        KindStats { keep, keep_cut: 0, proven: 0, rest, told: 0.0 }
     }
 }
 
--- a/src/waiting.rs
+++ b/src/waiting.rs
@@ -2,14 +2,14 @@
 //!
 //! Owns the way of a message into its lane and out of it. What is sent, given up or turned away is decided in
 //! [`crate::choice`].
-use crate::choice::Courier;
+use crate::choice::Dispatcher;
 use crate::hold::{Bound, Lane, Place, Rank, Turn, Waiting};
 use crate::interface::*;
 use crate::state::{Message, Peer, UnitId, nanos};
 use std::cmp::Ordering;
 use std::collections::{BTreeSet, VecDeque};
 
-impl Courier {
+impl Dispatcher {
     /// The least urgent message of a lane.
     pub(crate) fn last(
         &self,
@@ -62,15 +62,17 @@
         let Some(message) = self.messages.get(&id).filter(|m| !m.ended && m.out.is_none()) else { return };
         let class = &message.rules;
         let (risk, turn) = (message.risk.as_ref(), self.has_turn(now, id, message));
-        let bound = risk.filter(|_| class.effect == Effect::Keyed).and_then(|risk| match class.group {
-            Group::All => None,
-            Group::Zone => Some(Bound::Zone(risk.zone)),
-            Group::Endpoint => Some(Bound::Endpoint(risk.endpoint)),
-        });
+        let bound =
+            risk.filter(|_| class.effect == Effect::Deduplicated).and_then(|risk| match class.dedup_scope {
+                DedupScope::All => None,
+                DedupScope::Zone => Some(Bound::Zone(risk.zone)),
+                DedupScope::Endpoint => Some(Bound::Endpoint(risk.endpoint)),
+            });
         let rested = message.full.filter(|until| now < *until);
         let settled = message.key.and_then(|k| self.keys.get(&k)).map(|line| line.rest_until);
-        let forgotten =
-            risk.zip(class.memory()).map(|(risk, memory)| (risk.sent + memory).saturating_sub(self.guard));
+        let forgotten = risk
+            .zip(class.resend_window())
+            .map(|(risk, memory)| (risk.sent + memory).saturating_sub(self.guard));
         let alarm = [rested, settled, forgotten].into_iter().flatten().filter(|at| *at > now).min();
         let turn = match (turn, rested) {
             (true, None) => Turn::Ready,
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -58,7 +58,7 @@
     /// What it takes in a second by then.
     fn takes(&self, now: Nanos) -> f64 {
         let share = self.rules.cold_share.expect("told");
-        let warmth = (now - self.cold_since) as f64 / self.rules.cold.expect("told") as f64;
+        let warmth = (now - self.cold_since) as f64 / self.rules.warm_up_time.expect("told") as f64;
         self.capacity * (share + (1.0 - share) * warmth.min(1.0))
     }
 
@@ -69,14 +69,14 @@
         self.calls.push(now);
         let serves = match self.answers {
             Answers::All => return Outcome::Ok,
-            Answers::UntilItFalls => self.takes(now) * self.rules.fall_multiple.expect("told"),
+            Answers::UntilItFalls => self.takes(now) * self.rules.overload_factor.expect("told"),
             Answers::WithinCapacity => self.takes(now),
         };
         let gained = serves * seconds(now - self.filled);
         self.tokens = (self.tokens + gained).min((serves / 2.0).max(1.0));
         self.filled = now;
         if self.tokens < 1.0 {
-            return Outcome::Full { wait: None };
+            return Outcome::Overloaded { retry_after: None };
         }
         self.tokens -= 1.0;
         Outcome::Ok
@@ -84,15 +84,15 @@
 
     /// What the settings allow within `fall` of `from`: the multiple of what it takes meanwhile.
     fn allowed(&self, from: Nanos) -> f64 {
-        let fall = self.rules.fall.expect("told");
+        let fall = self.rules.overload_time.expect("told");
         // It warms evenly, so the mean is what it takes half way.
-        self.rules.fall_multiple.expect("told") * self.takes(from + fall / 2) * seconds(fall)
+        self.rules.overload_factor.expect("told") * self.takes(from + fall / 2) * seconds(fall)
     }
 
     /// Of the times of `fall` within the cold time, the one with most calls over what is allowed: its begin, calls, and most
     /// that may be.
     fn worst(&self) -> (f64, usize, f64) {
-        let (cold, fall) = (self.rules.cold.expect("told"), self.rules.fall.expect("told"));
+        let (cold, fall) = (self.rules.warm_up_time.expect("told"), self.rules.overload_time.expect("told"));
         let during = self.calls.iter().filter(|from| **from + fall <= self.cold_since + cold);
         let windows = during.map(|from| {
             let first = self.calls.partition_point(|at| at < from);
@@ -124,8 +124,8 @@
 /// Plays couriers before the destination until it is warm. Messages come from `begin` on, at times and couriers by chance.
 fn play(settings: &Settings, listed: &Endpoint, destination: &mut Destination, begin: Nanos, seed: u64) {
     let mut couriers: Vec<_> =
-        (0..COURIERS).map(|n| Courier::new(settings.clone(), seed * 1000 + u64::from(n))).collect();
-    let end = destination.cold_since + destination.rules.cold.expect("told") + 2 * SECOND;
+        (0..COURIERS).map(|n| Dispatcher::new(settings.clone(), seed * 1000 + u64::from(n))).collect();
+    let end = destination.cold_since + destination.rules.warm_up_time.expect("told") + 2 * SECOND;
     // What happens, by its time and its turn; and the attempts that each message has had.
     let mut queue: BTreeMap<(Nanos, u64), (u32, Event)> = BTreeMap::new();
     let mut tries: BTreeMap<u32, u32> = BTreeMap::new();
@@ -197,10 +197,10 @@
 
 fn thirty(cold_after: Option<Nanos>) -> Settings {
     Settings {
-        couriers: Some(COURIERS),
+        relays: Some(COURIERS),
         weights: Weights::Exact,
         slots: Some(64),
-        max_held: Some(400),
+        max_queued: Some(400),
         cold_after,
         ..settings()
     }
--- a/tests/cold_return.rs
+++ b/tests/cold_return.rs
@@ -21,7 +21,7 @@
 }
 
 fn long_lived() -> Settings {
-    Settings { slots: Some(64), max_held: Some(4000), max_tries: None, ..settings() }
+    Settings { slots: Some(64), max_queued: Some(4000), max_attempts: None, ..settings() }
 }
 
 impl Play {
@@ -141,8 +141,8 @@
     play.until_served();
     let mut next = Play::new(1);
     next.world.now = 77 * SECOND;
-    for learned in play.world.courier.learned(play.world.now) {
-        next.world.courier.recall(next.world.now, &learned);
+    for learned in play.world.courier.snapshot(play.world.now) {
+        next.world.courier.restore(next.world.now, &learned);
     }
     let calls = next.run(2 * SECOND, |_| Outcome::Ok)[1];
     assert!((10..=most_after(0.5)).contains(&calls), "{calls} calls");
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -39,9 +39,9 @@
 
 /// A start of `count` couriers within half a second; a call thrown away costs so many hundredths of a list's time.
 fn start(count: u32, list: Nanos, thrown_costs: u64, seed: u64, end: Nanos) -> Start {
-    let settings = Settings { list_on_request: true, couriers: Some(count), ..settings() };
+    let settings = Settings { list_on_request: true, relays: Some(count), ..settings() };
     let mut couriers: Vec<_> =
-        (0..count).map(|n| Courier::new(settings.clone(), u64::from(n) * 7919 + seed)).collect();
+        (0..count).map(|n| Dispatcher::new(settings.clone(), u64::from(n) * 7919 + seed)).collect();
     let mut steps = BinaryHeap::new();
     for who in 0..count {
         steps.push(Reverse((u64::from(who * 37 % 500) * MS, who, Step::Timer(0))));
@@ -54,7 +54,7 @@
         match step {
             Step::Timer(nonce) => event = Some((who, Event::Timer { nonce })),
             Step::Late(call) if waiting[who as usize] == Some(call) => {
-                event = Some((who, Event::List { scope: ListScope::Silent, entries: vec![] }));
+                event = Some((who, Event::List { scope: ListScope::TimedOut, entries: vec![] }));
             }
             Step::Late(_) => {}
             Step::Done => {
@@ -63,7 +63,7 @@
                 let heard = waiting[whose as usize] == Some(call);
                 *(if kept && heard { &mut start.useful } else { &mut start.useless }) += cost;
                 start.thrown += u32::from(!kept);
-                let scope = if kept { ListScope::Whole } else { ListScope::Busy };
+                let scope = if kept { ListScope::Whole } else { ListScope::Rejected };
                 let entries = if kept { vec![endpoint(1, 5)] } else { vec![] };
                 event = heard.then_some((whose, Event::List { scope, entries }));
                 left -= u32::from(kept && heard);
@@ -78,11 +78,11 @@
             couriers[who as usize].on_round(now, &[event], &mut actions);
             for action in actions {
                 match action {
-                    Action::Follow { want: true } if waiting[who as usize].is_none() => {
+                    Action::Subscribe { open: true } if waiting[who as usize].is_none() => {
                         start.calls += 1;
                         waiting[who as usize] = Some(start.calls);
                         queue.push_back((now, who, start.calls));
-                        let patience = couriers[who as usize].list_patience(false);
+                        let patience = couriers[who as usize].list_timeout(false);
                         steps.push(Reverse((now + patience, who, Step::Late(start.calls))));
                     }
                     Action::SetTimer { nonce, after } => {
@@ -140,9 +140,9 @@
 /// Down, a service turns all away at once: that says nothing of a queue, and all ask again within a turn and a half.
 #[test]
 fn what_is_turned_away_at_once_widens_no_turn_and_what_waited_does() {
-    let settings = Settings { list_on_request: true, couriers: Some(100), ..settings() };
+    let settings = Settings { list_on_request: true, relays: Some(100), ..settings() };
     for (waited, least, most) in [(MS, 0, 15), (2 * SECOND, 80, 240)] {
-        let mut courier = Courier::new(settings.clone(), 1);
+        let mut courier = Dispatcher::new(settings.clone(), 1);
         let mut longest = 0;
         let (mut now, mut actions) = (0, Vec::new());
         courier.on_round(now, &[], &mut actions);
@@ -156,7 +156,7 @@
             courier.on_round(now, &[Event::Timer { nonce }], &mut actions);
             actions.clear();
             now += waited;
-            let busy = Event::List { scope: ListScope::Busy, entries: vec![] };
+            let busy = Event::List { scope: ListScope::Rejected, entries: vec![] };
             courier.on_round(now, &[busy], &mut actions);
         }
         assert!((least * SECOND..=most * SECOND).contains(&longest), "waited {waited}: {longest}");
@@ -165,10 +165,10 @@
 
 #[test]
 fn what_cannot_wait_for_the_list_is_given_back_at_once() {
-    let settings = Settings { list_on_request: true, couriers: Some(300), ..settings() };
+    let settings = Settings { list_on_request: true, relays: Some(300), ..settings() };
     // Its turn comes after 20 s; a notice has 2 s for its aim.
     let turn = |seed| {
-        let mut courier = Courier::new(settings.clone(), seed);
+        let mut courier = Dispatcher::new(settings.clone(), seed);
         let mut actions = Vec::new();
         courier.on_round(0, &[], &mut actions);
         let after = actions.iter().find_map(|a| match a {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,18 +6,18 @@
 pub const SECOND: Nanos = 1000 * MS;
 
 pub struct World {
-    pub courier: Courier,
+    pub courier: Dispatcher,
     pub now: Nanos,
     pub log: Vec<Action>,
 }
 
 pub fn class(effect: Effect) -> Class {
     Class {
-        aim: 2 * SECOND,
-        give_up: 20 * SECOND,
+        target_latency: 2 * SECOND,
+        lifetime: 20 * SECOND,
         effect,
-        group: Group::All,
-        window: Some(6 * SECOND),
+        dedup_scope: DedupScope::All,
+        dedup_window: Some(6 * SECOND),
         late_worth: Some(0.3),
         ..Class::default()
     }
@@ -25,22 +25,22 @@
 
 pub fn settings() -> Settings {
     Settings {
-        couriers: Some(1),
-        step: Some(5 * MS),
-        classes: vec![class(Effect::Safe), class(Effect::Keyed), class(Effect::Unsafe)],
+        relays: Some(1),
+        round_interval: Some(5 * MS),
+        classes: vec![class(Effect::Safe), class(Effect::Deduplicated), class(Effect::Unsafe)],
         kinds: vec![Kind::default()],
         slots: Some(8),
-        max_held: Some(40),
-        max_tries: Some(6),
+        max_queued: Some(40),
+        max_attempts: Some(6),
         max_backoff: Some(2 * SECOND),
-        backoff_told: true,
+        refusals_carry_backoff: true,
         rules: Rules {
-            cold: Some(10 * SECOND),
+            warm_up_time: Some(10 * SECOND),
             cold_share: Some(0.2),
-            fall_multiple: Some(2.0),
-            fall: Some(2 * SECOND),
-            must_ask_in: Some(10 * SECOND),
-            order_settle: Some(SECOND),
+            overload_factor: Some(2.0),
+            overload_time: Some(2 * SECOND),
+            list_poll_interval: Some(10 * SECOND),
+            order_settle_time: Some(SECOND),
         },
         ..Settings::default()
     }
@@ -65,31 +65,31 @@
         class: ClassId(class),
         tenant: None,
         key: None,
-        patience: 20 * SECOND,
+        time_left: 20 * SECOND,
         retry: false,
         reconnect: false,
-        tries: 0,
-        risk: None,
-        kept: false,
+        previous_attempts: 0,
+        unconfirmed: None,
+        restored: false,
         rules: None,
     }
 }
 
 pub fn closed(msg: u32, attempt: u32, endpoint: u32, outcome: Outcome, latency: Nanos) -> Event {
-    Event::Closed {
+    Event::AttemptEnded {
         msg: MsgId(msg),
         attempt,
         endpoint: EndpointId(endpoint),
         outcome,
         latency,
-        no_more: outcome == Outcome::Ok,
+        message_done: outcome == Outcome::Ok,
         report: Report::default(),
     }
 }
 
 impl World {
     pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
-        let mut world = World { courier: Courier::new(settings, 1), now: SECOND, log: Vec::new() };
+        let mut world = World { courier: Dispatcher::new(settings, 1), now: SECOND, log: Vec::new() };
         world.round(0, &[Event::List { scope: ListScope::Whole, entries: endpoints }]);
         world
     }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -9,7 +9,7 @@
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
     world.ask(1, 5, 0);
     world.close(100 * MS, 1, 0, Outcome::Ok);
-    let late = Request { patience: SECOND, ..request(2, 5, 0) };
+    let late = Request { time_left: SECOND, ..request(2, 5, 0) };
     assert_eq!(sends(&world.round(SECOND, &[Event::Request(late)])), [2]);
 }
 
@@ -53,7 +53,7 @@
 }
 
 fn closes(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Close { .. }))
+    actions.iter().any(|a| matches!(a, Action::CloseIdle { .. }))
 }
 
 /// Grown deployments: idle connections of hundreds of couriers fill an endpoint's table. Connects that fail at
@@ -66,7 +66,7 @@
         for msg in 1..=failures {
             world.ask(msg, 6, 0);
             world.round(SECOND, &[closed(msg, 0, 2, Outcome::ConnectFailed, 60 * MS)]);
-            world.round(0, &[Event::Expired { msg: MsgId(msg) }]);
+            world.round(0, &[Event::Abandoned { msg: MsgId(msg) }]);
             world.round(0, &[closed(msg, 1, 2, Outcome::Ok, 60 * MS)]);
         }
         world.ask(100, 5, 0);
@@ -101,7 +101,7 @@
 /// second message must not wait for it.
 #[test]
 fn an_even_share_among_hundreds_does_not_hold_a_second_message() {
-    let settings = Settings { couriers: Some(200), weights: Weights::Exact, ..settings() };
+    let settings = Settings { relays: Some(200), weights: Weights::Exact, ..settings() };
     let listed = Endpoint { weight: Some(5.0), ..endpoint(1, 5) };
     let mut world = World::new(settings, vec![listed]);
     world.ask(1, 5, 0);
@@ -128,7 +128,7 @@
 /// Grown deployments: a client refused with next to no backoff comes back to the same full hold at once.
 #[test]
 fn refusals_tell_a_backoff_worth_heeding() {
-    let settings = Settings { max_held: Some(4), ..settings() };
+    let settings = Settings { max_queued: Some(4), ..settings() };
     let mut world = World::new(settings, vec![]);
     let burst: Vec<_> = (1..=6).map(|i| Event::Request(request(i, 5, 0))).collect();
     for action in world.round(0, &burst) {
@@ -141,12 +141,12 @@
 #[test]
 fn couriers_told_the_same_wait_come_spread_out() {
     let first_after = |seed: u64| {
-        let settings = Settings { couriers: Some(50), ..settings() };
+        let settings = Settings { relays: Some(50), ..settings() };
         let mut world = World::new(settings, vec![endpoint(1, 5)]);
-        world.courier = Courier::new(Settings { couriers: Some(50), ..common::settings() }, seed);
+        world.courier = Dispatcher::new(Settings { relays: Some(50), ..common::settings() }, seed);
         world.round(0, &[Event::List { scope: ListScope::Whole, entries: vec![endpoint(1, 5)] }]);
         world.ask(1, 5, 0);
-        world.close(50 * MS, 1, 0, Outcome::Full { wait: Some(4 * SECOND) });
+        world.close(50 * MS, 1, 0, Outcome::Overloaded { retry_after: Some(4 * SECOND) });
         (1..400).find(|_| !sends(&world.round(50 * MS, &[])).is_empty())
     };
     let starts: std::collections::BTreeSet<_> = (0..10).map(first_after).collect();
@@ -158,7 +158,7 @@
 #[test]
 fn equal_endpoints_are_drawn_by_lot() {
     let first = |seed: u64| {
-        let mut courier = Courier::new(settings(), seed);
+        let mut courier = Dispatcher::new(settings(), seed);
         let list = Event::List { scope: ListScope::Whole, entries: vec![endpoint(1, 5), endpoint(2, 5)] };
         let mut actions = Vec::new();
         courier.on_round(SECOND, &[list, Event::Request(request(1, 5, 0))], &mut actions);
@@ -176,8 +176,8 @@
 #[test]
 fn couriers_that_failed_once_do_not_return_together() {
     let second_tries = (0..200).filter(|seed| {
-        let settings = Settings { couriers: Some(200), ..settings() };
-        let mut courier = Courier::new(settings, *seed);
+        let settings = Settings { relays: Some(200), ..settings() };
+        let mut courier = Dispatcher::new(settings, *seed);
         let mut sent = 0;
         let mut play = |now: Nanos, events: &[Event]| {
             let mut actions = Vec::new();
@@ -209,14 +209,14 @@
 #[test]
 fn messages_turned_away_rest_in_even_shares_of_the_limit() {
     let after_full = |couriers: u32| {
-        let settings = Settings { couriers: Some(couriers), weights: Weights::Exact, ..settings() };
+        let settings = Settings { relays: Some(couriers), weights: Weights::Exact, ..settings() };
         let listed = Endpoint { weight: Some(10.0), ..endpoint(1, 5) };
         let mut world = World::new(settings, vec![listed]);
         world.ask(1, 5, 0);
         world.close(100 * MS, 1, 0, Outcome::Ok);
         world.round(3 * SECOND, &[]);
         assert_eq!(sends(&world.ask(2, 5, 0)), [2]);
-        let mut actions = world.close(50 * MS, 2, 0, Outcome::Full { wait: None });
+        let mut actions = world.close(50 * MS, 2, 0, Outcome::Overloaded { retry_after: None });
         for _ in 0..20 {
             actions.extend(world.round(100 * MS, &[]));
         }
@@ -230,20 +230,20 @@
 /// The limit told in answers takes the place of a rough listed one.
 #[test]
 fn limits_told_in_answers_correct_the_list() {
-    let settings = Settings { couriers: Some(400), weights: Weights::Rough, ..settings() };
+    let settings = Settings { relays: Some(400), weights: Weights::Rough, ..settings() };
     let listed = Endpoint { weight: Some(1.0), ..endpoint(1, 5) };
     let mut world = World::new(settings, vec![listed]);
-    let told = Report { left: Some(1.0), limit: Some(4000.0) };
+    let told = Report { remaining_share: Some(1.0), limit: Some(4000.0) };
     for msg in 1..=20 {
         world.ask(msg, 5, 0);
         let mut ok = closed(msg, 0, 1, Outcome::Ok, 50 * MS);
-        if let Event::Closed { report, .. } = &mut ok {
+        if let Event::AttemptEnded { report, .. } = &mut ok {
             *report = told;
         }
         world.round(3 * SECOND, &[ok]);
     }
     world.ask(30, 5, 0);
-    let mut actions = world.close(50 * MS, 30, 0, Outcome::Full { wait: None });
+    let mut actions = world.close(50 * MS, 30, 0, Outcome::Overloaded { retry_after: None });
     for _ in 0..40 {
         actions.extend(world.round(100 * MS, &[]));
     }
@@ -261,7 +261,7 @@
             if endpoint == *sick.get_or_insert(endpoint) && msg.0 % 2 == 0 {
                 bad += 1;
                 let silent = closed(msg.0, 0, endpoint.0, Outcome::Timeout, 100 * MS);
-                world.round(100 * MS, &[Event::Expired { msg }, silent]);
+                world.round(100 * MS, &[Event::Abandoned { msg }, silent]);
             } else {
                 world.round(100 * MS, &[closed(msg.0, 0, endpoint.0, Outcome::Ok, 100 * MS)]);
             }
@@ -274,9 +274,9 @@
 /// Looks come further apart while nothing happens, yet what is held is answered before its deadline.
 #[test]
 fn a_quiet_hold_is_looked_at_before_a_deadline() {
-    let mut courier = Courier::new(settings(), 1);
+    let mut courier = Dispatcher::new(settings(), 1);
     let (mut now, mut timers, mut answered) = (SECOND, vec![SECOND], None);
-    let short = Request { patience: 1030 * MS, ..request(1, 5, 0) };
+    let short = Request { time_left: 1030 * MS, ..request(1, 5, 0) };
     let mut events = vec![Event::Request(short)];
     while answered.is_none() && now < 10 * SECOND {
         let mut actions = Vec::new();
@@ -317,7 +317,7 @@
     for _ in 0..4 {
         world.round(SECOND / 2, &[]);
     }
-    let closed = |a: &Action| matches!(a, Action::Close { .. });
+    let closed = |a: &Action| matches!(a, Action::CloseIdle { .. });
     assert!(!world.log.iter().any(closed), "{:?}", world.log);
 }
 
@@ -332,7 +332,7 @@
             let mut calls = 0;
             for _ in 0..rounds {
                 sent += 1;
-                let mut news = vec![Event::Request(Request { patience: SECOND / 2, ..request(sent, 5, 0) })];
+                let mut news = vec![Event::Request(Request { time_left: SECOND / 2, ..request(sent, 5, 0) })];
                 let ours = sends(&world.round(50 * MS, &news));
                 news = ours.iter().map(|msg| closed(*msg, 0, 1, Outcome::Ok, 10 * MS)).collect();
                 calls += ours.len();
@@ -347,7 +347,7 @@
             scope: ListScope::Patch,
             entries: vec![Endpoint { condition, started, ..endpoint(1, 5) }],
         };
-        world.round(SECOND, &[list(Condition::Leaving, 0)]);
+        world.round(SECOND, &[list(Condition::Draining, 0)]);
         let started = if restarted { world.now } else { 0 };
         world.round(SECOND, &[list(Condition::Active, started)]);
         let calls = play(&mut world, 50);
@@ -363,7 +363,7 @@
 /// slots that silent calls may hold is not passed, and none of them is called off with the others.
 #[test]
 fn messages_of_one_silent_call_count_as_one() {
-    let kinds = vec![Kind { bundle: Some(10), ..Kind::default() }];
+    let kinds = vec![Kind { max_batch: Some(10), ..Kind::default() }];
     let mut world = World::new(Settings { kinds, ..settings() }, vec![endpoint(1, 5)]);
     let many: Vec<_> = (1..=10).map(|i| Event::Request(request(i, 5, 2))).collect();
     assert_eq!(sends(&world.round(0, &many)).len(), 10);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -26,7 +26,7 @@
         }
         self.tokens = 0.0;
         self.refused += 1;
-        Outcome::Full { wait: self.refused.is_multiple_of(2).then_some(900 * MS) }
+        Outcome::Overloaded { retry_after: self.refused.is_multiple_of(2).then_some(900 * MS) }
     }
 }
 
@@ -51,10 +51,9 @@
     asked: impl Fn(u64) -> u64,
     seconds: u64,
 ) -> Vec<Counts> {
-    let settings =
-        Settings { couriers: Some(COURIERS), weights: Weights::Exact, slots: Some(4), ..settings() };
+    let settings = Settings { relays: Some(COURIERS), weights: Weights::Exact, slots: Some(4), ..settings() };
     let mut couriers: Vec<_> =
-        (0..COURIERS).map(|n| Courier::new(settings.clone(), u64::from(n) + 1)).collect();
+        (0..COURIERS).map(|n| Dispatcher::new(settings.clone(), u64::from(n) + 1)).collect();
     let mut counts = vec![Counts::default(); seconds as usize + 20];
     // What happens, by its time and its turn; and the attempts that each message has had.
     let mut queue: BTreeMap<(Nanos, u32), (u32, Event)> = BTreeMap::new();
@@ -131,8 +130,8 @@
 /// With a call in three seconds, others are served unseen: a limit is no outage, whose return would be owed trials.
 #[test]
 fn full_answers_where_calls_are_few_are_a_limits() {
-    let settings = Settings { couriers: Some(COURIERS), weights: Weights::Exact, ..settings() };
-    let mut courier = Courier::new(settings, 1);
+    let settings = Settings { relays: Some(COURIERS), weights: Weights::Exact, ..settings() };
+    let mut courier = Dispatcher::new(settings, 1);
     let listed = Endpoint { weight: Some(30.0), ..endpoint(1, 5) };
     let mut actions = Vec::new();
     courier.on_round(0, &[Event::List { scope: ListScope::Whole, entries: vec![listed] }], &mut actions);
@@ -141,8 +140,8 @@
         courier.on_round(now, &[Event::Request(request(msg, 5, 0))], &mut actions);
         assert!(!sends(&actions).is_empty(), "{actions:?}");
         actions.clear();
-        let full = closed(msg, 0, 1, Outcome::Full { wait: None }, TRIP);
-        courier.on_round(now + TRIP, &[full, Event::Expired { msg: MsgId(msg) }], &mut actions);
+        let full = closed(msg, 0, 1, Outcome::Overloaded { retry_after: None }, TRIP);
+        courier.on_round(now + TRIP, &[full, Event::Abandoned { msg: MsgId(msg) }], &mut actions);
         assert!(!actions.iter().any(|a| matches!(a, Action::Log { .. })), "{actions:?}");
     }
 }
--- a/tests/held.rs
+++ b/tests/held.rs
@@ -9,12 +9,12 @@
 const DESTS: u32 = 300;
 
 fn many(slots: u32) -> World {
-    let settings = Settings { slots: Some(slots), max_held: Some(100_000), ..settings() };
+    let settings = Settings { slots: Some(slots), max_queued: Some(100_000), ..settings() };
     World::new(settings, (1..=DESTS).map(|id| endpoint(id, u64::from(id))).collect())
 }
 
 fn ask(msg: u32, dest: u32, patience: Nanos) -> Event {
-    Event::Request(Request { patience, ..request(msg, u64::from(dest), 0) })
+    Event::Request(Request { time_left: patience, ..request(msg, u64::from(dest), 0) })
 }
 
 #[test]
@@ -40,8 +40,9 @@
     assert_eq!(sends(&world.round(0, &asks)).len() as u32, DESTS);
     let start = world.now;
     let wait = |d: u32| 2 * SECOND + Nanos::from(d) * MS;
-    let full: Vec<_> =
-        (1..=DESTS).map(|d| closed(d, 0, d, Outcome::Full { wait: Some(wait(d)) }, MS)).collect();
+    let full: Vec<_> = (1..=DESTS)
+        .map(|d| closed(d, 0, d, Outcome::Overloaded { retry_after: Some(wait(d)) }, MS))
+        .collect();
     assert_eq!(sends(&world.round(0, &full)), []);
     let mut sent = BTreeMap::new();
     while world.now < start + 4 * SECOND {
@@ -97,7 +98,7 @@
         let dests = 150;
         let mut classes = settings().classes;
         classes[0].ordered = true;
-        let settings = Settings { slots: Some(slots), max_held: Some(held), classes, ..settings() };
+        let settings = Settings { slots: Some(slots), max_queued: Some(held), classes, ..settings() };
         let mut world = World::new(settings, (1..=dests).map(|id| endpoint(id, u64::from(id))).collect());
         // Deadlines of what is open, the key of each, and what is out.
         let mut open: BTreeMap<u32, (Nanos, Option<u64>)> = BTreeMap::new();
@@ -115,7 +116,7 @@
                     let dest = 1 + draw(u64::from(dests));
                     open.insert(next, (world.now + 5 * MS + patience, key));
                     let key = key.map(OrderKey);
-                    events.push(Event::Request(Request { patience, key, ..request(next, dest, class) }));
+                    events.push(Event::Request(Request { time_left: patience, key, ..request(next, dest, class) }));
                 }
             }
             let done: Vec<u32> = out.iter().filter(|(_, o)| o.2 <= world.now).map(|(id, _)| *id).collect();
@@ -124,8 +125,8 @@
                 let outcome = match draw(8) {
                     _ if timed_out => Outcome::Timeout,
                     0 => Outcome::Reset,
-                    1 => Outcome::Full { wait: None },
-                    2 => Outcome::Full { wait: Some(draw(900) * MS) },
+                    1 => Outcome::Overloaded { retry_after: None },
+                    2 => Outcome::Overloaded { retry_after: Some(draw(900) * MS) },
                     3 => Outcome::ConnectFailed,
                     4 => Outcome::Error,
                     _ => Outcome::Ok,
@@ -137,7 +138,7 @@
             }
             for action in world.round(5 * MS, &events) {
                 match action {
-                    Action::Send { msg, endpoint, limit } => {
+                    Action::Send { msg, endpoint, timeout: limit } => {
                         let (deadline, key) = open[&msg.0];
                         prop_assert!(world.now <= deadline, "{:?} was sent after its time", msg);
                         if let Some(key) = key {
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -8,7 +8,7 @@
 const MINUTE: Nanos = 60 * SECOND;
 
 fn cold_after(minutes: u64) -> Settings {
-    Settings { cold_after: Some(minutes * MINUTE), slots: Some(64), max_held: Some(400), ..settings() }
+    Settings { cold_after: Some(minutes * MINUTE), slots: Some(64), max_queued: Some(400), ..settings() }
 }
 
 /// Asks for so many seconds, so often a second, with every call answered (or refused) within a round of 10 ms; gives
@@ -65,17 +65,17 @@
 fn only_what_is_asked_for_has_full_records_and_it_rests_after_a_minute() {
     let endpoints = (1..=1000).map(|i| endpoint(i, u64::from(i))).collect();
     let mut world = World::new(settings(), endpoints);
-    assert_eq!(world.courier.kept(), Kept { listed: 1000, full: 0, rests: 0, cold: 0 });
+    assert_eq!(world.courier.record_counts(), RecordCounts { listed: 1000, full: 0, idle: 0, cold: 0 });
     world.ask(1, 7, 0);
     world.ask(2, 8, 0);
-    assert_eq!(world.courier.kept().full, 2);
+    assert_eq!(world.courier.record_counts().full, 2);
     world.close(MS, 1, 0, Outcome::Ok);
     // The other is still out.
     world.round(2 * MINUTE, &[]);
-    assert_eq!(world.courier.kept().full, 1);
+    assert_eq!(world.courier.record_counts().full, 1);
     world.close(MS, 2, 0, Outcome::Ok);
     world.round(2 * MINUTE, &[]);
-    assert_eq!(world.courier.kept(), Kept { listed: 1000, full: 0, rests: 0, cold: 0 });
+    assert_eq!(world.courier.record_counts(), RecordCounts { listed: 1000, full: 0, idle: 0, cold: 0 });
 }
 
 #[test]
@@ -90,9 +90,9 @@
 fn a_told_wait_outlasts_the_rest() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
     world.ask(1, 5, 0);
-    world.close(MS, 1, 0, Outcome::Full { wait: Some(10 * MINUTE) });
+    world.close(MS, 1, 0, Outcome::Overloaded { retry_after: Some(10 * MINUTE) });
     world.round(2 * MINUTE, &[]);
-    assert_eq!((world.courier.kept().full, world.courier.kept().rests), (0, 1));
+    assert_eq!((world.courier.record_counts().full, world.courier.record_counts().idle), (0, 1));
     assert!(sends(&world.ask(2, 5, 0)).is_empty());
     world.round(9 * MINUTE, &[]);
     assert_eq!(sends(&world.ask(3, 5, 0)), [3]);
@@ -100,14 +100,14 @@
 
 #[test]
 fn a_down_endpoint_is_down_after_its_rest() {
-    let mut world = World::new(Settings { max_tries: Some(1), ..settings() }, vec![endpoint(1, 5)]);
+    let mut world = World::new(Settings { max_attempts: Some(1), ..settings() }, vec![endpoint(1, 5)]);
     for msg in 1..=3 {
         world.ask(msg, 5, 2);
         world.close(MS, msg, 0, Outcome::ConnectFailed);
         world.round(21 * SECOND, &[]);
     }
     world.round(2 * MINUTE, &[]);
-    assert_eq!(world.courier.kept().full, 0);
+    assert_eq!(world.courier.record_counts().full, 0);
     // One trial, and nothing beside it: a destination taken as up would be sent two.
     world.ask(8, 5, 0);
     let sent = sends(&world.ask(9, 5, 0));
@@ -128,7 +128,7 @@
         }
     }
     assert_eq!(traffic.out.len(), 1, "they do not go out at once");
-    assert_eq!(traffic.world.courier.kept().cold, 1);
+    assert_eq!(traffic.world.courier.record_counts().cold, 1);
     let after = traffic.play(5, 20, 20, |_, _| Outcome::Ok);
     // A fifth of what it was known to take, then as it warms within ten seconds.
     let known = f64::from(*before.iter().max().expect("seconds"));
@@ -150,7 +150,7 @@
     let mut traffic = Traffic::new(cold_after(10), vec![endpoint(1, 5)]);
     traffic.play(5, 30, 50, |_, _| Outcome::Ok);
     traffic.world.round(60 * MINUTE, &[]);
-    let full = |_, call| if call <= 5 { Outcome::Ok } else { Outcome::Full { wait: None } };
+    let full = |_, call| if call <= 5 { Outcome::Ok } else { Outcome::Overloaded { retry_after: None } };
     let after = traffic.play(5, 30, 50, full);
     assert!(after.iter().all(|calls| *calls <= 10), "twice five a second is what makes it fall: {after:?}");
     let served: u32 = after[10..].iter().map(|calls| (*calls).min(5)).sum();
@@ -161,7 +161,7 @@
 fn several_relays_that_know_nothing_share_the_beginning() {
     let mut all = vec![0; 8];
     for _ in 0..4 {
-        let settings = Settings { couriers: Some(4), ..cold_after(10) };
+        let settings = Settings { relays: Some(4), ..cold_after(10) };
         let mut traffic = Traffic::new(settings, vec![endpoint(1, 5)]);
         let calls = traffic.play(5, 8, 20, |_, _| Outcome::Ok);
         all.iter_mut().zip(calls).for_each(|(all, calls)| *all += calls);
@@ -177,7 +177,7 @@
         traffic.play(5, 20, 20, |_, _| Outcome::Ok);
         let now = traffic.world.now;
         let entry = Endpoint { started: if started { now } else { 0 }, ..endpoint(id, 5) };
-        let gone = Endpoint { condition: Condition::Left, ..endpoint(1, 5) };
+        let gone = Endpoint { condition: Condition::Removed, ..endpoint(1, 5) };
         let entries = if id == 1 { vec![entry] } else { vec![gone, entry] };
         traffic.world.round(MS, &[Event::List { scope: ListScope::Patch, entries }]);
         let after = traffic.play(5, 4, 20, |_, _| Outcome::Ok);
@@ -188,8 +188,9 @@
 #[test]
 fn what_could_not_go_out_in_time_at_a_cold_partner_is_refused_at_once() {
     let mut world = World::new(cold_after(10), vec![endpoint(1, 5)]);
-    let all: Vec<_> =
-        (1..=200).map(|msg| Event::Request(Request { patience: 6 * SECOND, ..request(msg, 5, 0) })).collect();
+    let all: Vec<_> = (1..=200)
+        .map(|msg| Event::Request(Request { time_left: 6 * SECOND, ..request(msg, 5, 0) }))
+        .collect();
     let actions = world.round(10 * MS, &all);
     let refused = (1..=200).filter(|msg| refused(&actions, *msg)).count();
     assert!(
@@ -218,7 +219,7 @@
             let mut events = Vec::new();
             match what {
                 0 | 1 => {
-                    let condition = if what == 0 { Condition::Left } else { Condition::Active };
+                    let condition = if what == 0 { Condition::Removed } else { Condition::Active };
                     listed.insert(id, what == 1);
                     let entries = vec![Endpoint { condition, ..endpoint(id, dest(id)) }];
                     events.push(Event::List { scope: ListScope::Patch, entries });
@@ -226,7 +227,7 @@
                 2 | 3 if !out.is_empty() => {
                     let (msg, attempt, id) = out.swap_remove(id as usize % out.len());
                     let wait = (what == 3).then_some(5 * MINUTE);
-                    let outcome = wait.map_or(Outcome::Ok, |wait| Outcome::Full { wait: Some(wait) });
+                    let outcome = wait.map_or(Outcome::Ok, |wait| Outcome::Overloaded { retry_after: Some(wait) });
                     if let Some(wait) = wait {
                         waits.insert(dest(id), now + wait);
                     }
@@ -243,18 +244,18 @@
                     *attempt += 1;
                 }
             }
-            let kept = world.courier.kept();
+            let kept = world.courier.record_counts();
             prop_assert_eq!(kept.listed, listed.values().filter(|l| **l).count());
         }
         // All that is out comes home, and what goes out then as well, until what is held has run out of time.
         for _ in 0..30 {
-            let home = std::mem::take(&mut out).into_iter().map(|(msg, attempt, id)| Event::Closed {
+            let home = std::mem::take(&mut out).into_iter().map(|(msg, attempt, id)| Event::AttemptEnded {
                 msg: MsgId(msg),
                 attempt,
                 endpoint: EndpointId(id),
                 outcome: Outcome::Ok,
                 latency: MS,
-                no_more: true,
+                message_done: true,
                 report: Report::default(),
             });
             for action in world.round(SECOND, &home.collect::<Vec<_>>()) {
@@ -268,6 +269,6 @@
         for _ in 0..3 {
             world.round(10 * MINUTE, &[]);
         }
-        prop_assert_eq!((world.courier.kept().full, world.courier.kept().cold), (0, 0));
+        prop_assert_eq!((world.courier.record_counts().full, world.courier.record_counts().cold), (0, 0));
     }
 }
--- a/tests/list_renewal.rs
+++ b/tests/list_renewal.rs
@@ -41,7 +41,7 @@
 
 /// One relay's decisions, its lease, and its call that is out with its beginning.
 struct Relay {
-    courier: Courier,
+    courier: Dispatcher,
     lease: ListLease,
     call: Option<(u64, Nanos)>,
     confirmed: bool,
@@ -59,12 +59,12 @@
 }
 
 fn play(count: u32, discovery: Discovery, seed: u64) -> Renewal {
-    let settings = Settings { list_on_request: true, couriers: Some(count), ..settings() };
+    let settings = Settings { list_on_request: true, relays: Some(count), ..settings() };
     let mut steps = BinaryHeap::new();
     let mut relays: Vec<_> = (0..count)
         .map(|who| {
-            let mut courier = Courier::new(settings.clone(), u64::from(who) * 7919 + seed);
-            let mut lease = ListLease::asked_for(10 * SECOND);
+            let mut courier = Dispatcher::new(settings.clone(), u64::from(who) * 7919 + seed);
+            let mut lease = ListLease::for_polled_list(10 * SECOND);
             let begun = BREAK - u64::from(who * 37 % 1000) * MS;
             lease.confirm(begun, begun);
             let known = Event::List { scope: ListScope::Patch, entries: vec![endpoint(1, 5)] };
@@ -86,9 +86,9 @@
         );
         let relay = &mut relays[who as usize];
         let event = match step {
-            Step::Breaks => failed(ListScope::Busy),
+            Step::Breaks => failed(ListScope::Rejected),
             Step::Timer(nonce) => Event::Timer { nonce },
-            Step::Late(call) if relay.call.is_some_and(|(own, _)| own == call) => failed(ListScope::Silent),
+            Step::Late(call) if relay.call.is_some_and(|(own, _)| own == call) => failed(ListScope::TimedOut),
             Step::Over(call, true) if relay.call.is_some_and(|(own, _)| own == call) => {
                 let begun = relay.call.expect("it is out").1;
                 renewal.useful += discovery.cost;
@@ -99,7 +99,7 @@
                 Event::List { scope: ListScope::Patch, entries: vec![] }
             }
             Step::Over(call, false) if relay.call.is_some_and(|(own, _)| own == call) => {
-                failed(ListScope::Busy)
+                failed(ListScope::Rejected)
             }
             Step::Late(_) | Step::Over(..) => continue,
         };
@@ -109,7 +109,7 @@
         if let Event::List { scope, .. } = &event
             && scope.is_failure()
         {
-            relay.lease.fail(now, *scope);
+            relay.lease.call_failed(now, *scope);
         }
         relay.courier.set_list_lease(relay.lease.ends_at());
         let mut actions = Vec::new();
@@ -119,10 +119,10 @@
                 Action::SetTimer { nonce, after } => {
                     steps.push(Reverse((now + after, who, Step::Timer(nonce))))
                 }
-                Action::Follow { want: true } if relay.call.is_none() && !relay.confirmed => {
+                Action::Subscribe { open: true } if relay.call.is_none() && !relay.confirmed => {
                     renewal.calls += 1;
                     relay.call = Some((renewal.calls, now));
-                    let patience = relay.courier.list_patience(true);
+                    let patience = relay.courier.list_timeout(true);
                     steps.push(Reverse((now + patience, who, Step::Late(renewal.calls))));
                     let over = deal(discovery, now, &mut free, &mut renewal);
                     steps.push(Reverse((over.0, who, Step::Over(renewal.calls, over.1))));
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -13,7 +13,7 @@
 #[test]
 fn new_destinations_admit_whatever_the_time_left() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
-    let hasty = Request { patience: 50 * MS, ..request(1, 5, 0) };
+    let hasty = Request { time_left: 50 * MS, ..request(1, 5, 0) };
     assert_eq!(sends(&world.round(0, &[Event::Request(hasty)])), [1]);
 }
 
@@ -21,7 +21,7 @@
 fn a_recent_answer_predicts_the_next() {
     // R = 400 ms: in state three a message with 300 ms left is refused, one with 500 ms is sent.
     let mut world = warmed(400 * MS);
-    let ask = |msg, patience| Event::Request(Request { patience, ..request(msg, 5, 0) });
+    let ask = |msg, patience| Event::Request(Request { time_left: patience, ..request(msg, 5, 0) });
     assert!(refused(&world.round(10 * MS, &[ask(2, 300 * MS)]), 2));
     assert_eq!(sends(&world.round(10 * MS, &[ask(3, 500 * MS)])), [3]);
 }
@@ -32,7 +32,7 @@
     world.ask(2, 5, 0);
     world.close(800 * MS, 2, 0, Outcome::Ok);
     // M = 100 ms, R = 800 ms, L = 8 while recent (d R L = 7.04 s), then L = 1 and P = a M = 100 ms.
-    let ask = |msg, patience| Event::Request(Request { patience, ..request(msg, 5, 0) });
+    let ask = |msg, patience| Event::Request(Request { time_left: patience, ..request(msg, 5, 0) });
     assert!(refused(&world.round(SECOND, &[ask(3, 700 * MS)]), 3));
     world.round(8 * SECOND, &[]);
     assert_eq!(sends(&world.round(MS, &[ask(4, 200 * MS)])), [4]);
@@ -43,7 +43,7 @@
     let mut world = warmed(200 * MS);
     world.ask(2, 5, 0);
     // State two: t + b M L = 300 + 0.75 * 200 * L ms, L >= 1, so 400 ms are too few and 20 s enough.
-    let hasty = Request { patience: 400 * MS, ..request(3, 5, 0) };
+    let hasty = Request { time_left: 400 * MS, ..request(3, 5, 0) };
     assert!(refused(&world.round(300 * MS, &[Event::Request(hasty)]), 3));
     assert!(!refused(&world.ask(4, 5, 0), 4));
 }
@@ -67,7 +67,7 @@
 #[test]
 fn bundled_messages_share_a_call() {
     let mut settings = settings();
-    settings.kinds = vec![Kind { apart: None, bundle: Some(3) }];
+    settings.kinds = vec![Kind { separate_routes: None, max_batch: Some(3) }];
     let mut world = World::new(settings, vec![endpoint(1, 5)]);
     let burst: Vec<_> = (1..=5).map(|i| Event::Request(request(i, 5, 0))).collect();
     assert_eq!(sends(&world.round(0, &burst)).len(), 3, "a window of one call, three messages");
@@ -79,7 +79,7 @@
     let mut sent = sends(&world.ask(1, 5, 0)).len() as u32;
     let mut answers = 0;
     for _ in 0..60 {
-        let actions = world.round(100 * MS, &[closed(1, sent - 1, 1, Outcome::Moot, 0)]);
+        let actions = world.round(100 * MS, &[closed(1, sent - 1, 1, Outcome::NotSent, 0)]);
         sent += sends(&actions).len() as u32;
         answers += u32::from(refused(&actions, 1));
     }
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_full_hold_gives_up_the_least_worth() {
-    let settings = Settings { max_held: Some(4), ..settings() };
+    let settings = Settings { max_queued: Some(4), ..settings() };
     let mut world = World::new(settings, vec![]);
     let burst: Vec<_> = (1..=6).map(|i| Event::Request(request(i, 5, 0))).collect();
     let actions = world.round(0, &burst);
@@ -98,19 +98,19 @@
 #[test]
 fn the_list_is_asked_for_where_it_must_be_and_not_too_often() {
     let settings = Settings { list_on_request: true, ..settings() };
-    let mut courier = Courier::new(settings, 1);
+    let mut courier = Dispatcher::new(settings, 1);
     let mut actions = Vec::new();
     courier.on_round(0, &[known()], &mut actions);
-    assert_eq!(actions, [Action::Follow { want: true }]);
+    assert_eq!(actions, [Action::Subscribe { open: true }]);
     let mut now = SECOND;
     let mut asked_again_after = |now, actions: &mut Vec<Action>| {
         actions.clear();
-        courier.on_round(now, &[Event::List { scope: ListScope::Torn, entries: vec![] }], actions);
+        courier.on_round(now, &[Event::List { scope: ListScope::Truncated, entries: vec![] }], actions);
         let timer = actions.iter().find(|a| matches!(a, Action::SetTimer { .. })).cloned();
         let Some(Action::SetTimer { nonce, after }) = timer else { panic!("no timer to ask again") };
         actions.clear();
         courier.on_round(now + after, &[Event::Timer { nonce }], actions);
-        assert!(actions.contains(&Action::Follow { want: true }));
+        assert!(actions.contains(&Action::Subscribe { open: true }));
         // A list that arrives in between does not start the pauses anew: answers may break off every other time.
         courier.on_round(now + after, &[Event::List { scope: ListScope::Whole, entries: vec![] }], actions);
         after
@@ -141,8 +141,8 @@
 fn asks_of_a_fleet(scope: ListScope, seconds: usize) -> (Vec<u32>, Nanos) {
     let (mut asks, mut longest) = (vec![0; seconds + 20], 0);
     for seed in 0..100 {
-        let settings = Settings { list_on_request: true, couriers: Some(100), ..settings() };
-        let mut courier = Courier::new(settings, seed);
+        let settings = Settings { list_on_request: true, relays: Some(100), ..settings() };
+        let mut courier = Dispatcher::new(settings, seed);
         let (mut now, mut events) = (0, vec![known()]);
         while now < seconds as u64 * SECOND {
             let mut actions = Vec::new();
@@ -156,7 +156,7 @@
                 now += after;
                 courier.on_round(now, &[Event::Timer { nonce }], &mut actions);
             }
-            assert!(actions.contains(&Action::Follow { want: true }));
+            assert!(actions.contains(&Action::Subscribe { open: true }));
             asks[(now / SECOND) as usize] += 1;
             events = vec![Event::List { scope, entries: vec![] }];
             now += MS;
@@ -167,12 +167,12 @@
 
 #[test]
 fn a_fleet_spreads_its_asks_so_that_discovery_can_answer() {
-    let (asks, longest) = asks_of_a_fleet(ListScope::Broken, 40);
+    let (asks, longest) = asks_of_a_fleet(ListScope::Unreachable, 40);
     assert!(asks[..40].iter().all(|n| *n <= 50), "a herd: {asks:?}");
     assert!(asks[30..40].iter().sum::<u32>() <= 180, "still so many: {asks:?}");
     assert!(longest <= 13 * SECOND, "{longest}");
     // What broke off may have told of a drain; but the lease on the list sees to that, and a herd of asks would keep all others waiting.
-    for how in [ListScope::Torn, ListScope::Busy, ListScope::Silent] {
+    for how in [ListScope::Truncated, ListScope::Rejected, ListScope::TimedOut] {
         let (asks, longest) = asks_of_a_fleet(how, 40);
         assert!(asks[30..40].iter().sum::<u32>() <= 180, "{how:?}: {asks:?}");
         assert!(longest <= 13 * SECOND, "{how:?}: {longest}");
@@ -181,15 +181,15 @@
 
 /// A courier of a fleet of 300 that holds a list, whose watch breaks with so much left of its lease: when it asks again.
 fn asks_after_a_watch(seed: u64, left: Nanos) -> Nanos {
-    let settings = Settings { list_on_request: true, couriers: Some(300), ..settings() };
-    let mut courier = Courier::new(settings, seed);
+    let settings = Settings { list_on_request: true, relays: Some(300), ..settings() };
+    let mut courier = Dispatcher::new(settings, seed);
     let mut actions = Vec::new();
     courier.on_round(0, &[known()], &mut actions);
     courier.on_round(MS, &[Event::Timer { nonce: 2 }], &mut actions);
     courier.on_round(2 * MS, &[Event::List { scope: ListScope::Patch, entries: vec![] }], &mut actions);
     actions.clear();
     courier.set_list_lease(Some(SECOND + left));
-    courier.on_round(SECOND, &[Event::List { scope: ListScope::Torn, entries: vec![] }], &mut actions);
+    courier.on_round(SECOND, &[Event::List { scope: ListScope::Truncated, entries: vec![] }], &mut actions);
     let after = actions.iter().find_map(|a| match a {
         Action::SetTimer { nonce: 2, after } => Some(*after),
         _ => None,
@@ -215,25 +215,25 @@
 #[test]
 fn strange_events_are_harmless() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
-    let note = Event::Note { from: 3, bytes: vec![1, 2, 3] };
-    let probe = Event::Probed { endpoint: EndpointId(99), outcome: Outcome::Timeout, latency: 0 };
+    let note = Event::RelayMessage { from: 3, bytes: vec![1, 2, 3] };
+    let probe = Event::ProbeEnded { endpoint: EndpointId(99), outcome: Outcome::Timeout, latency: 0 };
     let events = [
         closed(9, 0, 1, Outcome::Ok, 0),
-        Event::Expired { msg: MsgId(9) },
-        Event::First { msg: MsgId(9) },
+        Event::Abandoned { msg: MsgId(9) },
+        Event::StreamStarted { msg: MsgId(9) },
         Event::Timer { nonce: 4711 },
         note,
         probe,
     ];
     assert!(world.round(0, &events).is_empty());
-    let none = Request { patience: 0, ..request(1, 5, 2) };
+    let none = Request { time_left: 0, ..request(1, 5, 2) };
     assert!(failed(&world.round(0, &[Event::Request(none)]), 1), "no time left, nothing sent");
 }
 
 /// A world with one call at a time, where the second class is worth twice the first.
 fn narrow(worst_class: f64) -> World {
-    let mut settings = Settings { slots: Some(1), worst_class, ..settings() };
-    settings.classes[1].credit = Some(2.0);
+    let mut settings = Settings { slots: Some(1), worst_class_weight: worst_class, ..settings() };
+    settings.classes[1].worth = Some(2.0);
     World::new(settings, vec![endpoint(1, 5)])
 }
 
@@ -271,7 +271,7 @@
     world.ask(1, 5, 0);
     world.close(400 * MS, 1, 0, Outcome::Ok);
     (2..12).for_each(|notice| drop(world.ask(notice, 5, 0)));
-    let ask = |msg, class| Event::Request(Request { patience: 2 * SECOND, ..request(msg, 5, class) });
+    let ask = |msg, class| Event::Request(Request { time_left: 2 * SECOND, ..request(msg, 5, class) });
     assert!(refused(&world.round(MS, &[ask(12, 0)]), 12), "ten calls of 400 ms go before it");
     assert!(!refused(&world.round(MS, &[ask(13, 1)]), 13), "worth more, it is next");
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -17,7 +17,7 @@
 ) -> (BTreeSet<u32>, usize, BTreeMap<u32, Nanos>) {
     let begun = world.now;
     let mut deadlines: BTreeMap<u32, Nanos> =
-        requests.iter().map(|r| (r.msg.0, begun + r.patience)).collect();
+        requests.iter().map(|r| (r.msg.0, begun + r.time_left)).collect();
     let mut events: Vec<Event> = requests.iter().map(|r| Event::Request(r.clone())).collect();
     let mut out: BTreeMap<u32, (u32, Nanos, Nanos, u32)> = BTreeMap::new();
     let mut tries: BTreeMap<u32, u32> = BTreeMap::new();
@@ -25,7 +25,7 @@
     for step in 0..steps {
         for action in world.round(STEP, &std::mem::take(&mut events)) {
             match action {
-                Action::Send { msg, endpoint, limit } => {
+                Action::Send { msg, endpoint, timeout: limit } => {
                     let tried = tries.entry(msg.0).or_default();
                     out.insert(msg.0, (*tried, world.now, limit, endpoint.0));
                     *tried += 1;
@@ -53,7 +53,7 @@
             !over
         });
         for request in later(step) {
-            deadlines.insert(request.msg.0, now + request.patience);
+            deadlines.insert(request.msg.0, now + request.time_left);
             events.push(Event::Request(request));
         }
     }
@@ -63,7 +63,9 @@
 /// Messages for one destination that have from four to nine seconds left.
 fn found(kept: bool) -> Vec<Request> {
     let patience = |i: u32| (4 + Nanos::from(i / 2)) * SECOND + Nanos::from(i) * 100 * MS;
-    (1..=10).map(|i| Request { patience: patience(i - 1), kept, ..request(i, 5, i as usize % 3) }).collect()
+    (1..=10)
+        .map(|i| Request { time_left: patience(i - 1), restored: kept, ..request(i, 5, i as usize % 3) })
+        .collect()
 }
 
 fn settings_that_give_few_tries() -> Settings {
@@ -105,9 +107,9 @@
 #[test]
 fn without_a_list_what_a_restart_finds_is_held_to_the_end_of_its_time() {
     let play = |kept| {
-        let settings = Settings { list_on_request: true, couriers: Some(300), ..settings() };
-        let mut world = World { courier: Courier::new(settings, 1), now: SECOND, log: Vec::new() };
-        world.round(0, &[Event::List { scope: ListScope::Broken, entries: Vec::new() }]);
+        let settings = Settings { list_on_request: true, relays: Some(300), ..settings() };
+        let mut world = World { courier: Dispatcher::new(settings, 1), now: SECOND, log: Vec::new() };
+        world.round(0, &[Event::List { scope: ListScope::Unreachable, entries: Vec::new() }]);
         let mut left = Vec::new();
         let mut events: Vec<Event> = found(kept).into_iter().map(Event::Request).collect();
         for _ in 0..60 {
@@ -132,7 +134,7 @@
         let mut world = World::new(settings(first), vec![endpoint(1, 5)]);
         let asked = Request { rules: rules.map(class), ..request(1, 5, 0) };
         let mut sent = sends(&world.round(0, &[Event::Request(asked)])).len();
-        world.courier.settle(settings(then));
+        world.courier.apply_settings(settings(then));
         sent += sends(&world.close(100 * MS, 1, 0, Outcome::Reset)).len();
         (0..40).for_each(|_| sent += sends(&world.round(100 * MS, &[])).len());
         sent
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -35,7 +35,7 @@
 
 #[test]
 fn unsafe_messages_that_never_ran_are_tried_again() {
-    for outcome in [Outcome::Full { wait: None }, Outcome::ConnectFailed, Outcome::Moot] {
+    for outcome in [Outcome::Overloaded { retry_after: None }, Outcome::ConnectFailed, Outcome::NotSent] {
         let mut world = World::new(settings(), vec![endpoint(1, 5)]);
         world.ask(1, 5, 2);
         let mut actions = world.close(100 * MS, 1, 0, outcome);
@@ -49,11 +49,11 @@
 #[test]
 fn keyed_messages_are_resent_only_in_their_group_and_window() {
     let mut settings = settings();
-    settings.classes[1].group = Group::Zone;
+    settings.classes[1].dedup_scope = DedupScope::Zone;
     let far = Endpoint { zone: ZoneId(1), ..endpoint(2, 5) };
     let mut world = World::new(settings, vec![endpoint(1, 5)]);
     world.ask(1, 5, 1);
-    let drained = Endpoint { condition: Condition::Leaving, ..endpoint(1, 5) };
+    let drained = Endpoint { condition: Condition::Draining, ..endpoint(1, 5) };
     let drain = list(ListScope::Patch, vec![drained, far]);
     let actions = world.round(100 * MS, &[drain, closed(1, 0, 1, Outcome::Error, 100 * MS)]);
     assert!(sends(&actions).is_empty(), "the other zone does not remember the key");
@@ -67,7 +67,7 @@
 #[test]
 fn draining_endpoints_get_nothing_new() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
-    for condition in [Condition::Leaving, Condition::Left] {
+    for condition in [Condition::Draining, Condition::Removed] {
         let gone = Endpoint { condition, ..endpoint(1, 5) };
         world.round(0, &[list(ListScope::Patch, vec![gone])]);
         assert!(sends(&world.ask(condition as u32 + 1, 5, 0)).is_empty());
@@ -80,7 +80,7 @@
 fn told_waits_bind_every_message() {
     let mut world = World::new(settings(), vec![endpoint(1, 5), endpoint(2, 5)]);
     world.ask(1, 5, 0);
-    let actions = world.close(50 * MS, 1, 0, Outcome::Full { wait: Some(SECOND) });
+    let actions = world.close(50 * MS, 1, 0, Outcome::Overloaded { retry_after: Some(SECOND) });
     assert!(sends(&actions).is_empty());
     assert!(sends(&world.ask(2, 5, 0)).is_empty());
     assert!(sends(&world.round(999 * MS, &[])).is_empty());
@@ -94,11 +94,11 @@
 #[test]
 fn waits_bind_one_route_where_routes_are_apart() {
     let mut settings = settings();
-    settings.kinds = vec![Kind { apart: Some(true), bundle: None }];
+    settings.kinds = vec![Kind { separate_routes: Some(true), max_batch: None }];
     let mut world = World::new(settings, vec![endpoint(1, 5)]);
     world.ask(1, 5, 0);
     world.round(0, &[list(ListScope::Patch, vec![endpoint(2, 5)])]);
-    let actions = world.close(50 * MS, 1, 0, Outcome::Full { wait: Some(9 * SECOND) });
+    let actions = world.close(50 * MS, 1, 0, Outcome::Overloaded { retry_after: Some(9 * SECOND) });
     assert!(actions.iter().any(|a| matches!(a, Action::Send { endpoint: EndpointId(2), .. })));
 }
 
@@ -111,7 +111,7 @@
         |msg, dest, key| Event::Request(Request { key: Some(OrderKey(key)), ..request(msg, dest, 1) });
     let actions = world.round(0, &[keyed(1, 5, 7), keyed(2, 6, 7), keyed(3, 6, 8)]);
     assert_eq!(sends(&actions), [1, 3], "other keys are not held up");
-    let expired = world.round(100 * MS, &[Event::Expired { msg: MsgId(1) }]);
+    let expired = world.round(100 * MS, &[Event::Abandoned { msg: MsgId(1) }]);
     assert!(sends(&expired).is_empty(), "the attempt is still out");
     let late = [closed(1, 0, 1, Outcome::Timeout, 2 * SECOND), closed(3, 0, 2, Outcome::Ok, 100 * MS)];
     assert!(sends(&world.round(SECOND, &late)).is_empty(), "the key rests");
--- a/tests/starved.rs
+++ b/tests/starved.rs
@@ -6,11 +6,11 @@
 /// Shares that are served of a class worth four and of one worth one, where each by itself is all that can be
 /// served: one call at a time, each of 400 ms, and twice as much comes as fits.
 fn served(cheap: f64) -> [f64; 2] {
-    let class = |credit| Class { credit: Some(credit), give_up: 6 * SECOND, ..class(Effect::Safe) };
+    let class = |credit| Class { worth: Some(credit), lifetime: 6 * SECOND, ..class(Effect::Safe) };
     let settings = Settings {
         classes: vec![class(4.0), class(cheap)],
         slots: Some(1),
-        max_held: Some(30),
+        max_queued: Some(30),
         ..settings()
     };
     let mut world = World::new(settings, vec![endpoint(1, 5)]);
@@ -22,7 +22,7 @@
         for (class, offset) in [(0, 0), (1, 4)] {
             if step % 8 == offset {
                 let msg = 2 * step + class;
-                let request = Request { patience: 6 * SECOND, ..request(msg, 5, class as usize) };
+                let request = Request { time_left: 6 * SECOND, ..request(msg, 5, class as usize) };
                 events.push(Event::Request(request));
                 asked[class as usize] += 1;
             }
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -16,11 +16,11 @@
 fn outcome(pick: u8) -> Outcome {
     match pick % 8 {
         0..=2 => Outcome::Ok,
-        3 => Outcome::Full { wait: Some(u64::from(pick) * 10 * MS) },
+        3 => Outcome::Overloaded { retry_after: Some(u64::from(pick) * 10 * MS) },
         4 => Outcome::Timeout,
         5 => Outcome::ConnectFailed,
         6 => Outcome::Error,
-        _ => Outcome::Full { wait: None },
+        _ => Outcome::Overloaded { retry_after: None },
     }
 }
 
@@ -50,7 +50,7 @@
             let id = busy[usize::from(b) % busy.len()];
             let track = tracks.get_mut(&id).unwrap();
             let (endpoint, outcome) = (track.out.take().unwrap(), outcome(a / 2));
-            if let Outcome::Full { wait: Some(wait) } = outcome {
+            if let Outcome::Overloaded { retry_after: Some(wait) } = outcome {
                 let until = waits.entry(track.request.dest).or_default();
                 *until = (*until).max(now + wait);
             }
--- a/wirehost/src/env.rs
+++ b/wirehost/src/env.rs
@@ -119,7 +119,7 @@
 /// A load report by meaning, of what its fields say; a field that is no sensible figure tells nothing.
 pub fn report(field: impl Fn(&str) -> Option<f64>) -> Report {
     let sound = |name| field(name).filter(|value| value.is_finite() && *value >= 0.0);
-    Report { left: sound("x0"), limit: sound("x1") }
+    Report { remaining_share: sound("x0"), limit: sound("x1") }
 }
 
 /// Translates settings, and keeps their names.
@@ -138,30 +138,33 @@
     let classes = numbered.map(|(i, c)| class(c).map_err(|e| format!("categories[{i}].effect: {e}")));
     let classes = classes.collect::<Result<_, _>>()?;
     let kinds = (0..names.kinds.len())
-        .map(|i| Kind { apart: extra.own_limits.get(i).copied(), bundle: extra.bundle_max.get(i).copied() })
+        .map(|i| Kind {
+            separate_routes: extra.own_limits.get(i).copied(),
+            max_batch: extra.bundle_max.get(i).copied(),
+        })
         .collect();
     let zone = env.zone.map(|z| place(&names.zones, &z, "zone").map_err(|e| format!("zone: {e}")));
     let zone = zone.transpose()?.map(ZoneId);
     let settings = Settings {
-        couriers: env.replicas_of_me,
+        relays: env.replicas_of_me,
         zone,
-        step: env.step,
+        round_interval: env.step,
         classes,
-        fade: match extra.fades.as_deref() {
-            Some("line") => Some(Fade::Line),
-            Some("halves") => Some(Fade::Halves),
+        worth_decay: match extra.fades.as_deref() {
+            Some("line") => Some(WorthDecay::Linear),
+            Some("halves") => Some(WorthDecay::Halving),
             _ => None,
         },
         tenants: env.orgs.into_iter().map(|o| Tenant { quota: o.quota_rps }).collect(),
-        over_share_worth: env.over_share_worth,
+        over_quota_worth: env.over_share_worth,
         kinds,
         slots: extra.max_calls,
-        max_held: limits.most_held,
-        max_tries: limits.most_tries,
+        max_queued: limits.most_held,
+        max_attempts: limits.most_tries,
         max_backoff: limits.max_retry_after,
         idle_close: limits.idle_close,
         dial_timeout: limits.dial_timeout,
-        backoff_told: limits.retry_after,
+        refusals_carry_backoff: limits.retry_after,
         list_on_request: env.membership_mode.as_deref() == Some("subscribe"),
         // Couriers of this wire share nothing.
         list_shared: false,
@@ -171,39 +174,39 @@
             _ => Weights::Nothing,
         },
         probing: limits.probing,
-        notes: limits.peers,
+        relay_messages: limits.peers,
         cold_after: None,
         rules: Rules {
-            cold: rules.cold,
+            warm_up_time: rules.cold,
             cold_share: rules.cold_share,
-            fall_multiple: rules.fall_multiple,
-            fall: rules.fall,
-            must_ask_in: rules.must_ask_in,
-            order_settle: rules.order_settle,
+            overload_factor: rules.fall_multiple,
+            overload_time: rules.fall,
+            list_poll_interval: rules.must_ask_in,
+            order_settle_time: rules.order_settle,
         },
-        worst_class: env.goal.map_or(0.0, |g| g.worst_class / (g.whole + g.worst_window).max(0.1)),
+        worst_class_weight: env.goal.map_or(0.0, |g| g.worst_class / (g.whole + g.worst_window).max(0.1)),
     };
     Ok((settings, names))
 }
 
 fn class(c: EnvClass) -> Result<Class, String> {
     Ok(Class {
-        aim: c.aim,
-        give_up: c.give_up,
+        target_latency: c.aim,
+        lifetime: c.give_up,
         effect: match c.effect.as_deref() {
             Some("read_like") => Effect::Safe,
-            Some("idempotency_key") => Effect::Keyed,
+            Some("idempotency_key") => Effect::Deduplicated,
             Some("non_idempotent") | None => Effect::Unsafe,
             Some(other) => return Err(format!("unknown effect '{other}'")),
         },
-        group: match c.group.as_deref() {
-            Some("all") => Group::All,
-            Some("zone") => Group::Zone,
-            _ => Group::Endpoint,
+        dedup_scope: match c.group.as_deref() {
+            Some("all") => DedupScope::All,
+            Some("zone") => DedupScope::Zone,
+            _ => DedupScope::Endpoint,
         },
-        window: c.window,
+        dedup_window: c.window,
         ordered: c.by_arrival,
         late_worth: c.late_worth,
-        credit: c.credit,
+        worth: c.credit,
     })
 }
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -24,8 +24,8 @@
         kind: KindId(place(&names.kinds, &line.flavor, "kind")?),
         condition: match line.condition.as_str() {
             "active" => Condition::Active,
-            "leaving" => Condition::Leaving,
-            "left" => Condition::Left,
+            "leaving" => Condition::Draining,
+            "left" => Condition::Removed,
             other => return Err(format!("unknown condition '{other}'")),
         },
         weight: line.weight,
@@ -95,19 +95,19 @@
         13 => Outcome::Error,
         8 => {
             let wait = wait_ms.filter(|w| *w > 0).map(|w| w.saturating_mul(1_000_000));
-            Outcome::Full { wait }
+            Outcome::Overloaded { retry_after: wait }
         }
         4 => Outcome::Timeout,
         14 => Outcome::ConnectFailed,
         10 => Outcome::Reset,
         1 => Outcome::Cancelled,
-        9 => Outcome::Moot,
+        9 => Outcome::NotSent,
         other => return Err(format!("unknown verdict {other}")),
     })
 }
 
 struct Instance {
-    courier: Courier,
+    courier: Dispatcher,
     names: Names,
     events: Vec<Event>,
     /// It is in the order of this round.
@@ -156,7 +156,7 @@
             }
             WireIn::Attach { courier, rng_seed, env } => {
                 let (settings, names) = settings(*env)?;
-                let courier_of = Courier::new(settings, rng_seed);
+                let courier_of = Dispatcher::new(settings, rng_seed);
                 let instance = Instance { courier: courier_of, names, events: Vec::new(), due: true };
                 self.instances.insert(courier, instance);
                 self.order.retain(|c| *c != courier);
@@ -173,13 +173,13 @@
                     "patch" => ListScope::Patch,
                     "whole" => ListScope::Whole,
                     "stale_copy" => ListScope::Stale,
-                    "broken" => ListScope::Broken,
+                    "broken" => ListScope::Unreachable,
                     other => return Err(format!("unknown scope '{other}'")),
                 };
                 let unknown = || format!("unknown instance {courier}");
                 let names = &self.instances.get(&courier).ok_or_else(unknown)?.names;
                 let entries = match (scope, page) {
-                    (ListScope::Broken, _) => Vec::new(),
+                    (ListScope::Unreachable, _) => Vec::new(),
                     (_, None) => return Err("peers_known without a page".into()),
                     (_, Some(page)) => {
                         let lines =
@@ -201,38 +201,42 @@
                     class: ClassId(place(&names.classes, &r.service, "class")?),
                     tenant,
                     key: r.subject.map(OrderKey),
-                    patience: r.patience_left,
+                    time_left: r.patience_left,
                     retry: r.retry,
                     reconnect: r.reconnect,
-                    tries: 0,
-                    risk: None,
-                    kept: false,
+                    previous_attempts: 0,
+                    unconfirmed: None,
+                    restored: false,
                     rules: None,
                 };
                 self.push(r.courier, Event::Request(request))
             }
-            WireIn::First { courier, handle } => self.push(courier, Event::First { msg: MsgId(handle) }),
+            WireIn::First { courier, handle } => {
+                self.push(courier, Event::StreamStarted { msg: MsgId(handle) })
+            }
             WireIn::ClosedAttempt(o) => {
-                let event = Event::Closed {
+                let event = Event::AttemptEnded {
                     msg: MsgId(o.handle),
                     attempt: o.hop,
                     endpoint: EndpointId(o.endpoint),
                     outcome: outcome(o.verdict, o.wait_ms)?,
                     latency: o.latency,
-                    no_more: o.no_more,
+                    message_done: o.no_more,
                     report: report(o.metrics.as_ref(), &self.instance(o.courier)?.names.columns),
                 };
                 self.push(o.courier, event)
             }
-            WireIn::Expired { courier, handle } => self.push(courier, Event::Expired { msg: MsgId(handle) }),
+            WireIn::Expired { courier, handle } => {
+                self.push(courier, Event::Abandoned { msg: MsgId(handle) })
+            }
             WireIn::Due { courier, nonce } => self.push(courier, Event::Timer { nonce }),
             WireIn::ProbeResult { courier, endpoint, verdict, latency, wait_ms } => {
                 let outcome = outcome(verdict, wait_ms)?;
-                self.push(courier, Event::Probed { endpoint: EndpointId(endpoint), outcome, latency })
+                self.push(courier, Event::ProbeEnded { endpoint: EndpointId(endpoint), outcome, latency })
             }
             WireIn::Memo { courier, origin_peer, content } => {
                 let bytes = BASE64.decode(content).map_err(|e| format!("bad base64: {e}"))?;
-                self.push(courier, Event::Note { from: origin_peer, bytes })
+                self.push(courier, Event::RelayMessage { from: origin_peer, bytes })
             }
         }
     }
@@ -271,7 +275,7 @@
 
 fn words(courier: u64, action: &Action) -> Value {
     match action {
-        Action::Send { msg, endpoint, limit } => {
+        Action::Send { msg, endpoint, timeout: limit } => {
             json!({"type": "deliver", "courier": courier, "handle": msg.0, "limit": limit, "endpoint": endpoint.0})
         }
         Action::Refuse { msg, backoff, .. } => {
@@ -287,14 +291,14 @@
         Action::Probe { endpoint } => {
             json!({"type": "health_check", "courier": courier, "endpoint": endpoint.0})
         }
-        Action::Close { endpoint } => {
+        Action::CloseIdle { endpoint } => {
             json!({"type": "disconnect", "courier": courier, "endpoint": endpoint.0})
         }
-        Action::Tell { to, bytes } => {
+        Action::SendToRelays { to, bytes } => {
             json!({"type": "publish", "courier": courier, "recipient": to, "content": BASE64.encode(bytes)})
         }
         Action::Log { line } => json!({"type": "journal_line", "courier": courier, "line": line}),
-        Action::Follow { want } => json!({"type": "follow", "courier": courier, "want": want}),
-        Action::Reload => json!({"type": "reload", "courier": courier}),
+        Action::Subscribe { open: want } => json!({"type": "follow", "courier": courier, "want": want}),
+        Action::FetchList => json!({"type": "reload", "courier": courier}),
     }
 }
