--- a/src/call_pause.rs
+++ b/src/call_pause.rs
@@ -1,11 +1,12 @@
-//! No calls for a while, because the machine cannot record or connect them: a fault of its own.
+//! Suspends new calls while this machine cannot record or connect them because of a fault of its own.
 //!
-//! What waits goes on waiting and is given up by the same rules as ever; no endpoint's health and no message's tries
-//! follow from it.
+//! Queued messages stay queued and are given up under the usual rules. Neither an endpoint's health nor a
+//! message's attempt count is affected.
 use crate::choice::Dispatcher;
 
 impl Dispatcher {
-    /// Has no call begin from the next round on, or has them begin again. What waited meanwhile is looked at anew then.
+    /// Suspends or resumes new calls from the next round on. All queued messages are reconsidered when calls
+    /// resume.
     pub fn pause_calls(&mut self, paused: bool) {
         self.calls_resumed |= self.calls_paused && !paused;
         self.calls_paused = paused;
--- a/src/discovery_schedule.rs
+++ b/src/discovery_schedule.rs
@@ -1,277 +1,291 @@
-//! When discovery is asked for the list of endpoints, how long an answer is waited for, and what is done for
-//! want of a list.
+//! When discovery is called for the list of endpoints, how long an answer is waited for, and what happens to
+//! messages without a usable list.
 //!
-//! Owns the pauses between calls to discovery. It knows no list and sends nothing. Discovery is one service
-//! for all couriers and answers one call after another; a call that has waited too long there is thrown away,
-//! though not its cost. A fleet that asks together, or again at once, is answered by nobody. Nobody knows how
-//! fast it is, so each courier has a turn: a span in which, by its reckoning, all couriers can be answered
-//! once. It asks at a random moment of its turn; what failed or waited long widens the turn, answers and a
-//! time without failure make it what it was.
+//! This module computes the delays between calls to discovery. It holds no list and sends nothing. Discovery
+//! is one service for all relays and answers one call after another. A call that waited too long there is
+//! discarded, but still costs discovery time. If all relays of a fleet call together, or retry at once, none
+//! of them is answered. The speed of discovery is unknown, so each relay uses a cycle: an estimate of the
+//! time in which all relays can be answered once. It calls at a random time within its cycle. Calls that
+//! failed or waited long lengthen the cycle; answers and a time without failures reset it.
 //!
-//! A courier that holds a list acts on it under a lease ([`crate::ListLease`]). Where a watch that went well
-//! breaks, it asks within what is left of that; after a call that failed it keeps to its turn, since asking
-//! sooner is what keeps all others from being answered. A courier without a list sends nothing, and keeps to
-//! its turn from the start.
+//! A relay with a list uses it under a lease ([`crate::ListLease`]). If a watch that worked breaks, the relay
+//! calls within what is left of the lease. After a call that failed it keeps to its cycle, because earlier
+//! calls would keep all others from being answered. A relay without a list sends no messages and keeps to its
+//! cycle from the start.
 use crate::choice::Dispatcher;
 use crate::interface::{Action, ListScope, Nanos, Settings};
 use crate::state::{Message, Random, SECOND, nanos, secs};
 
-/// The timer that ends a pause.
-pub const ASK_NONCE: u64 = 2;
-/// Least width of a turn: a single courier asks again this soon.
-const LEAST_TURN: Nanos = SECOND / 20;
-/// After a call of its own that failed, a courier with a list asks again no sooner than about this.
-const LEAST_AGAIN: Nanos = SECOND / 4;
-/// Turn for each courier of the tier that holds a list, in seconds: it asks for changes, which is the cheaper
-/// call.
-const TURN_LISTED: f64 = 0.01;
-/// The same for couriers without a list: a fifth is left over, so that what lots bring together is worked
-/// off.
-const TURN_UNLISTED: f64 = 0.1;
-/// Without a wait a turn of couriers with a list is doubled up to so many times the first: discovery may turn
-/// away at the door, or be down, and then all are to ask soon after its return.
-const AT_DOOR: f64 = 8.0;
-/// A refused connection widens a turn so many times, up to the same bound: nobody is there.
-const REFUSED: Nanos = 4;
-/// Turns grow with what was waited up to so many seconds for each courier: a discovery that takes that long
-/// for a call is still worked off.
-const WIDEST_TURN: f64 = 1.6;
-/// The same for couriers with a list, whose calls are the cheaper ones: a few of them never wait that long
-/// for one another.
-const WIDEST_TURN_LISTED: f64 = 0.4;
-/// Who is turned away sooner met no queue, or one that turns away at the door: its wait tells nothing of
-/// discovery's speed.
-const QUEUED: Nanos = SECOND;
-/// Who waited for so long in vain had as much before it, and that was only a part of what all asked.
-const WAITED: Nanos = 3;
-/// An answer with the first list may take so long: what discovery has to tell counts as told by then.
-const FIRST_LIST_PATIENCE: Nanos = 6 * SECOND;
-/// An answer with changes is waited for at least so long, and at most so long in a first turn: longer than
-/// discovery was seen to keep calls waiting, so that nobody gives up a place in the queue to join it at the
-/// end.
-const PATIENCE: (Nanos, Nanos) = (5 * SECOND / 2, 8 * SECOND);
-/// ... by so many seconds for each courier that may stand in the queue.
-const PATIENCE_EACH: f64 = 0.1;
-/// What is kept of a lease for the call itself when its beginning is drawn.
+/// The timer for the next call to discovery.
+pub const POLL_NONCE: u64 = 2;
+/// Minimum length of a cycle: a single relay calls again this soon.
+const MIN_CYCLE: Nanos = SECOND / 20;
+/// Approximate minimum delay before a relay with a list calls again after a call of its own that failed.
+const MIN_RETRY: Nanos = SECOND / 4;
+/// Length of the cycle per relay for relays with a list, in seconds: they request changes, which is the
+/// cheaper call.
+const CYCLE_WITH_LIST: f64 = 0.01;
+/// The same for relays without a list. A fifth of it is spare, so that random accumulations of calls are
+/// worked off.
+const CYCLE_WITHOUT_LIST: f64 = 0.1;
+/// After calls that failed without a wait, the cycle of relays with a list is doubled up to this multiple of
+/// its initial length: discovery may reject calls on arrival, or be down, and then all relays are to call
+/// soon after its return.
+const MAX_UNQUEUED_GROWTH: f64 = 8.0;
+/// Factor on the cycle after a refused connection, up to the same bound: discovery is not running.
+const REFUSED_GROWTH: Nanos = 4;
+/// Maximum length of the cycle per relay, in seconds, by which it grows with the waits: a discovery that
+/// needs this long for a call is still worked off.
+const MAX_CYCLE_WITHOUT_LIST: f64 = 1.6;
+/// The same for relays with a list, whose calls are cheaper: a few of them never wait that long for one
+/// another.
+const MAX_CYCLE_WITH_LIST: f64 = 0.4;
+/// A call rejected sooner than this met no queue, or a discovery that rejects calls on arrival. Its wait does
+/// not show how fast discovery is.
+const MIN_QUEUED_WAIT: Nanos = SECOND;
+/// Cycle length as a multiple of a failed call's wait: the calls ahead of it took that long, and they were
+/// only some of the calls of all relays.
+const CYCLE_PER_WAIT: Nanos = 3;
+/// Maximum time to wait for the first list; any change that discovery has to announce counts as announced by
+/// then.
+const FIRST_LIST_TIMEOUT: Nanos = 6 * SECOND;
+/// Minimum and, in an initial cycle, maximum time to wait for an answer with changes. It is longer than
+/// discovery was seen to keep calls waiting, so that no relay gives up its place in the queue to join it
+/// again at the end.
+const CHANGES_TIMEOUT: (Nanos, Nanos) = (5 * SECOND / 2, 8 * SECOND);
+/// ... in seconds for each relay that may be in the queue.
+const CHANGES_TIMEOUT_PER_RELAY: f64 = 0.1;
+/// Part of a lease that is reserved for the call itself when its start is drawn at random.
 const CALL_RESERVE: Nanos = SECOND;
-/// Where the list may be acted on for so long, asks are spread over so many turns: there is no hurry.
-const UNHURRIED: f64 = 4.0;
+/// If the lease is long, calls are spread over this many cycles, because there is no hurry.
+const RELAXED_SPREAD_FACTOR: f64 = 4.0;
 
-/// The pauses of one courier.
+/// The delays between one relay's calls.
 #[derive(Default)]
 pub struct DiscoverySchedule {
-    /// How many couriers share one discovery.
-    couriers: f64,
-    /// Something was listed once: a drain may be told of it.
-    listed: bool,
-    /// The time in which all couriers have their turn, as far as this one knows.
-    turn: Nanos,
-    /// When a call failed last, whether one was answered since, and how long without a failure is quiet.
+    /// Number of relays that share one discovery.
+    relays: f64,
+    /// Whether a non-empty list was received, so that drains may be announced.
+    has_list: bool,
+    /// The time in which all relays can be answered once, as far as this relay knows.
+    cycle: Nanos,
+    /// When a call last failed, whether one was answered since, and the time without failures after which the
+    /// cycle is reset.
     failed_at: Option<Nanos>,
     answered: bool,
-    quiet: Nanos,
-    /// The first ask has been decided on.
+    quiet_time: Nanos,
+    /// Whether the first call was scheduled.
     pub started: bool,
-    /// When the call was begun that is out.
-    asked_at: Option<Nanos>,
-    /// When the next one begins.
-    next_at: Nanos,
+    /// When the call in flight started.
+    called_at: Option<Nanos>,
+    /// When the next call starts.
+    next_call_at: Nanos,
 }
 
 impl DiscoverySchedule {
-    /// Takes up how many couriers there are.
-    pub fn settle(&mut self, settings: &Settings) {
-        // Where lists are pushed, who has them is on this machine and serves nobody else; where they are
-        // shared, who asks is decided elsewhere.
-        let couriers = settings.relays.filter(|_| settings.list_on_request && !settings.list_shared);
-        self.couriers = f64::from(couriers.unwrap_or(1).max(1));
-        self.quiet = settings.rules.list_poll_interval.unwrap_or(10 * SECOND);
-        self.turn = self.turn.max(self.first_turn());
+    /// Applies the number of relays.
+    pub fn apply_settings(&mut self, settings: &Settings) {
+        // A pushed list comes from an agent on this machine that serves no other relay. If lists are shared,
+        // which relay calls is decided elsewhere.
+        let relays = settings.relays.filter(|_| settings.list_on_request && !settings.list_shared);
+        self.relays = f64::from(relays.unwrap_or(1).max(1));
+        self.quiet_time = settings.rules.list_poll_interval.unwrap_or(10 * SECOND);
+        self.cycle = self.cycle.max(self.initial_cycle());
     }
 
-    /// Time from `now` until the first ask, where `left` is left of the lease on the list.
-    pub fn start(&mut self, now: Nanos, left: Option<Nanos>, random: &mut Random) -> Nanos {
-        let own = nanos(TURN_UNLISTED);
-        let spread = if self.listed { self.unhurried(left) } else { self.turn.saturating_sub(own) };
-        // A few of them are no crowd.
-        let few = spread <= if self.listed { LEAST_AGAIN } else { 0 };
-        self.pause(now, if few { 0 } else { nanos(secs(spread) * random.unit()) })
+    /// Time from `now` until the first call, where `left` is the remaining time of the lease on the list.
+    pub fn first_call_delay(&mut self, now: Nanos, left: Option<Nanos>, random: &mut Random) -> Nanos {
+        let own_share = nanos(CYCLE_WITHOUT_LIST);
+        let spread =
+            if self.has_list { self.relaxed_spread(left) } else { self.cycle.saturating_sub(own_share) };
+        // A fleet this small cannot overload discovery.
+        let small_fleet = spread <= if self.has_list { MIN_RETRY } else { 0 };
+        self.schedule_next(now, if small_fleet { 0 } else { nanos(secs(spread) * random.fraction()) })
     }
 
-    /// A call begins.
-    pub fn asked(&mut self, now: Nanos) {
-        self.asked_at = Some(now);
+    /// Records the start of a call.
+    pub fn call_started(&mut self, now: Nanos) {
+        self.called_at = Some(now);
     }
 
-    /// A list has come, or changes; whether it names anything.
-    pub fn told(&mut self, any: bool) {
-        let first = any && !self.listed;
-        self.listed |= any;
+    /// Records that a list, or changes, arrived; `non_empty` says whether it has entries.
+    pub fn list_received(&mut self, non_empty: bool) {
+        let first = non_empty && !self.has_list;
+        self.has_list |= non_empty;
         if first {
-            self.turn = self.first_turn();
+            self.cycle = self.initial_cycle();
         }
-        (self.asked_at, self.answered) = (None, true);
+        (self.called_at, self.answered) = (None, true);
     }
 
-    /// Time until the next ask after a call that failed, where `left` is left of the lease on the list.
-    pub fn failed(&mut self, now: Nanos, how: ListScope, left: Option<Nanos>, random: &mut Random) -> Nanos {
-        let asked_at = self.asked_at.take();
-        let anew = self.failed_at.is_none_or(|at| now > at + self.quiet.max(2 * self.turn));
-        if std::mem::take(&mut self.answered) && anew {
-            // Only after a time without failure: answers may break off every other time.
-            self.turn = self.first_turn();
+    /// Time until the next call after one that failed, where `left` is the remaining time of the lease on the
+    /// list.
+    pub fn call_failed(
+        &mut self,
+        now: Nanos,
+        how: ListScope,
+        left: Option<Nanos>,
+        random: &mut Random,
+    ) -> Nanos {
+        let called_at = self.called_at.take();
+        let after_quiet = self.failed_at.is_none_or(|at| now > at + self.quiet_time.max(2 * self.cycle));
+        if std::mem::take(&mut self.answered) && after_quiet {
+            // Only after a time without failures, because answers may break off every other time.
+            self.cycle = self.initial_cycle();
         }
         self.failed_at = Some(now);
-        let lot = random.unit();
-        let after = if !self.listed {
-            self.widen_unlisted(how, asked_at.map_or(0, |at| now.saturating_sub(at)));
-            nanos(secs(self.turn) * (0.5 + lot))
+        let fraction = random.fraction();
+        let after = if !self.has_list {
+            self.lengthen_without_list(how, called_at.map_or(0, |at| now.saturating_sub(at)));
+            nanos(secs(self.cycle) * (0.5 + fraction))
         } else if how == ListScope::Unreachable {
-            self.turn = (self.turn * REFUSED).min(self.most_at_door()).max(self.turn);
-            let soon = left.filter(|left| *left > 0).map_or(self.turn, |left| self.turn.min(left / 2));
-            nanos(secs(soon.max(LEAST_AGAIN)) * (0.5 + lot))
-        } else if let Some(asked_at) = asked_at {
-            // What broke off had been begun: that it took long is no sign of a queue.
-            let waited = if how == ListScope::Truncated { 0 } else { now.saturating_sub(asked_at) };
-            self.after_queue(waited, lot)
-        } else if anew {
-            // A watch that went well until now.
-            LEAST_TURN / 2 + nanos(secs(self.unhurried(left)) * lot)
+            self.cycle = (self.cycle * REFUSED_GROWTH).min(self.max_unqueued_cycle()).max(self.cycle);
+            let base = left.filter(|left| *left > 0).map_or(self.cycle, |left| self.cycle.min(left / 2));
+            nanos(secs(base.max(MIN_RETRY)) * (0.5 + fraction))
+        } else if let Some(called_at) = called_at {
+            // An answer that broke off had started, so a long wait is no sign of a queue.
+            let waited = if how == ListScope::Truncated { 0 } else { now.saturating_sub(called_at) };
+            self.delay_after_wait(waited, fraction)
+        } else if after_quiet {
+            // A watch that worked until now.
+            MIN_CYCLE / 2 + nanos(secs(self.relaxed_spread(left)) * fraction)
         } else {
-            self.after_queue(0, lot)
+            self.delay_after_wait(0, fraction)
         };
-        self.pause(now, after)
+        self.schedule_next(now, after)
     }
 
-    /// After a call in vain that had its own place in the queue for so long.
-    fn after_queue(&mut self, waited: Nanos, lot: f64) -> Nanos {
-        if waited >= QUEUED {
-            let wider = (waited * WAITED).max(2 * self.first_turn()).min(self.widest());
-            self.turn = self.turn.max(wider);
+    /// Delay after a call that failed after waiting this long in discovery's queue. `fraction` is a random
+    /// number from 0 to 1.
+    fn delay_after_wait(&mut self, waited: Nanos, fraction: f64) -> Nanos {
+        if waited >= MIN_QUEUED_WAIT {
+            let longer = (waited * CYCLE_PER_WAIT).max(2 * self.initial_cycle()).min(self.max_cycle());
+            self.cycle = self.cycle.max(longer);
         }
-        let after = nanos(secs(self.turn) * (0.5 + lot));
-        if waited < QUEUED {
-            self.turn = (self.turn * 2).min(self.most_at_door()).max(self.turn);
+        let after = nanos(secs(self.cycle) * (0.5 + fraction));
+        if waited < MIN_QUEUED_WAIT {
+            self.cycle = (self.cycle * 2).min(self.max_unqueued_cycle()).max(self.cycle);
         }
         after
     }
 
-    fn widen_unlisted(&mut self, how: ListScope, waited: Nanos) {
-        if how != ListScope::Unreachable && waited >= QUEUED {
-            self.turn = (self.turn * 2).max(waited * WAITED).min(self.widest());
+    fn lengthen_without_list(&mut self, how: ListScope, waited: Nanos) {
+        if how != ListScope::Unreachable && waited >= MIN_QUEUED_WAIT {
+            self.cycle = (self.cycle * 2).max(waited * CYCLE_PER_WAIT).min(self.max_cycle());
         }
     }
 
-    /// The time within which to ask where the list may be acted on for now: all of that, if the fleet is
+    /// The time within which to call while the list may still be used: all of that time if the fleet is
     /// large.
-    fn unhurried(&self, left: Option<Nanos>) -> Nanos {
-        let wide = self.turn.max(nanos(UNHURRIED * TURN_LISTED * self.couriers));
+    fn relaxed_spread(&self, left: Option<Nanos>) -> Nanos {
+        let spread = self.cycle.max(nanos(RELAXED_SPREAD_FACTOR * CYCLE_WITH_LIST * self.relays));
         match left {
-            None => wide,
-            Some(left) if left > CALL_RESERVE => wide.min(left - CALL_RESERVE),
-            Some(_) => self.turn,
+            None => spread,
+            Some(left) if left > CALL_RESERVE => spread.min(left - CALL_RESERVE),
+            Some(_) => self.cycle,
         }
     }
 
-    fn widest(&self) -> Nanos {
-        let widest = if self.listed { WIDEST_TURN_LISTED } else { WIDEST_TURN };
-        nanos(widest * self.couriers)
+    fn max_cycle(&self) -> Nanos {
+        let per_relay = if self.has_list { MAX_CYCLE_WITH_LIST } else { MAX_CYCLE_WITHOUT_LIST };
+        nanos(per_relay * self.relays)
     }
 
-    fn most_at_door(&self) -> Nanos {
-        nanos(AT_DOOR * TURN_LISTED * self.couriers).max(LEAST_AGAIN)
+    fn max_unqueued_cycle(&self) -> Nanos {
+        nanos(MAX_UNQUEUED_GROWTH * CYCLE_WITH_LIST * self.relays).max(MIN_RETRY)
     }
 
-    fn pause(&mut self, now: Nanos, after: Nanos) -> Nanos {
-        self.next_at = now + after;
+    fn schedule_next(&mut self, now: Nanos, after: Nanos) -> Nanos {
+        self.next_call_at = now + after;
         after
     }
 
-    /// How long an answer is waited for that is no watch's renewal; `held` says whether it is to bring
-    /// changes to a list.
-    pub fn patience(&self, held: bool) -> Nanos {
-        if !held {
-            return self.turn.max(FIRST_LIST_PATIENCE);
+    /// How long to wait for an answer that is not the renewal of a watch. `has_list` says whether there is a
+    /// list to which the answer brings changes.
+    pub fn timeout(&self, has_list: bool) -> Nanos {
+        if !has_list {
+            return self.cycle.max(FIRST_LIST_TIMEOUT);
         }
-        let (least, most) = PATIENCE;
-        nanos(PATIENCE_EACH * self.couriers).clamp(least, most).max(self.turn / 2)
+        let (min, max) = CHANGES_TIMEOUT;
+        nanos(CHANGES_TIMEOUT_PER_RELAY * self.relays).clamp(min, max).max(self.cycle / 2)
     }
 
-    /// Time until a list may be there for who has none, or none that may be acted on. Of a call that is out
-    /// it is known only how long it has been: half of that is hoped for.
-    pub fn awaited(&self, now: Nanos, lapsed: bool) -> Nanos {
-        match self.asked_at {
-            _ if self.listed && !lapsed => 0,
+    /// Time until there may be a list for a relay that has none, or none that it may use. Of a call in flight
+    /// only its age is known; half of that is assumed as the remaining time.
+    pub fn time_to_list(&self, now: Nanos, expired: bool) -> Nanos {
+        match self.called_at {
+            _ if self.has_list && !expired => 0,
             Some(at) => now.saturating_sub(at) / 2,
-            None => self.next_at.saturating_sub(now),
+            None => self.next_call_at.saturating_sub(now),
         }
     }
 
-    fn first_turn(&self) -> Nanos {
-        nanos(self.couriers * if self.listed { TURN_LISTED } else { TURN_UNLISTED }).max(LEAST_TURN)
+    fn initial_cycle(&self) -> Nanos {
+        nanos(self.relays * if self.has_list { CYCLE_WITH_LIST } else { CYCLE_WITHOUT_LIST }).max(MIN_CYCLE)
     }
 }
 
 impl Dispatcher {
-    /// How long an answer of discovery is waited for that is no watch's renewal, in nanoseconds; `held` says
-    /// whether it is to bring changes to a list that is held.
-    pub fn list_timeout(&self, held: bool) -> Nanos {
-        self.schedule.patience(held)
+    /// How long to wait for an answer of discovery that is not the renewal of a watch, in nanoseconds.
+    /// `has_list` says whether there is a list to which the answer brings changes.
+    pub fn list_timeout(&self, has_list: bool) -> Nanos {
+        self.schedule.timeout(has_list)
     }
 
-    /// Until when the list may be acted on ([`crate::ListLease`]), on the rounds' clock; none where there is
-    /// no such bound. Holds until it is set again.
+    /// Sets until when the list may be used ([`crate::ListLease`]), on the clock of the rounds; `None` for no
+    /// limit. Valid until it is set again.
     pub fn set_list_lease(&mut self, until: Option<Nanos>) {
-        self.list_until = until;
+        self.list_valid_until = until;
     }
 
-    /// Whether the list may not be acted on.
-    pub(crate) fn list_lapsed(&self, now: Nanos) -> bool {
-        self.list_until.is_some_and(|until| now >= until)
+    /// Whether the list may no longer be used.
+    pub(crate) fn list_expired(&self, now: Nanos) -> bool {
+        self.list_valid_until.is_some_and(|until| now >= until)
     }
 
-    /// What is left of the lease on the list, where there is one.
-    pub(crate) fn list_left(&self, now: Nanos) -> Option<Nanos> {
-        self.list_until.map(|until| until.saturating_sub(now))
+    /// Remaining time of the lease on the list, if there is one.
+    pub(crate) fn lease_left(&self, now: Nanos) -> Option<Nanos> {
+        self.list_valid_until.map(|until| until.saturating_sub(now))
     }
 
-    /// Time until there may be a list to act on.
-    pub(crate) fn list_awaited(&self, now: Nanos) -> Nanos {
-        self.schedule.awaited(now, self.list_lapsed(now))
+    /// Time until there may be a usable list.
+    pub(crate) fn time_to_list(&self, now: Nanos) -> Nanos {
+        self.schedule.time_to_list(now, self.list_expired(now))
     }
 
-    /// Asks for the first time, where the list is to be asked for. In a first round, what is listed has come
-    /// in.
-    pub(crate) fn ask_first(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+    /// Schedules the first call, if the list has to be requested. In a first round, entries already received
+    /// have been applied.
+    pub(crate) fn start_polling(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.schedule.started, true) && self.settings.list_on_request {
-            let after = self.schedule.start(now, self.list_left(now), &mut self.random);
-            self.ask(now, after, actions);
+            let after = self.schedule.first_call_delay(now, self.lease_left(now), &mut self.random);
+            self.call_discovery(now, after, actions);
         }
     }
 
-    /// A call to discovery failed.
-    pub(crate) fn list_failed(&mut self, now: Nanos, how: ListScope, actions: &mut Vec<Action>) {
-        let after = self.schedule.failed(now, how, self.list_left(now), &mut self.random);
-        self.ask(now, after, actions);
+    /// Handles a failed call to discovery.
+    pub(crate) fn list_call_failed(&mut self, now: Nanos, how: ListScope, actions: &mut Vec<Action>) {
+        let after = self.schedule.call_failed(now, how, self.lease_left(now), &mut self.random);
+        self.call_discovery(now, after, actions);
         let pause = secs(after);
         actions.push(Action::Log { line: format!("list unavailable, asking again in {pause:.2} s") });
     }
 
-    /// Asks for the list, now or after a pause.
-    pub(crate) fn ask(&mut self, now: Nanos, after: Nanos, actions: &mut Vec<Action>) {
+    /// Calls discovery, now or after a delay.
+    pub(crate) fn call_discovery(&mut self, now: Nanos, after: Nanos, actions: &mut Vec<Action>) {
         if after > 0 {
-            actions.push(Action::SetTimer { nonce: ASK_NONCE, after });
+            actions.push(Action::SetTimer { nonce: POLL_NONCE, after });
         } else {
-            self.schedule.asked(now);
+            self.schedule.call_started(now);
             actions.push(Action::Subscribe { open: true });
         }
     }
 
-    /// Whether there is no list to act on, and will not be before half of the time is over in which a message
-    /// meets its aim (its end, once that is past). Given back now, it may be served by another courier yet.
-    pub(crate) fn outlasted(&self, now: Nanos, message: &Message) -> bool {
-        let awaited = self.list_awaited(now);
-        let end = if now < message.aim_at { message.aim_at } else { message.deadline };
-        awaited > 0 && now + 2 * awaited > end
+    /// Whether there is no usable list and none is expected before half of the time has passed in which a
+    /// message meets its target (its deadline, once the target has passed). If it is returned now, another
+    /// relay may still serve it.
+    pub(crate) fn list_too_late(&self, now: Nanos, message: &Message) -> bool {
+        let wait = self.time_to_list(now);
+        let end = if now < message.target_at { message.target_at } else { message.deadline };
+        wait > 0 && now + 2 * wait > end
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,7 @@
-//! The types that pass between a courier and its host: ids, settings, events and actions. Facts only.
+//! Types exchanged between a [`Dispatcher`](crate::Dispatcher) and its host: ids, settings, events and
+//! actions. They carry data only; nothing is decided here.
 
-/// Time on the host's clock, or a span of it, in nanoseconds.
+/// A point in time on the host's clock, or a duration, in nanoseconds.
 pub type Nanos = u64;
 
 macro_rules! ids {
@@ -18,65 +19,65 @@
     EndpointId(u32);
     /// A destination.
     DestId(u64);
-    /// A class of message: its place in [`Settings::classes`].
+    /// A message class, as an index into [`Settings::classes`].
     ClassId(usize);
-    /// A tenant: its place in [`Settings::tenants`].
+    /// A tenant, as an index into [`Settings::tenants`].
     TenantId(usize);
-    /// A kind of destination: its place in [`Settings::kinds`].
+    /// A kind of destination, as an index into [`Settings::kinds`].
     KindId(usize);
     /// A zone.
     ZoneId(usize);
-    /// A key that orders messages.
+    /// An ordering key: messages with the same key are delivered in order.
     OrderKey(u64);
 }
 
-/// What a repeat of a message does.
+/// What happens if a message is delivered more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
     /// Repeats are harmless.
     Safe,
-    /// Repeats are dropped by the endpoints that remember the key.
+    /// Endpoints that remember the message's key drop repeats.
     Deduplicated,
-    /// Must never take effect twice.
+    /// The message must never take effect twice.
     #[default]
     Unsafe,
 }
 
-/// Which endpoints of a destination share the memory of keys.
+/// Which endpoints of a destination share their memory of keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All of them.
+    /// All endpoints.
     All,
-    /// Those of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// Only the endpoint itself, as far as a courier can know.
+    /// Only the endpoint itself, as far as a relay can know.
     #[default]
     Endpoint,
 }
 
-/// A class of message.
+/// A message class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// Delivered within this time, a message earns its full worth.
+    /// A message delivered within this time earns its full worth.
     pub target_latency: Nanos,
-    /// Time for which a message may be delivered, from when it was first handed in.
+    /// How long a message may be delivered, counted from when it was first submitted.
     pub lifetime: Nanos,
-    /// What a repeat does.
+    /// What a repeated delivery does.
     pub effect: Effect,
-    /// Who remembers keys.
+    /// Which endpoints share their memory of keys.
     pub dedup_scope: DedupScope,
-    /// How long keys are remembered, from the first send that may have run.
+    /// How long keys are remembered, counted from the first send that may have been executed.
     pub dedup_window: Option<Nanos>,
-    /// Whether messages sharing a key keep their order.
+    /// Whether messages with the same key are delivered in order.
     pub ordered: bool,
-    /// Share of the worth that is left at the deadline.
+    /// Fraction of the worth that a message still earns at its deadline.
     pub late_worth: Option<f64>,
     /// Worth of a message.
     pub worth: Option<f64>,
 }
 
 impl Class {
-    /// For how long after it may have run a message may be sent again; none if for ever.
+    /// How long after a possible execution the message may be sent again; `None` means without limit.
     pub fn resend_window(&self) -> Option<Nanos> {
         match self.effect {
             Effect::Safe => None,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Whether its client may hand a message in again that may have run.
+    /// Whether the client may submit a message again that may have been executed.
     pub fn may_be_resubmitted(&self) -> bool {
         match self.effect {
             Effect::Safe => true,
@@ -95,191 +96,194 @@
     }
 }
 
-/// How worth falls after the aim.
+/// How the worth of a message decreases once its target latency has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorthDecay {
-    /// Evenly, down to the late worth at the deadline.
+    /// Linearly, down to the late worth at the deadline.
     Linear,
-    /// By half with each further aim, but not under the late worth.
+    /// Halved after each further target latency, but never below the late worth.
     Halving,
 }
 
-/// What the weights in the list state.
+/// What the weights in the endpoint list mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Weights {
-    /// Nothing.
+    /// They carry no information.
     #[default]
     Nothing,
-    /// Calls a second that a unit takes from all couriers together.
+    /// Calls a second that a destination, or a separate route, accepts from all relays together.
     Exact,
-    /// The same, up to half too high or too low.
+    /// As `Exact`, but up to half too high or too low.
     Rough,
 }
 
-/// What an endpoint tells of its limit with an answer: some time old and not exact.
+/// What an endpoint reports about its rate limit in an answer. The values are approximate and may be out of
+/// date.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Share of the limit that is left.
+    /// Fraction of the limit that is left.
     pub remaining_share: Option<f64>,
-    /// Calls a second that the limit allows; zero where there is none.
+    /// Calls a second that the limit allows; zero if there is no limit.
     pub limit: Option<f64>,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Requests a second inside its share, over all couriers.
+    /// Requests a second that are within its quota, over all relays.
     pub quota: Option<f64>,
 }
 
 /// A kind of destination.
 #[derive(Clone, Debug, Default)]
 pub struct Kind {
-    /// Whether the endpoints of a destination are separate routes.
+    /// Whether each endpoint of a destination is a separate route with its own limits.
     pub separate_routes: Option<bool>,
-    /// Messages in one call at most.
+    /// Maximum number of messages in one call.
     pub max_batch: Option<u32>,
 }
 
-/// The figures of the rules.
+/// Numeric parameters of the platform's rules.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// How long after an outage a destination may stay cold.
+    /// How long a destination may take to warm up after an outage.
     pub warm_up_time: Option<Nanos>,
-    /// Least share of its capacity that it has then.
+    /// Minimum fraction of its capacity that a cold destination has.
     pub cold_share: Option<f64>,
-    /// Sent over this multiple of its present capacity ...
+    /// A destination fails under overload when it is sent more than this multiple of its current capacity ...
     pub overload_factor: Option<f64>,
-    /// ... for this long, it falls over.
+    /// ... for this long.
     pub overload_time: Option<Nanos>,
-    /// Longest that a courier without a subscription may go without asking for the list.
+    /// Maximum time between two requests for the list by a relay that has no subscription.
     pub list_poll_interval: Option<Nanos>,
-    /// How long a key rests after an attempt that may still be executing.
+    /// How long a key is paused after an attempt that may still be executing.
     pub order_settle_time: Option<Nanos>,
 }
 
-/// What a courier is told when it starts. An absent value was not told.
+/// Settings of a relay. `None` means that the value is not known.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Couriers in this tier.
+    /// Number of relays in this tier.
     pub relays: Option<u32>,
-    /// This courier's zone.
+    /// Zone of this relay.
     pub zone: Option<ZoneId>,
-    /// Least time between rounds.
+    /// Minimum time between rounds.
     pub round_interval: Option<Nanos>,
-    /// Classes of message.
+    /// Message classes.
     pub classes: Vec<Class>,
-    /// How worth falls after the aim.
+    /// How worth decreases after the target latency.
     pub worth_decay: Option<WorthDecay>,
-    /// Tenants; there may be none.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Part of its worth that a message keeps when its tenant is over its share.
+    /// Factor on the worth of a message whose tenant is over its quota.
     pub over_quota_worth: Option<f64>,
     /// Kinds of destination.
     pub kinds: Vec<Kind>,
-    /// Calls that may be out at once.
+    /// Maximum number of concurrent calls.
     pub slots: Option<u32>,
-    /// Messages that may be held, sent or not.
+    /// Maximum number of open messages, queued and in flight.
     pub max_queued: Option<u32>,
-    /// Most attempts for a message.
+    /// Maximum number of attempts for a message.
     pub max_attempts: Option<u32>,
-    /// Longest backoff that a client heeds.
+    /// Longest backoff that clients respect.
     pub max_backoff: Option<Nanos>,
-    /// Idle connections close after this.
+    /// Idle connections are closed after this time.
     pub idle_close: Option<Nanos>,
-    /// A connection that is not up within this time has failed.
+    /// A connection attempt that takes longer than this has failed.
     pub dial_timeout: Option<Nanos>,
     /// Whether refusals may carry a backoff.
     pub refusals_carry_backoff: bool,
-    /// Whether the list comes only when asked for.
+    /// Whether the list has to be requested; otherwise it is pushed.
     pub list_on_request: bool,
-    /// Whether couriers pass lists on to one another, so that few of them ask, whatever their number.
+    /// Whether relays pass lists on to one another, so that the number of relays that request it does not
+    /// grow with the fleet.
     pub list_shared: bool,
-    /// What list weights state.
+    /// What the weights in the list mean.
     pub weights: Weights,
     /// Whether endpoints may be probed.
     pub probing: bool,
-    /// Whether couriers may send each other notes.
+    /// Whether relays may send messages to each other.
     pub relay_messages: bool,
-    /// A destination unused for so long is cold until it shows otherwise, as is one never used, one that came
-    /// after the first list, and one that started lately. Absent: health alone tells what is cold.
+    /// A destination that was not used for this long is treated as cold until its answers show otherwise. So
+    /// are destinations that were never used, that were listed after the first list, or that started
+    /// recently. If `None`, only health decides what is cold.
     pub cold_after: Option<Nanos>,
-    /// The figures of the rules.
+    /// Numeric parameters of the platform's rules.
     pub rules: Rules,
-    /// How much the worst served class counts by itself, against the whole.
+    /// Extra weight of the worst served class, relative to all classes together.
     pub worst_class_weight: f64,
 }
 
-/// What the list says of an endpoint.
+/// State of an endpoint according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// Listed; nothing is said of its health.
+    /// Listed; its health is not known from the list.
     Active,
-    /// Draining.
+    /// Draining: it accepts no new calls.
     Draining,
-    /// Gone.
+    /// No longer listed.
     Removed,
 }
 
 /// An entry of the list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Which endpoint.
+    /// The endpoint.
     pub id: EndpointId,
-    /// Its destination. It never changes: a host that hears of a move names another endpoint.
+    /// Its destination, which never changes: the host assigns a new endpoint id if an endpoint moves.
     pub dest: DestId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its kind.
     pub kind: KindId,
-    /// What the list says of it.
+    /// Its state.
     pub condition: Condition,
-    /// Listed weight.
+    /// Its weight in the list.
     pub weight: Option<f64>,
-    /// When it last started; 0 is long ago.
+    /// When it last started; 0 means long ago.
     pub started: Nanos,
 }
 
-/// Why a message is given up.
+/// Why a message was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// Its destination would serve it too late, by what is predicted.
+    /// Its destination is predicted to answer too late.
     TooSlow,
-    /// Too much waits for its destination already, which serves nothing just now.
+    /// Too many messages are already queued for its destination, all of whose endpoints are unhealthy.
     DestinationQueueFull,
-    /// The hold is full, and it is worth least.
+    /// The queue is full and this message has the lowest rank.
     QueueFull,
-    /// Its time is over.
+    /// Its deadline is reached.
     DeadlineReached,
-    /// It has had all its tries.
+    /// The maximum number of attempts is used up.
     AttemptsExhausted,
-    /// Who got it before may no longer know it.
+    /// The endpoint that may have executed it may no longer remember its key.
     ResendWindowOver,
-    /// No list that may be acted on will be there in time.
+    /// No usable list will be available in time.
     NoUsableList,
 }
 
-/// How much of the list an event brings.
+/// What an update of the list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Only changed entries.
+    /// Changed entries only.
     Patch,
-    /// The whole list; what is not in it is gone.
+    /// The complete list; endpoints that are not in it are gone.
     Whole,
-    /// The whole list as it was last had, maybe old.
+    /// The complete list as last received, possibly out of date.
     Stale,
-    /// A request for the list was not taken, or the subscription broke; no entries.
+    /// The service could not be reached, or the subscription broke; no entries.
     Unreachable,
-    /// The same, but it was turned away after it had been taken.
+    /// As `Unreachable`, but the call was rejected after it had been accepted.
     Rejected,
-    /// The same, but the answer broke off: what it held may count as told.
+    /// As `Unreachable`, but the answer broke off: any change that it contained may count as announced.
     Truncated,
-    /// The same, but nothing was heard in time: what was to be told may count as told.
+    /// As `Unreachable`, but no answer came in time: any change that was due may count as announced.
     TimedOut,
 }
 
 impl ListScope {
-    /// Whether it brings no list.
+    /// Whether the update brings no list.
     pub fn is_failure(self) -> bool {
         matches!(
             self,
@@ -299,67 +303,67 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: Option<TenantId>,
-    /// Its order key.
+    /// Its ordering key.
     pub key: Option<OrderKey>,
-    /// How long it may still be delivered.
+    /// Time until its deadline.
     pub time_left: Nanos,
-    /// The client marked it as another try.
+    /// The client marked it as a retry.
     pub retry: bool,
-    /// A courier that had it has died.
+    /// A relay that had accepted it has died.
     pub reconnect: bool,
-    /// Attempts made before: not zero only for a message that outlived its courier's process.
+    /// Number of earlier attempts; nonzero only for a message restored after a restart of its relay.
     pub previous_attempts: u32,
-    /// The first of those attempts that may have run.
+    /// The first of those attempts that may have been executed.
     pub unconfirmed: Option<UnconfirmedAttempt>,
-    /// It outlived its courier's process.
+    /// It was restored after a restart of its relay.
     pub restored: bool,
-    /// The rules of its class under which it was taken on; those of the settings if none.
+    /// The class rules under which it was accepted; the current rules of its class if `None`.
     pub rules: Option<Class>,
 }
 
-/// The first attempt of a message that may have run.
+/// The first attempt of a message that may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnconfirmedAttempt {
-    /// When it was sent; it may lie before the courier's first round.
+    /// When it was sent; may be before the dispatcher's first round.
     pub sent: Nanos,
-    /// Where to.
+    /// The endpoint that it was sent to.
     pub endpoint: EndpointId,
-    /// That endpoint's zone, if known.
+    /// The zone of that endpoint, if known.
     pub zone: Option<ZoneId>,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Delivered.
     Ok,
-    /// Answered with an error; may have run.
+    /// Answered with an error; may have been executed.
     Error,
-    /// Turned away unseen, with the wait told, if any.
+    /// Rejected without being executed.
     Overloaded {
-        /// Time to send nothing there.
+        /// How long to send nothing there, if the answer says so.
         retry_after: Option<Nanos>,
     },
-    /// No answer in time; may have run.
+    /// No answer in time; may have been executed.
     Timeout,
-    /// No connection; never ran.
+    /// The connection could not be established; not executed.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection broke; may have been executed.
     Reset,
-    /// Called off; may have run.
+    /// Cancelled by the relay; may have been executed.
     Cancelled,
-    /// Not sent; never ran.
+    /// Not sent; not executed.
     NotSent,
-    /// Not sent, by a fault of this machine; never ran, and is no try.
+    /// Not sent because of a fault on this machine; not executed, and not counted as an attempt.
     LocalFault,
 }
 
-/// Something that happened.
+/// An input of a round.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the list.
+    /// An update of the list.
     List {
-        /// How much it brings.
+        /// What it contains.
         scope: ListScope,
         /// The entries.
         entries: Vec<Endpoint>,
@@ -368,121 +372,121 @@
     Request(Request),
     /// An attempt ended.
     AttemptEnded {
-        /// Which message.
+        /// The message.
         msg: MsgId,
-        /// Which attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// Which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The result.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         latency: Nanos,
-        /// Nothing more is owed for the message.
+        /// The message needs no further attempt or answer.
         message_done: bool,
-        /// What the answer tells of the limit.
+        /// What the answer reports about the rate limit.
         report: Report,
     },
-    /// A stream has started; nothing here streams, so it only tells that the attempt lives.
+    /// A response stream started. Streaming is not used, so this only means that the attempt is alive.
     StreamStarted {
-        /// Which message.
+        /// The message.
         msg: MsgId,
     },
-    /// Nobody wants the message any more.
+    /// The message is no longer wanted.
     Abandoned {
-        /// Which message.
+        /// The message.
         msg: MsgId,
     },
-    /// A timer fell due.
+    /// A timer expired.
     Timer {
-        /// As it was set.
+        /// The nonce it was set with.
         nonce: u64,
     },
     /// A probe ended.
     ProbeEnded {
-        /// Which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The result.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the probe was sent.
         latency: Nanos,
     },
-    /// Another courier sent a note.
+    /// Another relay sent a message to this one.
     RelayMessage {
-        /// The sender.
+        /// The sending relay.
         from: u32,
-        /// What it sent.
+        /// The contents.
         bytes: Vec<u8>,
     },
 }
 
-/// Something to do.
+/// A command to the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Call the endpoint with the message.
+    /// Send the message to the endpoint.
     Send {
-        /// Which message.
+        /// The message.
         msg: MsgId,
-        /// Which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// Give the attempt up after this long.
+        /// Time-out of the attempt.
         timeout: Nanos,
     },
-    /// End the message; it may safely come again.
+    /// Refuse the message; the client may safely submit it again.
     Refuse {
-        /// Which message.
+        /// The message.
         msg: MsgId,
-        /// How long the client should stay away.
+        /// How long the client should wait before it retries.
         backoff: Option<Nanos>,
-        /// Why, for the log.
+        /// The reason, for the log.
         reason: GiveUpReason,
     },
     /// End the message as failed.
     Fail {
-        /// Which message.
+        /// The message.
         msg: MsgId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// Which message.
+        /// The message.
         msg: MsgId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Ask for a timer.
+    /// Set a timer.
     SetTimer {
-        /// Comes back as given.
+        /// Returned unchanged in [`Event::Timer`].
         nonce: u64,
         /// Time from now.
         after: Nanos,
     },
     /// Probe an endpoint.
     Probe {
-        /// Which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Close idle connections to an endpoint.
+    /// Close the idle connections to an endpoint.
     CloseIdle {
-        /// Which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Send a note to one courier or all others.
+    /// Send a message to one other relay or to all of them.
     SendToRelays {
-        /// The receiver; all others if absent.
+        /// The recipient; all other relays if `None`.
         to: Option<u32>,
-        /// What to send.
+        /// The contents.
         bytes: Vec<u8>,
     },
-    /// A line for on-call staff.
+    /// Write a log line for operators.
     Log {
         /// The text.
         line: String,
     },
     /// Open or close the subscription to the list.
     Subscribe {
-        /// Open it.
+        /// Whether to open it.
         open: bool,
     },
-    /// Ask once for the whole list.
+    /// Request the complete list once.
     FetchList,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of a relay ("courier") that hands messages on to destinations nobody here controls.
+//! Decisions of a relay that forwards messages to destinations outside its operator's control.
 //!
-//! A courier predicts how long a call to each destination would take and refuses, or drops before
-//! sending, what could not be served in the time it has left. The host feeds it events and carries
-//! out its actions; the library has no clock, thread or I/O of its own.
+//! A [`Dispatcher`] predicts how long a call to each destination would take. It refuses messages, or drops
+//! them before they are sent, if they cannot be served in the time they have left. The host passes it events
+//! and carries out its actions; the library has no clock, threads or I/O of its own.
 //!
 //! ```
 //! use slatethread::{Action, Dispatcher, Endpoint, EndpointId, Event, ListScope, MsgId, Request, Settings};
@@ -12,7 +12,7 @@
 //! let class =
 //!     Class { target_latency: 2 * SECOND, lifetime: 20 * SECOND, effect: Effect::Safe, ..Class::default() };
 //! let settings = Settings { classes: vec![class], slots: Some(4), ..Settings::default() };
-//! let mut courier = Dispatcher::new(settings, 7);
+//! let mut dispatcher = Dispatcher::new(settings, 7);
 //! let endpoint = Endpoint {
 //!     id: EndpointId(1), dest: DestId(5), zone: ZoneId(0), kind: KindId(0),
 //!     condition: Condition::Active, weight: None, started: 0,
@@ -24,30 +24,30 @@
 //!     restored: false, rules: None,
 //! });
 //! let mut actions = Vec::new();
-//! courier.on_round(SECOND, &[list, request], &mut actions);
+//! dispatcher.on_round(SECOND, &[list, request], &mut actions);
 //! assert!(matches!(actions[0], Action::Send { msg: MsgId(9), endpoint: EndpointId(1), .. }));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod base;
 mod call_pause;
 mod choice;
 mod cold_return;
 mod discovery_schedule;
+mod endpoint_list;
 mod health;
-mod heir;
-mod hold;
+mod idle_records;
 mod interface;
 mod list_lease;
+mod primitives;
+mod queue;
+mod queueing;
 mod ramp;
-mod rest;
-mod roster;
+mod snapshot;
 mod state;
-mod waiting;
 
 pub use choice::Dispatcher;
-pub use heir::{DestinationSnapshot, EndpointSnapshot};
+pub use idle_records::RecordCounts;
 pub use interface::*;
 pub use list_lease::ListLease;
-pub use rest::RecordCounts;
+pub use snapshot::{DestinationSnapshot, EndpointSnapshot};
--- a/src/list_lease.rs
+++ b/src/list_lease.rs
@@ -1,146 +1,152 @@
-//! For how long the list of endpoints may be acted on without being confirmed: a lease.
+//! How long the list of endpoints may be used without confirmation: a lease.
 //!
-//! What discovery has not been able to tell counts as told after a while all the same (the platform's
-//! protocol, "Figures"): from then on nothing new may go to an endpoint that drains. So each confirmation of
-//! the list is a lease, counted from the beginning of the call that brought it, on the monotonic clock, and
-//! shorter than the rules' span by the time that may pass between reading the clock and the first byte. Once
-//! it is over, nothing is sent until the list is confirmed again.
+//! A change that discovery could not announce counts as announced after a while all the same (the platform's
+//! protocol, "Figures"): from then on nothing new may be sent to an endpoint that drains. Therefore each
+//! confirmation of the list grants a lease, counted on the monotonic clock from the start of the call that
+//! brought it. The lease is shorter than the time in the rules by the time that may pass between reading the
+//! clock and the first byte. Once it is over, nothing is sent until the list is confirmed again.
 //!
-//! What each failure of a call to discovery proves:
+//! What each failure of a call to discovery shows:
 //!
-//! - **A refused connection:** nobody listens there just now. What lies between two refusals in a row does
-//!   not count against the lease, since nothing could be told then; what was used up before the first stays
-//!   used up.
-//! - **A 503, at once or after a wait, a reset, silence:** nothing. A crowded discovery and one that is down
-//!   look alike, and a crowded one could have been reached.
-//! - **An answer that broke off:** it may have told a drain as soon as its first byte was written, so the
-//!   lease ends with the grace that drains have from there.
+//! - **A refused connection:** discovery is not running. The time between two consecutive refusals does not
+//!   count against the lease, since nothing could be announced in it. The part of the lease used before the
+//!   first refusal remains used.
+//! - **A 503, at once or after a wait, a reset, silence:** nothing. An overloaded discovery and one that is
+//!   down cannot be told apart, and an overloaded one could have announced changes.
+//! - **An answer that broke off:** it may have announced a drain from its first byte on, so the lease ends
+//!   with the grace period that drains have from there.
 //!
-//! No clock and no sockets here; times are nanoseconds on one clock that only runs forward.
+//! There is no clock and no socket here; times are nanoseconds on one monotonic clock.
 use crate::interface::{ListScope, Nanos};
 use crate::state::SECOND;
 
-/// Whatever discovery has to tell counts as told so long after it had it and could be reached.
-const TOLD_ANYWAY: Nanos = 6 * SECOND;
-/// ... and so long after the relay was told to read its configuration anew.
-const TOLD_AFTER_RELOAD: Nanos = 4 * SECOND;
-/// After a drain was told, calls may begin for so long.
+/// Changes count as announced this long after discovery had them and could be reached.
+const DEEMED_ANNOUNCED_AFTER: Nanos = 6 * SECOND;
+/// ... and this long after the relay was told to reload its configuration.
+const DEEMED_ANNOUNCED_AFTER_RELOAD: Nanos = 4 * SECOND;
+/// Calls may start for this long after a drain was announced.
 const DRAIN_GRACE: Nanos = SECOND / 2;
-/// So long a relay may be held up between reading its clock and writing a call's first byte.
-const HOLD_UP: Nanos = 150_000_000;
-/// Room for timers and for what passes between a first byte written there and read here.
+/// Maximum delay of a relay between reading its clock and writing a call's first byte.
+const MAX_STALL: Nanos = 150_000_000;
+/// Margin for timers and for the time between writing a first byte at discovery and reading it here.
 const MARGIN: Nanos = 50_000_000;
-/// The part of the grace in which a call may still be begun here.
-const USABLE_GRACE: Nanos = DRAIN_GRACE - HOLD_UP - MARGIN;
-/// Two refusals further apart than this say nothing of the time between them.
-const REFUSALS_APART: Nanos = 10 * SECOND;
+/// The part of the grace period in which a call may still be started here.
+const USABLE_GRACE: Nanos = DRAIN_GRACE - MAX_STALL - MARGIN;
+/// Two refusals further apart than this do not show what happened in between.
+const MAX_REFUSAL_GAP: Nanos = 10 * SECOND;
 
 /// The lease on one list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ListLease {
-    /// From a confirmation to the lease's end; none where the list is not asked for, and the lease has no
-    /// end.
+    /// Time from a confirmation to the end of the lease. `None` if the list is not requested from discovery;
+    /// then the lease has no end.
     span: Option<Nanos>,
-    /// When the list was last known to be complete, later by what outages took.
-    confirmed: Option<Nanos>,
-    /// When the first bytes came of answers that have not been taken in yet, or broke off: the oldest, and
-    /// the newest beside it. No more than two are on their way, since one is taken in before the next.
+    /// When the list was last known to be complete, moved later by the duration of outages.
+    confirmed_at: Option<Nanos>,
+    /// When the first bytes arrived of answers that were not applied yet or broke off: the oldest one and the
+    /// newest one. There are never more than two, since an answer is applied before the next one.
     unread: [Option<Nanos>; 2],
-    /// When the configuration was last read anew.
-    reloaded: Option<Nanos>,
-    /// The first time it was read anew since when no call that was begun later was answered, or one failed
-    /// before the list counted as told.
-    reload_unconfirmed: Option<Nanos>,
-    /// The last refused connection, if no call ended otherwise since.
-    refused: Option<Nanos>,
+    /// When the configuration was last reloaded.
+    reloaded_at: Option<Nanos>,
+    /// Time of the first reload after which either no call that started later was answered, or one failed
+    /// before changes counted as announced.
+    unconfirmed_reload_at: Option<Nanos>,
+    /// The last refused connection, unless a later call ended in another way.
+    refused_at: Option<Nanos>,
 }
 
 impl ListLease {
-    /// A lease without end, for lists that come from a file or from this machine's own agent.
+    /// A lease without end, for lists that come from a file or from an agent on this machine.
     pub fn unbounded() -> Self {
         ListLease::default()
     }
 
-    /// A lease on a list that is asked for, none held yet. `must_ask_in` is the longest time that the
-    /// settings let a relay go without asking, in nanoseconds.
-    pub fn for_polled_list(must_ask_in: Nanos) -> Self {
-        ListLease { span: Some(TOLD_ANYWAY.min(must_ask_in) + USABLE_GRACE), ..ListLease::default() }
+    /// A lease on a list that is requested from discovery and was not received yet. `must_ask_in` is the
+    /// maximum time between two requests according to the settings, in nanoseconds.
+    pub fn for_polled_list(list_poll_interval: Nanos) -> Self {
+        ListLease {
+            span: Some(DEEMED_ANNOUNCED_AFTER.min(list_poll_interval) + USABLE_GRACE),
+            ..ListLease::default()
+        }
     }
 
-    /// Takes up other settings; the lease goes on.
-    pub fn set_poll_interval(&mut self, must_ask_in: Nanos) {
+    /// Applies a changed maximum time between two requests; the lease continues.
+    pub fn set_poll_interval(&mut self, list_poll_interval: Nanos) {
         if let Some(span) = &mut self.span {
-            *span = TOLD_ANYWAY.min(must_ask_in) + USABLE_GRACE;
+            *span = DEEMED_ANNOUNCED_AFTER.min(list_poll_interval) + USABLE_GRACE;
         }
     }
 
-    /// The list was complete at a time: what a process before knew, or a first start's file.
+    /// Records that the list was complete at this time, as known from an earlier process or from a file on a
+    /// first start.
     pub fn restore(&mut self, confirmed: Nanos) {
-        self.confirmed = self.confirmed.max(Some(confirmed));
+        self.confirmed_at = self.confirmed_at.max(Some(confirmed));
     }
 
-    /// The first byte of an answer with a list or changes has come, and they are not in force yet.
+    /// Records that the first byte arrived of an answer with a list or changes, which is not applied yet.
     pub fn answer_started(&mut self, now: Nanos) {
         let [oldest, newest] = &mut self.unread;
         if oldest.is_none() { *oldest = Some(now) } else { *newest = Some(now) }
     }
 
-    /// An answer has been taken in whose call was begun at `begun` and whose first byte came at `first`. What
-    /// earlier answers held is in it, or was taken in before.
+    /// Records that an answer was applied whose call started at `begun` and whose first byte arrived at
+    /// `first`. The contents of earlier answers are included in it, or were applied before.
     pub fn confirm(&mut self, begun: Nanos, first: Nanos) {
-        self.confirmed = self.confirmed.max(Some(begun));
-        self.refused = None;
+        self.confirmed_at = self.confirmed_at.max(Some(begun));
+        self.refused_at = None;
         let later = self.unread.iter().flatten().copied().find(|unread| *unread > first);
         self.unread = [later, None];
-        if self.reloaded.is_none_or(|reloaded| begun >= reloaded) {
-            self.reload_unconfirmed = None;
+        if self.reloaded_at.is_none_or(|reloaded| begun >= reloaded) {
+            self.unconfirmed_reload_at = None;
         }
     }
 
-    /// A call failed, as was heard at `now`.
+    /// Records that a call failed, as noticed at `now`.
     pub fn call_failed(&mut self, now: Nanos, how: ListScope) {
-        let binds = self.reloaded.filter(|reloaded| now < reloaded + TOLD_AFTER_RELOAD);
-        self.reload_unconfirmed = self.reload_unconfirmed.or(binds);
+        let recent_reload =
+            self.reloaded_at.filter(|reloaded| now < reloaded + DEEMED_ANNOUNCED_AFTER_RELOAD);
+        self.unconfirmed_reload_at = self.unconfirmed_reload_at.or(recent_reload);
         if how != ListScope::Unreachable {
-            self.refused = None;
+            self.refused_at = None;
             return;
         }
-        let before = self.refused.replace(now).filter(|before| now - before <= REFUSALS_APART);
-        if let (Some(before), Some(confirmed)) = (before, &mut self.confirmed) {
+        let before = self.refused_at.replace(now).filter(|before| now - before <= MAX_REFUSAL_GAP);
+        if let (Some(before), Some(confirmed)) = (before, &mut self.confirmed_at) {
             *confirmed += now - before;
         }
     }
 
-    /// The configuration was read anew: discovery may have moved.
+    /// Records that the configuration was reloaded: the address of discovery may have changed.
     pub fn configuration_reloaded(&mut self, now: Nanos) {
-        self.reloaded = Some(now);
-        self.reload_unconfirmed.get_or_insert(now);
+        self.reloaded_at = Some(now);
+        self.unconfirmed_reload_at.get_or_insert(now);
     }
 
     /// When the lease ends, if it has an end; 0 if the list was never confirmed.
     pub fn ends_at(&self) -> Option<Nanos> {
         let span = self.span?;
-        let by_age = self.confirmed.map_or(0, |confirmed| confirmed + span);
+        let by_age = self.confirmed_at.map_or(0, |confirmed| confirmed + span);
         let by_unread = self.unread[0].map_or(Nanos::MAX, |first| first + USABLE_GRACE);
-        let by_reload =
-            self.reload_unconfirmed.map_or(Nanos::MAX, |at| at + TOLD_AFTER_RELOAD + USABLE_GRACE);
+        let by_reload = self
+            .unconfirmed_reload_at
+            .map_or(Nanos::MAX, |at| at + DEEMED_ANNOUNCED_AFTER_RELOAD + USABLE_GRACE);
         Some(by_age.min(by_unread).min(by_reload))
     }
 
-    /// Whether a call may begin now.
+    /// Whether a call may start now.
     pub fn allows(&self, now: Nanos) -> bool {
         self.ends_at().is_none_or(|end| now < end)
     }
 
-    /// When the list was last known to be complete, none if never; later by what outages took.
+    /// When the list was last known to be complete, moved later by the duration of outages; `None` if never.
     pub fn confirmed_at(&self) -> Option<Nanos> {
-        self.confirmed
+        self.confirmed_at
     }
 
-    /// When this lease would have had to be confirmed for it to end when it does: what a process that follows
-    /// may rely on.
+    /// The confirmation time for which a lease without other constraints would end when this one does. A
+    /// successor process may rely on it.
     pub fn inheritable_confirmation(&self) -> Option<Nanos> {
-        Some(self.ends_at()?.saturating_sub(self.span?)).filter(|_| self.confirmed.is_some())
+        Some(self.ends_at()?.saturating_sub(self.span?)).filter(|_| self.confirmed_at.is_some())
     }
 }
 
--- a/src/base.rs
+++ b/src/primitives.rs
@@ -1,9 +1,10 @@
-//! What every other file of the module is written in: spans as seconds, and what is judged as one.
+//! Definitions shared by all modules of the crate: conversion of durations and the id of a unit.
 use crate::interface::{DestId, EndpointId, Nanos};
 
 pub const SECOND: Nanos = 1_000_000_000;
 
-/// What is predicted, limited and judged as one: a destination, or a route where routes are apart.
+/// A unit, to which predictions and limits apply: a destination, or one route where routes have limits of
+/// their own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UnitId {
     Dest(DestId),
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_destination_that_was_long_unused_is_not_pushed_over_by_all_couriers_together() {
+fn a_destination_that_was_long_unused_is_not_overloaded_by_all_relays_together() {
     let settings = thirty(Some(600 * SECOND));
     let answers = [Answers::All, Answers::UntilItFalls, Answers::WithinCapacity];
     check(&settings, &CAPACITIES, &answers, SECOND, SECOND, |capacity| Endpoint {
@@ -226,18 +226,18 @@
 }
 
 #[test]
-fn a_destination_that_comes_back_from_an_outage_is_not_pushed_over_by_all_couriers_together() {
+fn a_destination_that_returns_from_an_outage_is_not_overloaded_by_all_relays_together() {
     check_return(&CAPACITIES[1..], &[Answers::WithinCapacity]);
 }
 
 /// Guards against couriers that learn a limit by being refused, each up to the whole listed rate.
 #[test]
-fn a_destination_that_comes_back_and_refuses_late_or_never_is_not_pushed_over() {
+fn a_destination_that_returns_and_refuses_late_or_never_is_not_overloaded() {
     check_return(&[8.0, 60.0, 250.0], &[Answers::UntilItFalls, Answers::All]);
 }
 
 /// Guards against couriers with few calls that all try within the same seconds.
 #[test]
-fn a_destination_of_four_calls_a_second_that_comes_back_is_not_pushed_over() {
+fn a_destination_of_four_calls_a_second_that_returns_is_not_overloaded() {
     check_return(&CAPACITIES[..1], &[Answers::WithinCapacity]);
 }
--- a/tests/cold_return.rs
+++ b/tests/cold_return.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_second_outage_begins_the_bound_anew() {
+fn a_second_outage_restarts_the_bound() {
     let mut play = Play::new(1);
     play.run(2 * SECOND, |_| Outcome::Ok);
     play.run(6 * SECOND, |_| Outcome::ConnectFailed);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn silence_that_two_close_answers_end_is_no_cold_start() {
+fn silence_ended_by_two_close_answers_is_no_cold_start() {
     let mut play = Play::new(1);
     play.run(2 * SECOND, |_| Outcome::Ok);
     play.run(6 * SECOND, |_| Outcome::Timeout);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_start_that_the_list_tells_of_is_a_cold_one_though_no_connection_failed() {
+fn a_start_in_the_list_is_a_cold_start_even_if_no_connection_failed() {
     let mut play = Play::new(1);
     play.run(2 * SECOND, |_| Outcome::Ok);
     play.run(5 * SECOND, |_| Outcome::Timeout);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn an_endpoint_whose_sibling_served_throughout_is_spaced_alone() {
+fn only_the_failed_endpoint_is_spaced_if_another_served_throughout() {
     let mut play = Play::new(2);
     play.run(2 * SECOND, |_| Outcome::Ok);
     let failing = |id| if id == 1 { Outcome::ConnectFailed } else { Outcome::Ok };
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn an_upgrade_in_a_cold_return_keeps_it_bounded() {
+fn an_upgrade_during_a_cold_return_keeps_the_bound() {
     let mut play = Play::new(1);
     play.run(2 * SECOND, |_| Outcome::Ok);
     play.run(6 * SECOND, |_| Outcome::ConnectFailed);
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_fleet_from_nothing_has_its_lists_nearly_as_fast_as_the_service_writes_them() {
+fn a_fleet_without_lists_receives_them_nearly_as_fast_as_discovery_can_send_them() {
     for count in [300, 1000] {
         for thrown_costs in [0, 50, 100] {
             for seed in 0..3 {
@@ -120,7 +120,7 @@
 /// Nobody knows how slow a service is before it has asked, so the first turn is lost on one that is a tenth as fast as
 /// a turn takes it to be. It ends all the same, and by itself.
 #[test]
-fn a_tenth_as_fast_the_service_is_met_with_wider_turns_until_all_have_lists() {
+fn a_discovery_a_tenth_as_fast_is_called_in_longer_cycles_until_all_have_lists() {
     for (thrown_costs, times, share) in [(0, 3, 0.99), (50, 8, 0.3), (100, 16, 0.15)] {
         for seed in 0..3 {
             let start = start(300, 10 * LIST, thrown_costs, seed, 10_000 * SECOND);
@@ -139,7 +139,7 @@
 
 /// Down, a service turns all away at once: that says nothing of a queue, and all ask again within a turn and a half.
 #[test]
-fn what_is_turned_away_at_once_widens_no_turn_and_what_waited_does() {
+fn only_calls_that_waited_lengthen_the_cycle() {
     let settings = Settings { list_on_request: true, relays: Some(100), ..settings() };
     for (waited, least, most) in [(MS, 0, 15), (2 * SECOND, 80, 240)] {
         let mut courier = Dispatcher::new(settings.clone(), 1);
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn what_cannot_wait_for_the_list_is_given_back_at_once() {
+fn messages_that_cannot_wait_for_the_list_are_refused_at_once() {
     let settings = Settings { list_on_request: true, relays: Some(300), ..settings() };
     // Its turn comes after 20 s; a notice has 2 s for its aim.
     let turn = |seed| {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -15,7 +15,7 @@
 
 /// Incident i9061e0: unsafe calls that are never answered must not hold all slots until their deadlines.
 #[test]
-fn silent_calls_are_called_off_beyond_their_share_of_the_slots() {
+fn silent_calls_beyond_their_share_of_the_slots_are_cancelled() {
     let endpoints = (1..=8).map(|i| endpoint(i, u64::from(i))).collect();
     let mut world = World::new(settings(), endpoints);
     for i in 1..=8 {
@@ -29,7 +29,7 @@
 
 /// Incident i5a619d: connections that fail slowly must not hold slots for dead endpoints all the time.
 #[test]
-fn trials_at_a_down_endpoint_are_a_connection_time_apart() {
+fn trials_at_a_down_endpoint_are_at_least_a_dial_timeout_apart() {
     let settings = Settings { dial_timeout: Some(1500 * MS), ..settings() };
     let mut world = World::new(settings, vec![endpoint(1, 5)]);
     let mut play = |first: u32, rounds: u32, outcome: Outcome| {
@@ -59,7 +59,7 @@
 /// Grown deployments: idle connections of hundreds of couriers fill an endpoint's table. Connects that fail at
 /// an endpoint that is up make the courier close its own idle ones early; while none fail, they are kept.
 #[test]
-fn idle_connections_are_closed_early_once_connects_fail() {
+fn idle_connections_are_closed_early_once_connection_attempts_fail() {
     let idle_after = |failures: u32| {
         let settings = Settings { idle_close: Some(10 * SECOND), ..settings() };
         let mut world = World::new(settings, vec![endpoint(1, 5), endpoint(2, 6)]);
@@ -100,7 +100,7 @@
 /// Grown deployments: with hundreds of couriers an even share of a listed rate is a few calls a minute; a
 /// second message must not wait for it.
 #[test]
-fn an_even_share_among_hundreds_does_not_hold_a_second_message() {
+fn an_even_share_among_hundreds_does_not_delay_a_second_message() {
     let settings = Settings { relays: Some(200), weights: Weights::Exact, ..settings() };
     let listed = Endpoint { weight: Some(5.0), ..endpoint(1, 5) };
     let mut world = World::new(settings, vec![listed]);
@@ -115,7 +115,7 @@
 
 /// Grown deployments: couriers with two or three slots must not call off every silent call at once.
 #[test]
-fn with_few_slots_one_silent_call_may_stay_out() {
+fn with_few_slots_one_silent_call_may_stay_in_flight() {
     let settings = Settings { slots: Some(2), ..settings() };
     let mut world = World::new(settings, vec![endpoint(1, 5), endpoint(2, 6)]);
     world.ask(1, 5, 2);
@@ -127,7 +127,7 @@
 
 /// Grown deployments: a client refused with next to no backoff comes back to the same full hold at once.
 #[test]
-fn refusals_tell_a_backoff_worth_heeding() {
+fn refusals_carry_a_backoff_long_enough_to_matter() {
     let settings = Settings { max_queued: Some(4), ..settings() };
     let mut world = World::new(settings, vec![]);
     let burst: Vec<_> = (1..=6).map(|i| Event::Request(request(i, 5, 0))).collect();
@@ -139,7 +139,7 @@
 
 /// Grown deployments: couriers told the same end of a wait must not all come at that moment.
 #[test]
-fn couriers_told_the_same_wait_come_spread_out() {
+fn relays_told_the_same_wait_return_spread_out() {
     let first_after = |seed: u64| {
         let settings = Settings { relays: Some(50), ..settings() };
         let mut world = World::new(settings, vec![endpoint(1, 5)]);
@@ -156,7 +156,7 @@
 
 /// Grown deployments: couriers that see alike must not all call the endpoint with the lowest id.
 #[test]
-fn equal_endpoints_are_drawn_by_lot() {
+fn equal_endpoints_are_chosen_at_random() {
     let first = |seed: u64| {
         let mut courier = Dispatcher::new(settings(), seed);
         let list = Event::List { scope: ListScope::Whole, entries: vec![endpoint(1, 5), endpoint(2, 5)] };
@@ -174,7 +174,7 @@
 /// Incident i9b981a: a clump meets an outage, every courier fails once. Their second tries must not come
 /// together, nor at once at the other endpoint, nor may a courier with little traffic press on.
 #[test]
-fn couriers_that_failed_once_do_not_return_together() {
+fn relays_that_failed_once_do_not_return_together() {
     let second_tries = (0..200).filter(|seed| {
         let settings = Settings { relays: Some(200), ..settings() };
         let mut courier = Dispatcher::new(settings, *seed);
@@ -207,7 +207,7 @@
 /// tallinn-senders: refused calls use up the limit, so a message turned away rests in even shares of it; one
 /// that cannot come back in its time is given up at once.
 #[test]
-fn messages_turned_away_rest_in_even_shares_of_the_limit() {
+fn refused_messages_back_off_for_even_shares_of_the_limit() {
     let after_full = |couriers: u32| {
         let settings = Settings { relays: Some(couriers), weights: Weights::Exact, ..settings() };
         let listed = Endpoint { weight: Some(10.0), ..endpoint(1, 5) };
@@ -229,7 +229,7 @@
 
 /// The limit told in answers takes the place of a rough listed one.
 #[test]
-fn limits_told_in_answers_correct_the_list() {
+fn limits_reported_in_answers_correct_the_list() {
     let settings = Settings { relays: Some(400), weights: Weights::Rough, ..settings() };
     let listed = Endpoint { weight: Some(1.0), ..endpoint(1, 5) };
     let mut world = World::new(settings, vec![listed]);
@@ -252,7 +252,7 @@
 
 /// colombo-dispatch: an endpoint that leaves one class unanswered serves the others; that class goes elsewhere.
 #[test]
-fn a_class_that_fails_at_one_endpoint_goes_to_another() {
+fn a_class_that_fails_at_one_endpoint_is_sent_to_another() {
     let mut world = World::new(settings(), vec![endpoint(1, 5), endpoint(2, 5)]);
     let (mut bad, mut sick) = (0, None);
     for msg in 1..=40 {
@@ -273,7 +273,7 @@
 
 /// Looks come further apart while nothing happens, yet what is held is answered before its deadline.
 #[test]
-fn a_quiet_hold_is_looked_at_before_a_deadline() {
+fn a_quiet_queue_is_checked_before_a_deadline() {
     let mut courier = Dispatcher::new(settings(), 1);
     let (mut now, mut timers, mut answered) = (SECOND, vec![SECOND], None);
     let short = Request { time_left: 1030 * MS, ..request(1, 5, 0) };
@@ -324,7 +324,7 @@
 /// Daily operation: staff take an endpoint out, restart it and put it back. No call of ours has failed there, so
 /// nothing but its start tells that it is cold: it gets its cold budget, whether or not it was in use before.
 #[test]
-fn an_endpoint_back_from_a_drain_with_a_new_start_begins_on_its_cold_budget() {
+fn an_endpoint_restarted_during_a_drain_starts_on_its_cold_budget() {
     for (used, restarted) in [(true, true), (false, true), (true, false)] {
         let mut world = World::new(settings(), vec![endpoint(1, 5)]);
         let mut sent = 0;
@@ -362,7 +362,7 @@
 /// The second deployment: ten messages in one call that stays silent hold one slot, not ten, so the share of the
 /// slots that silent calls may hold is not passed, and none of them is called off with the others.
 #[test]
-fn messages_of_one_silent_call_count_as_one() {
+fn messages_of_one_silent_call_count_as_one_call() {
     let kinds = vec![Kind { max_batch: Some(10), ..Kind::default() }];
     let mut world = World::new(Settings { kinds, ..settings() }, vec![endpoint(1, 5)]);
     let many: Vec<_> = (1..=10).map(|i| Event::Request(request(i, 5, 2))).collect();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_clump_does_not_keep_a_limit_used_up_by_refused_calls() {
+fn a_burst_does_not_keep_a_limit_used_up_by_refused_calls() {
     // A clump of two seconds of the limit, at two thirds of it otherwise.
     let counts = play(36.0, |second| if second == 5 { 96 } else { 24 }, 30);
     let served: u32 = counts[6..].iter().map(|c| c.served).sum();
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn refused_together_they_do_not_return_together() {
+fn messages_refused_together_do_not_return_together() {
     // Two seconds of the limit at once, and hardly anything else: what was refused is what is sent later on.
     let counts = play(30.0, |second| if second == 2 { 60 } else { 2 }, 20);
     let later = &counts[4..];
@@ -129,7 +129,7 @@
 
 /// With a call in three seconds, others are served unseen: a limit is no outage, whose return would be owed trials.
 #[test]
-fn full_answers_where_calls_are_few_are_a_limits() {
+fn overload_answers_where_calls_are_few_are_not_taken_for_an_outage() {
     let settings = Settings { relays: Some(COURIERS), weights: Weights::Exact, ..settings() };
     let mut courier = Dispatcher::new(settings, 1);
     let listed = Endpoint { weight: Some(30.0), ..endpoint(1, 5) };
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_fleet_follows_a_cold_partner_as_it_warms_and_does_not_push_it_over() {
+fn a_fleet_follows_a_cold_destination_as_it_warms_up_without_overloading_it() {
     const RATE: f64 = 90.0;
     let capacity = |second: u64| 1.2 * RATE * (0.2 + 0.08 * second.saturating_sub(15) as f64).min(1.0);
     let mut limited = Limited { rate: 0.0, tokens: 0.0, at: 0, refused: 0 };
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn only_what_is_asked_for_has_full_records_and_it_rests_after_a_minute() {
+fn only_used_destinations_have_full_records_and_they_are_compacted_after_a_minute() {
     let endpoints = (1..=1000).map(|i| endpoint(i, u64::from(i))).collect();
     let mut world = World::new(settings(), endpoints);
     assert_eq!(world.courier.record_counts(), RecordCounts { listed: 1000, full: 0, idle: 0, cold: 0 });
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_message_for_a_destination_that_is_not_listed_yet_goes_out_once_it_is() {
+fn a_message_for_a_destination_that_is_not_listed_yet_is_sent_once_it_is() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
     assert!(sends(&world.ask(1, 6, 0)).is_empty());
     let list = Event::List { scope: ListScope::Patch, entries: vec![endpoint(2, 6)] };
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_told_wait_outlasts_the_rest() {
+fn an_announced_wait_outlasts_compaction() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
     world.ask(1, 5, 0);
     world.close(MS, 1, 0, Outcome::Overloaded { retry_after: Some(10 * MINUTE) });
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_down_endpoint_is_down_after_its_rest() {
+fn a_down_endpoint_stays_down_after_compaction() {
     let mut world = World::new(Settings { max_attempts: Some(1), ..settings() }, vec![endpoint(1, 5)]);
     for msg in 1..=3 {
         world.ask(msg, 5, 2);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_clump_after_an_hour_goes_out_as_a_cold_partner_takes_it() {
+fn a_burst_after_an_hour_is_sent_as_slowly_as_a_cold_destination_needs() {
     let mut traffic = Traffic::new(cold_after(10), vec![endpoint(1, 5)]);
     let before = traffic.play(5, 30, 20, |_, _| Outcome::Ok);
     assert!(before[25] >= 19, "{before:?}");
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_partner_back_at_a_tenth_is_not_flooded() {
+fn a_destination_back_at_a_tenth_of_its_capacity_is_not_overloaded() {
     let mut traffic = Traffic::new(cold_after(10), vec![endpoint(1, 5)]);
     traffic.play(5, 30, 50, |_, _| Outcome::Ok);
     traffic.world.round(60 * MINUTE, &[]);
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn several_relays_that_know_nothing_share_the_beginning() {
+fn several_relays_without_knowledge_share_the_initial_rate() {
     let mut all = vec![0; 8];
     for _ in 0..4 {
         let settings = Settings { relays: Some(4), ..cold_after(10) };
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_recent_start_or_a_new_id_is_cold_though_the_destination_was_in_use() {
+fn a_recent_start_or_a_new_id_is_cold_even_if_the_destination_was_in_use() {
     for (id, started) in [(1, true), (2, false)] {
         let mut traffic = Traffic::new(cold_after(10), vec![endpoint(1, 5)]);
         traffic.play(5, 20, 20, |_, _| Outcome::Ok);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn what_could_not_go_out_in_time_at_a_cold_partner_is_refused_at_once() {
+fn messages_that_a_cold_destination_cannot_serve_in_time_are_refused_at_once() {
     let mut world = World::new(cold_after(10), vec![endpoint(1, 5)]);
     let all: Vec<_> = (1..=200)
         .map(|msg| Event::Request(Request { time_left: 6 * SECOND, ..request(msg, 5, 0) }))
@@ -203,7 +203,7 @@
     /// Whatever is listed, asked for, answered and left alone for how long: nothing goes to an endpoint that has
     /// left, none into a told wait, full records are only of what is listed or out, and all rests in the end.
     #[test]
-    fn rests_and_returns_break_no_rule(
+    fn compaction_and_reuse_break_no_rule(
         steps in prop::collection::vec((0u8..8, 1u32..6, 0u64..3), 1..80), cold in any::<bool>()
     ) {
         let settings = if cold { cold_after(2) } else { settings() };
--- a/tests/list_renewal.rs
+++ b/tests/list_renewal.rs
@@ -186,7 +186,7 @@
 
 /// Nobody knows how fast it is; a call in vain costs half of one that is answered, or nothing.
 #[test]
-fn a_fleet_heals_from_every_beginning_before_a_discovery_that_is_a_tenth_as_fast() {
+fn a_fleet_recovers_from_any_initial_outage_of_a_discovery_a_tenth_as_fast() {
     all(&[3, 30, 300, 900], &[170], |count, need, discovery, renewal| {
         let times = if discovery.crowded == Crowded::AtTheDoor { 2 } else { 5 };
         assert!(
@@ -198,7 +198,7 @@
 
 /// However long it is down, it is asked by the fleet as often as it could answer, and no more.
 #[test]
-fn a_fleet_does_not_ask_more_often_the_longer_discovery_is_down() {
+fn a_fleet_does_not_call_more_often_the_longer_discovery_is_down() {
     all(&[3, 30, 300, 900], &[40], |count, _, discovery, renewal| {
         let down = (discovery.down_until - BREAK) / SECOND;
         let most = u64::from(count) * 4 + down * 60;
--- a/tests/local_faults.rs
+++ b/tests/local_faults.rs
@@ -4,7 +4,7 @@
 use slatethread::*;
 
 #[test]
-fn faults_of_this_machine_cost_no_try_and_no_health() {
+fn faults_of_this_machine_use_no_attempt_and_affect_no_health() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
     let mut sent = sends(&world.ask(1, 5, 2)).len() as u32;
     for _ in 0..60 {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn nothing_is_sent_while_calls_are_paused_and_what_waited_goes_at_once_after() {
+fn nothing_is_sent_while_calls_are_paused_and_queued_messages_are_sent_on_resumption() {
     let mut world = World::new(settings(), vec![endpoint(1, 5), endpoint(2, 6)]);
     world.courier.pause_calls(true);
     let mut actions = world.ask(1, 5, 2);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_waits_through_a_pause_is_given_up_in_its_time() {
+fn messages_queued_during_a_pause_are_given_up_in_time() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
     world.courier.pause_calls(true);
     world.ask(1, 5, 2);
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn new_destinations_admit_whatever_the_time_left() {
+fn new_destinations_accept_messages_with_any_time_left() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
     let hasty = Request { time_left: 50 * MS, ..request(1, 5, 0) };
     assert_eq!(sends(&world.round(0, &[Event::Request(hasty)])), [1]);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_idle_destination_is_predicted_by_its_least_time() {
+fn an_idle_destination_is_predicted_by_its_minimum_latency() {
     let mut world = warmed(100 * MS);
     world.ask(2, 5, 0);
     world.close(800 * MS, 2, 0, Outcome::Ok);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn with_calls_out_the_oldest_one_ages_the_prediction() {
+fn with_calls_in_flight_the_oldest_one_ages_the_prediction() {
     let mut world = warmed(200 * MS);
     world.ask(2, 5, 0);
     // State two: t + b M L = 300 + 0.75 * 200 * L ms, L >= 1, so 400 ms are too few and 20 s enough.
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn bundled_messages_share_a_call() {
+fn batched_messages_share_a_call() {
     let mut settings = settings();
     settings.kinds = vec![Kind { separate_routes: None, max_batch: Some(3) }];
     let mut world = World::new(settings, vec![endpoint(1, 5)]);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn tries_are_limited() {
+fn attempts_are_limited() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
     let mut sent = sends(&world.ask(1, 5, 0)).len() as u32;
     let mut answers = 0;
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_full_hold_gives_up_the_least_worth() {
+fn a_full_queue_gives_up_the_lowest_ranked_messages() {
     let settings = Settings { max_queued: Some(4), ..settings() };
     let mut world = World::new(settings, vec![]);
     let burst: Vec<_> = (1..=6).map(|i| Event::Request(request(i, 5, 0))).collect();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn the_list_is_asked_for_where_it_must_be_and_not_too_often() {
+fn the_list_is_requested_when_needed_and_not_too_often() {
     let settings = Settings { list_on_request: true, ..settings() };
     let mut courier = Dispatcher::new(settings, 1);
     let mut actions = Vec::new();
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_fleet_spreads_its_asks_so_that_discovery_can_answer() {
+fn a_fleet_spreads_its_calls_so_that_discovery_can_answer() {
     let (asks, longest) = asks_of_a_fleet(ListScope::Unreachable, 40);
     assert!(asks[..40].iter().all(|n| *n <= 50), "a herd: {asks:?}");
     assert!(asks[30..40].iter().sum::<u32>() <= 180, "still so many: {asks:?}");
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_fleet_whose_watches_break_asks_within_what_is_left_of_its_leases() {
+fn a_fleet_whose_watches_break_calls_within_the_rest_of_its_leases() {
     let asks = |left| (0..300).map(|seed| asks_after_a_watch(seed, left)).collect::<Vec<_>>();
     for left in [2 * SECOND, 3 * SECOND] {
         assert!(
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn the_worst_served_class_goes_first_where_it_counts_by_itself() {
+fn the_worst_served_class_goes_first_if_it_has_extra_weight() {
     for (worst_class, first) in [(0.0, 5), (0.25, 6)] {
         let mut world = narrow(worst_class);
         for order in 1..=3 {
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn what_can_no_longer_meet_its_aim_yields_to_what_can() {
+fn messages_that_miss_their_target_yield_to_those_that_can_meet_it() {
     let mut world = narrow(0.0);
     world.ask(1, 5, 0);
     world.close(1500 * MS, 1, 0, Outcome::Ok);
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_wait_in_the_hold_counts_only_what_goes_before() {
+fn the_predicted_wait_counts_only_messages_that_go_before() {
     let mut world = narrow(0.0);
     world.ask(1, 5, 0);
     world.close(400 * MS, 1, 0, Outcome::Ok);
--- a/tests/held.rs
+++ b/tests/queued.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_free_slot_goes_to_the_most_urgent_wherever_it_waits() {
+fn a_free_slot_goes_to_the_most_urgent_message_of_any_destination() {
     let mut world = many(1);
     let mixed = |dest: u32| dest * 7919 % DESTS;
     let asks: Vec<_> = (1..=DESTS).map(|d| ask(d, d, 18 * SECOND + Nanos::from(mixed(d)) * MS)).collect();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_told_wait_ends_on_time_among_many() {
+fn an_announced_wait_ends_on_time_among_many_destinations() {
     let mut world = many(2000);
     // All are turned away with waits of their own, so that each destination has its message held.
     let asks: Vec<_> = (1..=DESTS).map(|d| ask(d, d, 19 * SECOND)).collect();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_becomes_hopeless_among_many_is_given_up_in_time() {
+fn hopeless_messages_among_many_are_given_up_in_time() {
     let mut world = many(DESTS);
     let first: Vec<_> = (1..=DESTS).map(|d| ask(d, d, 19 * SECOND)).collect();
     world.round(0, &first);
@@ -89,7 +89,7 @@
     /// Whatever is answered how: each message ends once and before its deadline, no two claims are out for one, keys
     /// keep their order, and a hold that is empty again lets all pass at once.
     #[test]
-    fn nothing_held_is_lost(seed in any::<u64>(), slots in 1u32..40, held in 20u32..400) {
+    fn no_queued_message_is_lost(seed in any::<u64>(), slots in 1u32..40, held in 20u32..400) {
         let mut random = seed;
         let mut draw = move |below: u64| {
             random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn what_a_restart_finds_untried_is_tried_also_where_its_endpoint_hangs() {
+fn restored_messages_get_an_attempt_even_if_their_endpoint_hangs() {
     let play = |kept| {
         let mut world = World::new(settings_that_give_few_tries(), vec![endpoint(1, 5)]);
         play(&mut world, &found(kept), |_| Vec::new(), None, 220)
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn what_a_restart_finds_untried_goes_before_what_comes_after() {
+fn restored_messages_go_before_later_ones() {
     let play = |kept| {
         let mut world = World::new(Settings { slots: Some(1), ..settings() }, vec![endpoint(1, 5)]);
         // Twice as much comes as is served, and it is worth as much and fresher.
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn without_a_list_what_a_restart_finds_is_held_to_the_end_of_its_time() {
+fn restored_messages_wait_for_a_list_until_their_deadline() {
     let play = |kept| {
         let settings = Settings { list_on_request: true, relays: Some(300), ..settings() };
         let mut world = World { courier: Dispatcher::new(settings, 1), now: SECOND, log: Vec::new() };
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_message_keeps_the_rules_under_which_it_was_taken() {
+fn a_message_keeps_the_rules_under_which_it_was_accepted() {
     let settings = |effect| Settings { classes: vec![class(effect)], ..settings() };
     // How often it is sent, where its class becomes another while the first call is out.
     let play = |first, then, rules: Option<Effect>| {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn held_messages_are_answered_before_their_deadline() {
+fn queued_messages_are_answered_before_their_deadline() {
     let mut world = World::new(settings(), vec![]);
     assert!(world.ask(1, 5, 0).is_empty(), "a destination without endpoints is waited for");
     assert!(world.round(19 * SECOND, &[]).is_empty());
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn unsafe_messages_that_never_ran_are_tried_again() {
+fn unsafe_messages_that_never_ran_are_sent_again() {
     for outcome in [Outcome::Overloaded { retry_after: None }, Outcome::ConnectFailed, Outcome::NotSent] {
         let mut world = World::new(settings(), vec![endpoint(1, 5)]);
         world.ask(1, 5, 2);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn keyed_messages_are_resent_only_in_their_group_and_window() {
+fn deduplicated_messages_are_resent_only_within_their_scope_and_window() {
     let mut settings = settings();
     settings.classes[1].dedup_scope = DedupScope::Zone;
     let far = Endpoint { zone: ZoneId(1), ..endpoint(2, 5) };
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn told_waits_bind_every_message() {
+fn announced_waits_apply_to_every_message() {
     let mut world = World::new(settings(), vec![endpoint(1, 5), endpoint(2, 5)]);
     world.ask(1, 5, 0);
     let actions = world.close(50 * MS, 1, 0, Outcome::Overloaded { retry_after: Some(SECOND) });
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn waits_bind_one_route_where_routes_are_apart() {
+fn waits_apply_to_one_route_where_routes_are_separate() {
     let mut settings = settings();
     settings.kinds = vec![Kind { separate_routes: Some(true), max_batch: None }];
     let mut world = World::new(settings, vec![endpoint(1, 5)]);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn ordered_messages_go_one_at_a_time_and_keys_rest() {
+fn ordered_messages_are_sent_one_at_a_time_and_keys_pause() {
     let mut settings = settings();
     settings.classes[1].ordered = true;
     let mut world = World::new(settings, vec![endpoint(1, 5), endpoint(2, 6)]);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_returning_destination_is_approached_within_its_budget() {
+fn a_returning_destination_is_called_within_its_budget() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
     let mut message = 0;
     let mut play = |world: &mut World, outcome: Outcome, rounds: u32| {
--- a/tests/heir.rs
+++ b/tests/snapshot.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn waits_outages_and_times_are_known_to_the_next() {
+fn waits_outages_and_latencies_are_known_to_the_successor() {
     let endpoints = || (1..=3).map(|i| endpoint(i, u64::from(i))).collect::<Vec<_>>();
     let mut first = World::new(settings(), endpoints());
     first.ask(1, 1, 0);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_wait_told_to_another_holds() {
+fn a_wait_announced_to_another_process_applies() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
     world.courier.apply_retry_after(world.now, DestId(5), None, 2 * SECOND);
     assert!(sends(&world.ask(1, 5, 0)).is_empty());
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn slots_that_are_lent_are_not_used() {
+fn reserved_slots_are_not_used() {
     let endpoints = (1..=8).map(|i| endpoint(i, u64::from(i))).collect();
     let mut world = World::new(settings(), endpoints);
     world.courier.reserve_slots(5);
--- a/tests/starved.rs
+++ b/tests/starved.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_class_of_little_worth_gets_a_share_of_what_there_is() {
+fn a_class_of_low_worth_is_not_starved() {
     let [dear, cheap] = served(1.0);
     assert!(cheap > 0.15 && dear > 0.6, "{dear:.2} and {cheap:.2}");
     // Where worths are alike, nothing is put before another's.
