--- a/benches/listed.rs
+++ b/benches/listed.rs
@@ -1,4 +1,4 @@
-//! What a message and a change of the list cost the module, by how many endpoints are listed.
+//! Cost of a message and of a change of the list, by the number of listed endpoints.
 //! `cargo bench -p slatethread`; the figures of each size should lie within a few hundredths of one another.
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -13,8 +13,8 @@
     Endpoint { weight: Some(weight), ..endpoint(id, u64::from(id)) }
 }
 
-/// A courier with so many endpoints listed, some of which are in use.
-fn courier(size: u32) -> (Dispatcher, Nanos, u32) {
+/// A dispatcher with `size` endpoints listed, some of which are in use.
+fn dispatcher(size: u32) -> (Dispatcher, Nanos, u32) {
     let class =
         Class { target_latency: SECOND, lifetime: 6 * SECOND, effect: Effect::Safe, ..Class::default() };
     let settings = Settings {
@@ -26,25 +26,25 @@
         max_queued: Some(512),
         ..Settings::default()
     };
-    let mut courier = Dispatcher::new(settings, 1);
+    let mut dispatcher = Dispatcher::new(settings, 1);
     let list =
         Event::List { scope: ListScope::Whole, entries: (1..=size).map(|id| listed_at(id, 100.0)).collect() };
-    courier.on_round(SECOND, &[list], &mut Vec::new());
+    dispatcher.on_round(SECOND, &[list], &mut Vec::new());
     let (mut now, mut msg) = (SECOND, 0);
     for _ in 0..BUSY {
-        job(&mut courier, &mut now, &mut msg);
+        deliver_message(&mut dispatcher, &mut now, &mut msg);
     }
-    (courier, now, msg)
+    (dispatcher, now, msg)
 }
 
-/// One message, in and delivered.
-fn job(courier: &mut Dispatcher, now: &mut Nanos, msg: &mut u32) {
+/// One message, submitted and delivered.
+fn deliver_message(dispatcher: &mut Dispatcher, now: &mut Nanos, msg: &mut u32) {
     *msg += 1;
     let dest = u64::from(*msg % BUSY) + 1;
     let request = Event::Request(Request { time_left: 6 * SECOND, ..request(*msg, dest, 0) });
     let mut actions = Vec::new();
     *now += 5 * MS;
-    courier.on_round(*now, &[request], &mut actions);
+    dispatcher.on_round(*now, &[request], &mut actions);
     let sent = actions.iter().find_map(|action| match action {
         Action::Send { endpoint, .. } => Some(*endpoint),
         _ => None,
@@ -52,21 +52,21 @@
     let sent = sent.expect("a free endpoint");
     let closed = closed(*msg, 0, sent.0, Outcome::Ok, 5 * MS);
     *now += 5 * MS;
-    courier.on_round(*now, &[closed], &mut actions);
+    dispatcher.on_round(*now, &[closed], &mut actions);
 }
 
 fn listed(c: &mut Criterion) {
     let mut group = c.benchmark_group("message");
     for size in SIZES {
-        let (mut courier, mut now, mut msg) = courier(size);
+        let (mut dispatcher, mut now, mut msg) = dispatcher(size);
         group.bench_function(BenchmarkId::from_parameter(size), |b| {
-            b.iter(|| job(&mut courier, &mut now, &mut msg));
+            b.iter(|| deliver_message(&mut dispatcher, &mut now, &mut msg));
         });
     }
     group.finish();
     let mut group = c.benchmark_group("change of one entry");
     for size in SIZES {
-        let (mut courier, mut now, _) = courier(size);
+        let (mut dispatcher, mut now, _) = dispatcher(size);
         let mut weight = 1.0;
         group.bench_function(BenchmarkId::from_parameter(size), |b| {
             b.iter_batched(
@@ -77,7 +77,7 @@
                 },
                 |event| {
                     now += 5 * MS;
-                    courier.on_round(now, &[event], &mut Vec::new());
+                    dispatcher.on_round(now, &[event], &mut Vec::new());
                 },
                 BatchSize::SmallInput,
             );
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -8,7 +8,8 @@
 use crate::state::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Factor of the idle state. Above 1 the predictor diverges, below 1 it decays to zero (report, 7.3).
+/// Factor of the idle state (state 1). Above 1 the predictor diverges, below 1 it decays to zero (report,
+/// 7.3).
 const IDLE_FACTOR: f64 = 1.0;
 /// Factor of the state with calls in flight (state 2); the report finds 0.5 to 1.0 best (7.4).
 const IN_FLIGHT_FACTOR: f64 = 0.75;
@@ -655,7 +656,7 @@
         let down = self.peers[&to].health == Health::Down;
         let interval = self.cold_interval(now, &self.peers[&to]);
         let max_batch = if down { 1 } else { self.max_batch(unit_id) as u32 };
-        let limit = self.attempt_timeout(now, &self.messages[&id], unit_id);
+        let timeout = self.attempt_timeout(now, &self.messages[&id], unit_id);
         let peer = self.peers.get_mut(&to).expect("chosen from the list");
         let unit = self.units.get_mut(&unit_id).expect("listed endpoints have units");
         let call = match open_calls.get_mut(&to).filter(|(_, room)| *room > 0) {
@@ -700,7 +701,7 @@
         message.in_flight = Some(Attempt::new(message.attempts, to, unit_id, call, now));
         message.attempts += 1;
         message.counted_attempts += 1;
-        actions.push(Action::Send { msg: id, endpoint: to, timeout: limit });
+        actions.push(Action::Send { msg: id, endpoint: to, timeout });
     }
 
     /// Time-out of an attempt. Messages that must not be repeated wait as long as possible. For others it is
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -154,7 +154,7 @@
         now: Nanos,
         id: UnitId,
         unit: &Unit,
-        served: Nanos,
+        served_at: Nanos,
         cold_after: Option<Nanos>,
     ) {
         let limited = unit.rate.is_finite() && unit.rate_cut_at > 0;
@@ -162,7 +162,7 @@
             let rate = if limited { unit.rate } else { f64::INFINITY };
             let idle = IdleUnit {
                 used_at: unit.used_at,
-                served_at: served,
+                served_at,
                 blocked_until: unit.blocked_until,
                 rate,
                 rate_cut_at: unit.rate_cut_at,
--- a/src/queue/tests.rs
+++ b/src/queue/tests.rs
@@ -12,8 +12,8 @@
     }
 }
 
-fn entry(due: Nanos, id: u32) -> QueueEntry {
-    QueueEntry { expires: due, id: MsgId(id), target_at: due }
+fn entry(expires: Nanos, id: u32) -> QueueEntry {
+    QueueEntry { expires, id: MsgId(id), target_at: expires }
 }
 
 #[test]
--- a/src/queueing.rs
+++ b/src/queueing.rs
@@ -69,7 +69,7 @@
         };
         let class = &message.rules;
         let (unconfirmed, is_next) = (message.unconfirmed.as_ref(), self.is_next_of_key(now, id, message));
-        let scope = unconfirmed.filter(|_| class.effect == Effect::Deduplicated).and_then(|attempt| {
+        let resend_scope = unconfirmed.filter(|_| class.effect == Effect::Deduplicated).and_then(|attempt| {
             match class.dedup_scope {
                 DedupScope::All => None,
                 DedupScope::Zone => Some(ResendScope::Zone(attempt.zone)),
@@ -88,8 +88,7 @@
             (false, None) => Readiness::Blocked,
         };
         let (worth, attempt_guaranteed) = (message.worth.to_bits(), message.attempt_guaranteed());
-        let lane =
-            Lane { unit, class: message.class, worth, resend_scope: scope, readiness, attempt_guaranteed };
+        let lane = Lane { unit, class: message.class, worth, resend_scope, readiness, attempt_guaranteed };
         self.queue.insert(message.dest, lane, message.queue_entry(id, &lane), message.deadline);
         self.queue.set_recheck(id, None, recheck_at);
         let message = self.messages.get_mut(&id).expect("the message was looked up above");
--- a/src/ramp/tests.rs
+++ b/src/ramp/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 /// Sends whenever possible, with answers one round later; returns the number of calls in each second.
-fn play(ramp: &mut Ramp, seconds: usize, served: impl Fn(usize, u32) -> bool) -> Vec<u32> {
+fn run(ramp: &mut Ramp, seconds: usize, served: impl Fn(usize, u32) -> bool) -> Vec<u32> {
     let mut calls = vec![0; seconds];
     for tick in 0..seconds as u64 * 200 {
         let (now, second) = (tick * SECOND / 200, (tick / 200) as usize);
@@ -17,7 +17,7 @@
 
 #[test]
 fn the_rate_grows_with_answers_and_no_faster() {
-    let calls = play(&mut Ramp::new(0, 2.0, None), 15, |_, _| true);
+    let calls = run(&mut Ramp::new(0, 2.0, None), 15, |_, _| true);
     assert!(calls[0] <= 3, "{calls:?}");
     assert!(calls.windows(2).all(|w| f64::from(w[1]) <= f64::from(w[0]) * 1.4 + 2.0), "{calls:?}");
     assert!(calls[13] >= 40, "{calls:?}");
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_destination_at_a_tenth_of_its_capacity_is_not_overloaded() {
-    let calls = play(&mut Ramp::new(0, 2.0, None), 60, |_, call| call <= 10);
+    let calls = run(&mut Ramp::new(0, 2.0, None), 60, |_, call| call <= 10);
     assert!(calls.iter().all(|c| *c <= 13), "{calls:?}");
     let later: u32 = calls[20..].iter().sum();
     assert!((6 * 40..=10 * 40).contains(&later), "{calls:?}");
@@ -34,7 +34,7 @@
 #[test]
 fn a_known_limit_bounds_the_ramp_during_warm_up() {
     let warm_up = WarmUp { limit: 50.0, share: 0.2, time: 10 * SECOND };
-    let calls = play(&mut Ramp::new(0, 10.0, Some(warm_up)), 14, |_, _| true);
+    let calls = run(&mut Ramp::new(0, 10.0, Some(warm_up)), 14, |_, _| true);
     for (second, calls) in calls.iter().enumerate() {
         let max = warm_up.limit_at((second as u64 + 1) * SECOND);
         assert!(f64::from(*calls) <= max + 2.0, "{calls} in second {second}, {max} at most");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small bench-free world: one or more destinations, and helpers to drive a courier through rounds.
+//! A small test environment: one or more destinations, and helpers to drive a dispatcher through rounds.
 #![allow(dead_code)]
 use slatethread::*;
 
@@ -6,7 +6,7 @@
 pub const SECOND: Nanos = 1000 * MS;
 
 pub struct World {
-    pub courier: Dispatcher,
+    pub dispatcher: Dispatcher,
     pub now: Nanos,
     pub log: Vec<Action>,
 }
@@ -89,16 +89,16 @@
 
 impl World {
     pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
-        let mut world = World { courier: Dispatcher::new(settings, 1), now: SECOND, log: Vec::new() };
+        let mut world = World { dispatcher: Dispatcher::new(settings, 1), now: SECOND, log: Vec::new() };
         world.round(0, &[Event::List { scope: ListScope::Whole, entries: endpoints }]);
         world
     }
 
-    /// Advances the clock and plays a round; returns its actions without timers and log lines.
+    /// Advances the clock and runs a round; returns its actions without timers and log lines.
     pub fn round(&mut self, after: Nanos, events: &[Event]) -> Vec<Action> {
         self.now += after;
         let mut actions = Vec::new();
-        self.courier.on_round(self.now, events, &mut actions);
+        self.dispatcher.on_round(self.now, events, &mut actions);
         actions.retain(|a| !matches!(a, Action::SetTimer { .. } | Action::Log { .. }));
         self.log.extend(actions.iter().cloned());
         actions
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,9 +1,9 @@
-//! Admission, window, attempts and the list.
+//! Admission, window, attempts and requests for the list.
 mod common;
 use common::*;
 use slatethread::*;
 
-fn warmed(latency: Nanos) -> World {
+fn world_with_latency(latency: Nanos) -> World {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
     world.ask(1, 5, 0);
     world.close(latency, 1, 0, Outcome::Ok);
@@ -13,26 +13,26 @@
 #[test]
 fn new_destinations_accept_messages_with_any_time_left() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
-    let hasty = Request { time_left: 50 * MS, ..request(1, 5, 0) };
-    assert_eq!(sends(&world.round(0, &[Event::Request(hasty)])), [1]);
+    let urgent = Request { time_left: 50 * MS, ..request(1, 5, 0) };
+    assert_eq!(sends(&world.round(0, &[Event::Request(urgent)])), [1]);
 }
 
 #[test]
 fn a_recent_answer_predicts_the_next() {
     // R = 400 ms: in state three a message with 300 ms left is refused, one with 500 ms is sent.
-    let mut world = warmed(400 * MS);
-    let ask = |msg, patience| Event::Request(Request { time_left: patience, ..request(msg, 5, 0) });
+    let mut world = world_with_latency(400 * MS);
+    let ask = |msg, time_left| Event::Request(Request { time_left, ..request(msg, 5, 0) });
     assert!(refused(&world.round(10 * MS, &[ask(2, 300 * MS)]), 2));
     assert_eq!(sends(&world.round(10 * MS, &[ask(3, 500 * MS)])), [3]);
 }
 
 #[test]
 fn an_idle_destination_is_predicted_by_its_minimum_latency() {
-    let mut world = warmed(100 * MS);
+    let mut world = world_with_latency(100 * MS);
     world.ask(2, 5, 0);
     world.close(800 * MS, 2, 0, Outcome::Ok);
     // M = 100 ms, R = 800 ms, L = 8 while recent (d R L = 7.04 s), then L = 1 and P = a M = 100 ms.
-    let ask = |msg, patience| Event::Request(Request { time_left: patience, ..request(msg, 5, 0) });
+    let ask = |msg, time_left| Event::Request(Request { time_left, ..request(msg, 5, 0) });
     assert!(refused(&world.round(SECOND, &[ask(3, 700 * MS)]), 3));
     world.round(8 * SECOND, &[]);
     assert_eq!(sends(&world.round(MS, &[ask(4, 200 * MS)])), [4]);
@@ -40,11 +40,11 @@
 
 #[test]
 fn with_calls_in_flight_the_oldest_one_ages_the_prediction() {
-    let mut world = warmed(200 * MS);
+    let mut world = world_with_latency(200 * MS);
     world.ask(2, 5, 0);
     // State two: t + b M L = 300 + 0.75 * 200 * L ms, L >= 1, so 400 ms are too few and 20 s enough.
-    let hasty = Request { time_left: 400 * MS, ..request(3, 5, 0) };
-    assert!(refused(&world.round(300 * MS, &[Event::Request(hasty)]), 3));
+    let urgent = Request { time_left: 400 * MS, ..request(3, 5, 0) };
+    assert!(refused(&world.round(300 * MS, &[Event::Request(urgent)]), 3));
     assert!(!refused(&world.ask(4, 5, 0), 4));
 }
 
@@ -77,13 +77,13 @@
 fn attempts_are_limited() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
     let mut sent = sends(&world.ask(1, 5, 0)).len() as u32;
-    let mut answers = 0;
+    let mut refusals = 0;
     for _ in 0..60 {
         let actions = world.round(100 * MS, &[closed(1, sent - 1, 1, Outcome::NotSent, 0)]);
         sent += sends(&actions).len() as u32;
-        answers += u32::from(refused(&actions, 1));
+        refusals += u32::from(refused(&actions, 1));
     }
-    assert_eq!((sent, answers), (6, 1));
+    assert_eq!((sent, refusals), (6, 1));
 }
 
 #[test]
@@ -98,55 +98,57 @@
 #[test]
 fn the_list_is_requested_when_needed_and_not_too_often() {
     let settings = Settings { list_on_request: true, ..settings() };
-    let mut courier = Dispatcher::new(settings, 1);
+    let mut dispatcher = Dispatcher::new(settings, 1);
     let mut actions = Vec::new();
-    courier.on_round(0, &[known()], &mut actions);
+    dispatcher.on_round(0, &[known_list()], &mut actions);
     assert_eq!(actions, [Action::Subscribe { open: true }]);
     let mut now = SECOND;
-    let mut asked_again_after = |now, actions: &mut Vec<Action>| {
+    let mut retry_delay = |now, actions: &mut Vec<Action>| {
         actions.clear();
-        courier.on_round(now, &[Event::List { scope: ListScope::Truncated, entries: vec![] }], actions);
+        dispatcher.on_round(now, &[Event::List { scope: ListScope::Truncated, entries: vec![] }], actions);
         let timer = actions.iter().find(|a| matches!(a, Action::SetTimer { .. })).cloned();
-        let Some(Action::SetTimer { nonce, after }) = timer else { panic!("no timer to ask again") };
+        let Some(Action::SetTimer { nonce, after }) = timer else { panic!("no timer for the next call") };
         actions.clear();
-        courier.on_round(now + after, &[Event::Timer { nonce }], actions);
+        dispatcher.on_round(now + after, &[Event::Timer { nonce }], actions);
         assert!(actions.contains(&Action::Subscribe { open: true }));
-        // A list that arrives in between does not start the pauses anew: answers may break off every other time.
-        courier.on_round(now + after, &[Event::List { scope: ListScope::Whole, entries: vec![] }], actions);
+        // A list that arrives in between does not reset the delays: answers may break off every other time.
+        dispatcher.on_round(
+            now + after,
+            &[Event::List { scope: ListScope::Whole, entries: vec![] }],
+            actions,
+        );
         after
     };
-    // An answer that broke off may have told of a drain, which is to be heard within half a second.
-    assert!(asked_again_after(now, &mut actions) <= SECOND / 10);
+    // An answer that broke off may have announced a drain, which has to be received within half a second.
+    assert!(retry_delay(now, &mut actions) <= SECOND / 10);
     for _ in 0..20 {
         now += SECOND;
-        assert!(asked_again_after(now, &mut actions) <= 2 * SECOND / 5);
+        assert!(retry_delay(now, &mut actions) <= 2 * SECOND / 5);
     }
-    assert!(
-        asked_again_after(now + SECOND, &mut actions) >= SECOND / 8,
-        "no rest for a list that goes on failing"
-    );
+    assert!(retry_delay(now + SECOND, &mut actions) >= SECOND / 8, "no delay for a list that keeps failing");
     let quiet = 10 * SECOND + SECOND;
     assert!(
-        asked_again_after(now + SECOND + quiet, &mut actions) <= SECOND / 10,
-        "a new failure is met at once"
+        retry_delay(now + SECOND + quiet, &mut actions) <= SECOND / 10,
+        "a new failure is followed by a call at once"
     );
 }
 
-/// The list as a courier last held it: a drain may be told of what it names.
-fn known() -> Event {
+/// The list as a dispatcher last received it; drains may be announced for its entries.
+fn known_list() -> Event {
     Event::List { scope: ListScope::Patch, entries: vec![endpoint(1, 5)] }
 }
 
-/// A hundred couriers that know a list and whose calls all fail: the asks of each second, and the longest time without one.
-fn asks_of_a_fleet(scope: ListScope, seconds: usize) -> (Vec<u32>, Nanos) {
-    let (mut asks, mut longest) = (vec![0; seconds + 20], 0);
+/// A hundred relays with a list whose calls to discovery all fail: the number of calls in each second, and
+/// the longest delay between two calls of a relay.
+fn calls_of_a_fleet(scope: ListScope, seconds: usize) -> (Vec<u32>, Nanos) {
+    let (mut calls, mut longest) = (vec![0; seconds + 20], 0);
     for seed in 0..100 {
         let settings = Settings { list_on_request: true, relays: Some(100), ..settings() };
-        let mut courier = Dispatcher::new(settings, seed);
-        let (mut now, mut events) = (0, vec![known()]);
+        let mut dispatcher = Dispatcher::new(settings, seed);
+        let (mut now, mut events) = (0, vec![known_list()]);
         while now < seconds as u64 * SECOND {
             let mut actions = Vec::new();
-            courier.on_round(now, &events, &mut actions);
+            dispatcher.on_round(now, &events, &mut actions);
             let timer = actions.iter().find_map(|a| match a {
                 Action::SetTimer { nonce, after } => Some((*nonce, *after)),
                 _ => None,
@@ -154,84 +156,93 @@
             if let Some((nonce, after)) = timer {
                 longest = longest.max(after);
                 now += after;
-                courier.on_round(now, &[Event::Timer { nonce }], &mut actions);
+                dispatcher.on_round(now, &[Event::Timer { nonce }], &mut actions);
             }
             assert!(actions.contains(&Action::Subscribe { open: true }));
-            asks[(now / SECOND) as usize] += 1;
+            calls[(now / SECOND) as usize] += 1;
             events = vec![Event::List { scope, entries: vec![] }];
             now += MS;
         }
     }
-    (asks, longest)
+    (calls, longest)
 }
 
 #[test]
 fn a_fleet_spreads_its_calls_so_that_discovery_can_answer() {
-    let (asks, longest) = asks_of_a_fleet(ListScope::Unreachable, 40);
-    assert!(asks[..40].iter().all(|n| *n <= 50), "a herd: {asks:?}");
-    assert!(asks[30..40].iter().sum::<u32>() <= 180, "still so many: {asks:?}");
+    let (calls, longest) = calls_of_a_fleet(ListScope::Unreachable, 40);
+    assert!(calls[..40].iter().all(|n| *n <= 50), "too many at once: {calls:?}");
+    assert!(calls[30..40].iter().sum::<u32>() <= 180, "still too many: {calls:?}");
     assert!(longest <= 13 * SECOND, "{longest}");
-    // What broke off may have told of a drain; but the lease on the list sees to that, and a herd of asks would keep all others waiting.
+    // An answer that broke off may have announced a drain. The lease on the list covers that case, and if all
+    // relays called at once, most of them would have to wait.
     for how in [ListScope::Truncated, ListScope::Rejected, ListScope::TimedOut] {
-        let (asks, longest) = asks_of_a_fleet(how, 40);
-        assert!(asks[30..40].iter().sum::<u32>() <= 180, "{how:?}: {asks:?}");
+        let (calls, longest) = calls_of_a_fleet(how, 40);
+        assert!(calls[30..40].iter().sum::<u32>() <= 180, "{how:?}: {calls:?}");
         assert!(longest <= 13 * SECOND, "{how:?}: {longest}");
     }
 }
 
-/// A courier of a fleet of 300 that holds a list, whose watch breaks with so much left of its lease: when it asks again.
-fn asks_after_a_watch(seed: u64, left: Nanos) -> Nanos {
+/// For a relay of a fleet of 300 with a list, whose watch breaks with `left` remaining of its lease: when it
+/// calls again.
+fn call_after_a_watch(seed: u64, left: Nanos) -> Nanos {
     let settings = Settings { list_on_request: true, relays: Some(300), ..settings() };
-    let mut courier = Dispatcher::new(settings, seed);
+    let mut dispatcher = Dispatcher::new(settings, seed);
     let mut actions = Vec::new();
-    courier.on_round(0, &[known()], &mut actions);
-    courier.on_round(MS, &[Event::Timer { nonce: 2 }], &mut actions);
-    courier.on_round(2 * MS, &[Event::List { scope: ListScope::Patch, entries: vec![] }], &mut actions);
+    dispatcher.on_round(0, &[known_list()], &mut actions);
+    dispatcher.on_round(MS, &[Event::Timer { nonce: 2 }], &mut actions);
+    dispatcher.on_round(2 * MS, &[Event::List { scope: ListScope::Patch, entries: vec![] }], &mut actions);
     actions.clear();
-    courier.set_list_lease(Some(SECOND + left));
-    courier.on_round(SECOND, &[Event::List { scope: ListScope::Truncated, entries: vec![] }], &mut actions);
+    dispatcher.set_list_lease(Some(SECOND + left));
+    dispatcher.on_round(
+        SECOND,
+        &[Event::List { scope: ListScope::Truncated, entries: vec![] }],
+        &mut actions,
+    );
     let after = actions.iter().find_map(|a| match a {
         Action::SetTimer { nonce: 2, after } => Some(*after),
         _ => None,
     });
-    after.expect("it asks again")
+    after.expect("it schedules the next call")
 }
 
 #[test]
 fn a_fleet_whose_watches_break_calls_within_the_rest_of_its_leases() {
-    let asks = |left| (0..300).map(|seed| asks_after_a_watch(seed, left)).collect::<Vec<_>>();
+    let delays = |left| (0..300).map(|seed| call_after_a_watch(seed, left)).collect::<Vec<_>>();
     for left in [2 * SECOND, 3 * SECOND] {
         assert!(
-            asks(left).iter().all(|after| *after <= left - SECOND + 25 * MS),
-            "room for the call is kept"
+            delays(left).iter().all(|after| *after <= left - SECOND + 25 * MS),
+            "time for the call is reserved"
         );
     }
     for left in [0, 2 * SECOND, 6 * SECOND] {
-        let early = asks(left).iter().filter(|after| **after <= SECOND / 2).count();
-        assert!(early <= 190, "a herd with {left} left: {early} of 300 in half a second");
+        let early_calls = delays(left).iter().filter(|after| **after <= SECOND / 2).count();
+        assert!(
+            early_calls <= 190,
+            "too many at once with {left} left: {early_calls} of 300 in half a second"
+        );
     }
 }
 
 #[test]
 fn strange_events_are_harmless() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
-    let note = Event::RelayMessage { from: 3, bytes: vec![1, 2, 3] };
+    let relay_message = Event::RelayMessage { from: 3, bytes: vec![1, 2, 3] };
     let probe = Event::ProbeEnded { endpoint: EndpointId(99), outcome: Outcome::Timeout, latency: 0 };
     let events = [
         closed(9, 0, 1, Outcome::Ok, 0),
         Event::Abandoned { msg: MsgId(9) },
         Event::StreamStarted { msg: MsgId(9) },
         Event::Timer { nonce: 4711 },
-        note,
+        relay_message,
         probe,
     ];
     assert!(world.round(0, &events).is_empty());
-    let none = Request { time_left: 0, ..request(1, 5, 2) };
-    assert!(failed(&world.round(0, &[Event::Request(none)]), 1), "no time left, nothing sent");
+    let expired = Request { time_left: 0, ..request(1, 5, 2) };
+    assert!(failed(&world.round(0, &[Event::Request(expired)]), 1), "no time left, nothing sent");
 }
 
-/// A world with one call at a time, where the second class is worth twice the first.
-fn narrow(worst_class: f64) -> World {
+/// A world with one call at a time, in which the second class is worth twice as much as the first.
+fn one_call_world(worst_class: f64) -> World {
     let mut settings = Settings { slots: Some(1), worst_class_weight: worst_class, ..settings() };
     settings.classes[1].worth = Some(2.0);
     World::new(settings, vec![endpoint(1, 5)])
@@ -240,7 +251,7 @@
 #[test]
 fn the_worst_served_class_goes_first_if_it_has_extra_weight() {
     for (worst_class, first) in [(0.0, 5), (0.25, 6)] {
-        let mut world = narrow(worst_class);
+        let mut world = one_call_world(worst_class);
         for order in 1..=3 {
             world.ask(order, 5, 1);
             world.close(50 * MS, order, 0, Outcome::Ok);
@@ -254,20 +265,20 @@
 
 #[test]
 fn messages_that_miss_their_target_yield_to_those_that_can_meet_it() {
-    let mut world = narrow(0.0);
+    let mut world = one_call_world(0.0);
     world.ask(1, 5, 0);
     world.close(1500 * MS, 1, 0, Outcome::Ok);
     world.ask(2, 5, 0);
     world.ask(3, 5, 0);
     world.round(1100 * MS, &[Event::Request(request(4, 5, 0))]);
-    // A call takes 1.5 s: the third's aim of 2 s is lost by now, the fourth's is not.
+    // A call takes 1.5 s: the third message can no longer meet its target of 2 s, the fourth can.
     let closed = closed(2, 0, 1, Outcome::Ok, 1500 * MS);
     assert_eq!(sends(&world.round(400 * MS, &[closed])), [4]);
 }
 
 #[test]
 fn the_predicted_wait_counts_only_messages_that_go_before() {
-    let mut world = narrow(0.0);
+    let mut world = one_call_world(0.0);
     world.ask(1, 5, 0);
     world.close(400 * MS, 1, 0, Outcome::Ok);
     (2..12).for_each(|notice| drop(world.ask(notice, 5, 0)));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The six rules, seen through the public interface.
+//! The six rules, tested through the public interface.
 mod common;
 use common::*;
 use slatethread::*;
@@ -18,7 +18,7 @@
 #[test]
 fn queued_messages_are_answered_before_their_deadline() {
     let mut world = World::new(settings(), vec![]);
-    assert!(world.ask(1, 5, 0).is_empty(), "a destination without endpoints is waited for");
+    assert!(world.ask(1, 5, 0).is_empty(), "messages for a destination without endpoints are queued");
     assert!(world.round(19 * SECOND, &[]).is_empty());
     assert!(refused(&world.round(SECOND - 10 * MS, &[]), 1));
 }
@@ -50,11 +50,11 @@
 fn deduplicated_messages_are_resent_only_within_their_scope_and_window() {
     let mut settings = settings();
     settings.classes[1].dedup_scope = DedupScope::Zone;
-    let far = Endpoint { zone: ZoneId(1), ..endpoint(2, 5) };
+    let other_zone = Endpoint { zone: ZoneId(1), ..endpoint(2, 5) };
     let mut world = World::new(settings, vec![endpoint(1, 5)]);
     world.ask(1, 5, 1);
     let drained = Endpoint { condition: Condition::Draining, ..endpoint(1, 5) };
-    let drain = list(ListScope::Patch, vec![drained, far]);
+    let drain = list(ListScope::Patch, vec![drained, other_zone]);
     let actions = world.round(100 * MS, &[drain, closed(1, 0, 1, Outcome::Error, 100 * MS)]);
     assert!(sends(&actions).is_empty(), "the other zone does not remember the key");
     let mut actions = Vec::new();
@@ -68,8 +68,8 @@
 fn draining_endpoints_get_nothing_new() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
     for condition in [Condition::Draining, Condition::Removed] {
-        let gone = Endpoint { condition, ..endpoint(1, 5) };
-        world.round(0, &[list(ListScope::Patch, vec![gone])]);
+        let unlisted = Endpoint { condition, ..endpoint(1, 5) };
+        world.round(0, &[list(ListScope::Patch, vec![unlisted])]);
         assert!(sends(&world.ask(condition as u32 + 1, 5, 0)).is_empty());
     }
     let replaced = list(ListScope::Whole, vec![endpoint(2, 5)]);
@@ -110,11 +110,11 @@
     let keyed =
         |msg, dest, key| Event::Request(Request { key: Some(OrderKey(key)), ..request(msg, dest, 1) });
     let actions = world.round(0, &[keyed(1, 5, 7), keyed(2, 6, 7), keyed(3, 6, 8)]);
-    assert_eq!(sends(&actions), [1, 3], "other keys are not held up");
+    assert_eq!(sends(&actions), [1, 3], "other keys are not delayed");
     let expired = world.round(100 * MS, &[Event::Abandoned { msg: MsgId(1) }]);
-    assert!(sends(&expired).is_empty(), "the attempt is still out");
-    let late = [closed(1, 0, 1, Outcome::Timeout, 2 * SECOND), closed(3, 0, 2, Outcome::Ok, 100 * MS)];
-    assert!(sends(&world.round(SECOND, &late)).is_empty(), "the key rests");
+    assert!(sends(&expired).is_empty(), "the attempt is still in flight");
+    let ended = [closed(1, 0, 1, Outcome::Timeout, 2 * SECOND), closed(3, 0, 2, Outcome::Ok, 100 * MS)];
+    assert!(sends(&world.round(SECOND, &ended)).is_empty(), "the key is paused");
     assert_eq!(sends(&world.round(SECOND, &[])), [2]);
 }
 
@@ -122,7 +122,7 @@
 fn a_returning_destination_is_called_within_its_budget() {
     let mut world = World::new(settings(), vec![endpoint(1, 5)]);
     let mut message = 0;
-    let mut play = |world: &mut World, outcome: Outcome, rounds: u32| {
+    let mut run = |world: &mut World, outcome: Outcome, rounds: u32| {
         let mut sent = 0;
         for _ in 0..rounds {
             message += 1;
@@ -135,11 +135,11 @@
         }
         sent
     };
-    let before = play(&mut world, Outcome::Ok, 100);
-    assert!(before >= 99, "all is sent while healthy");
-    let during = play(&mut world, Outcome::ConnectFailed, 60);
+    let before = run(&mut world, Outcome::Ok, 100);
+    assert!(before >= 99, "all messages are sent while healthy");
+    let during = run(&mut world, Outcome::ConnectFailed, 60);
     assert!(during <= 10, "{during} calls in three seconds of outage");
-    let after = play(&mut world, Outcome::Ok, 40);
-    // Twenty a second before; 0.2 of it cold, twice that allowed for two seconds.
+    let after = run(&mut world, Outcome::Ok, 40);
+    // Twenty a second before; 0.2 of that while cold, and twice that allowed for two seconds.
     assert!(after <= 16, "{after} calls in the first two seconds");
 }
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -8,7 +8,7 @@
 struct Track {
     request: Request,
     attempts: u32,
-    out: Option<EndpointId>,
+    in_flight: Option<EndpointId>,
     may_have_run: bool,
     ended: bool,
 }
@@ -24,14 +24,14 @@
     }
 }
 
-/// Plays a stream and checks the rules on the way; returns all actions.
-fn play(steps: &[(u8, u8)]) -> Vec<Action> {
+/// Runs a stream and checks the rules at each step; returns all actions.
+fn run(steps: &[(u8, u8)]) -> Vec<Action> {
     let mut settings = settings();
     settings.classes[1].ordered = true;
     let mut world = World::new(settings, vec![endpoint(1, 5), endpoint(2, 5), endpoint(3, 6)]);
     let mut tracks: BTreeMap<MsgId, Track> = BTreeMap::new();
     let mut waits: BTreeMap<DestId, Nanos> = BTreeMap::new();
-    let mut settles: BTreeMap<u64, Nanos> = BTreeMap::new();
+    let mut key_pauses: BTreeMap<u64, Nanos> = BTreeMap::new();
     for (number, &(a, b)) in steps.iter().enumerate() {
         let mut events = Vec::new();
         let after = u64::from(a % 16) * 10 * MS;
@@ -39,25 +39,31 @@
         if b % 3 > 0 {
             let class = usize::from(a % 3);
             let key = (class == 1).then_some(OrderKey(u64::from(b % 2)));
-            let r = Request { key, ..request(number as u32, 5 + u64::from(b % 2), class) };
-            let track =
-                Track { request: r.clone(), attempts: 0, out: None, may_have_run: false, ended: false };
-            tracks.insert(r.msg, track);
-            events.push(Event::Request(r));
+            let new_request = Request { key, ..request(number as u32, 5 + u64::from(b % 2), class) };
+            let track = Track {
+                request: new_request.clone(),
+                attempts: 0,
+                in_flight: None,
+                may_have_run: false,
+                ended: false,
+            };
+            tracks.insert(new_request.msg, track);
+            events.push(Event::Request(new_request));
         }
-        let busy: Vec<MsgId> = tracks.iter().filter(|(_, t)| t.out.is_some()).map(|(id, _)| *id).collect();
-        if !busy.is_empty() && a % 2 == 0 {
-            let id = busy[usize::from(b) % busy.len()];
+        let in_flight: Vec<MsgId> =
+            tracks.iter().filter(|(_, t)| t.in_flight.is_some()).map(|(id, _)| *id).collect();
+        if !in_flight.is_empty() && a % 2 == 0 {
+            let id = in_flight[usize::from(b) % in_flight.len()];
             let track = tracks.get_mut(&id).unwrap();
-            let (endpoint, outcome) = (track.out.take().unwrap(), outcome(a / 2));
+            let (endpoint, outcome) = (track.in_flight.take().unwrap(), outcome(a / 2));
             if let Outcome::Overloaded { retry_after: Some(wait) } = outcome {
                 let until = waits.entry(track.request.dest).or_default();
                 *until = (*until).max(now + wait);
             }
-            let ran = matches!(outcome, Outcome::Error | Outcome::Timeout);
-            track.may_have_run |= ran;
+            let may_have_run = matches!(outcome, Outcome::Error | Outcome::Timeout);
+            track.may_have_run |= may_have_run;
             if let (Some(key), Outcome::Timeout) = (track.request.key, outcome) {
-                settles.insert(key.0, now + SECOND);
+                key_pauses.insert(key.0, now + SECOND);
             }
             track.ended |= outcome == Outcome::Ok;
             events.push(closed(id.0, track.attempts - 1, endpoint.0, outcome, 50 * MS));
@@ -68,23 +74,23 @@
                     let earlier = tracks.range(..msg).any(|(_, t)| {
                         t.request.key.is_some()
                             && t.request.key == tracks[&msg].request.key
-                            && (!t.ended || t.out.is_some())
+                            && (!t.ended || t.in_flight.is_some())
                     });
                     let track = tracks.get_mut(&msg).unwrap();
                     assert!(!earlier, "order of keys");
-                    assert!(!track.ended && track.out.is_none(), "one attempt, none after the end");
+                    assert!(!track.ended && track.in_flight.is_none(), "one attempt, none after the end");
                     assert!(track.request.class != ClassId(2) || !track.may_have_run, "unsafe sent twice");
                     assert!(waits.get(&track.request.dest).is_none_or(|w| now >= *w), "waits");
                     if let Some(key) = track.request.key {
-                        let rested = settles.get(&key.0).is_none_or(|s| now >= *s);
-                        assert!(track.attempts > 0 || rested, "the key rests");
+                        let pause_over = key_pauses.get(&key.0).is_none_or(|s| now >= *s);
+                        assert!(track.attempts > 0 || pause_over, "the key is paused");
                     }
                     track.attempts += 1;
-                    track.out = Some(endpoint);
+                    track.in_flight = Some(endpoint);
                 }
                 Action::Refuse { msg, .. } => {
                     let track = tracks.get_mut(&msg).unwrap();
-                    assert!(!track.ended && track.out.is_none());
+                    assert!(!track.ended && track.in_flight.is_none());
                     assert!(track.request.class != ClassId(2) || !track.may_have_run, "unsafe refused");
                     track.ended = true;
                 }
@@ -96,11 +102,12 @@
             }
         }
     }
-    // Close what is out, then let all deadlines pass: everything must have been answered.
-    let out: Vec<_> =
-        tracks.iter_mut().filter_map(|(id, t)| Some((*id, t.attempts, t.out.take()?))).collect();
-    let last: Vec<_> = out.iter().map(|(id, n, e)| closed(id.0, n - 1, e.0, Outcome::Ok, 50 * MS)).collect();
-    for (id, _, _) in &out {
+    // Closes all calls in flight, then lets all deadlines pass: every message must have been answered.
+    let in_flight: Vec<_> =
+        tracks.iter_mut().filter_map(|(id, t)| Some((*id, t.attempts, t.in_flight.take()?))).collect();
+    let last: Vec<_> =
+        in_flight.iter().map(|(id, n, e)| closed(id.0, n - 1, e.0, Outcome::Ok, 50 * MS)).collect();
+    for (id, _, _) in &in_flight {
         tracks.get_mut(id).unwrap().ended = true;
     }
     let mut events = last;
@@ -129,6 +136,6 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(128) })]
     #[test]
     fn legal_streams_keep_the_rules(steps in prop::collection::vec(any::<(u8, u8)>(), 1..200)) {
-        prop_assert_eq!(play(&steps), play(&steps));
+        prop_assert_eq!(run(&steps), run(&steps));
     }
 }
