--- a/src/choice.rs
+++ b/src/choice.rs
@@ -355,7 +355,7 @@
         arrivals: &mut Vec<MsgId>,
         actions: &mut Vec<Action>,
     ) {
-        // An id that is used again replaces the earlier message, which has ended.
+        // Guards against an id that is used twice: the earlier message is over.
         self.end_message(request.msg);
         self.load_records(now, request.dest, actions);
         let current_rules = || self.settings.classes.get(request.class.0).cloned();
@@ -392,11 +392,15 @@
             let queued = unit.and_then(|u| self.units.get(&u)).map_or(0, |u| u.queued);
             let wait = unit.map_or(0.0, |u| self.expected_time(now, u, self.queued_ahead(now, u, message)));
             let room = f64::from(self.settings.max_queued.unwrap_or(u32::MAX));
-            let queue_share_used = unit.is_some_and(|u| self.all_unhealthy(u))
+            let queue_share_exceeded = unit.is_some_and(|u| self.all_unhealthy(u))
                 && f64::from(queued) > room * UNHEALTHY_QUEUE_SHARE;
-            if (wait > self.time_left(now, message) || queue_share_used) && !message.attempt_guaranteed() {
-                let reason =
-                    if queue_share_used { GiveUpReason::DestinationQueueFull } else { GiveUpReason::TooSlow };
+            if (wait > self.time_left(now, message) || queue_share_exceeded) && !message.attempt_guaranteed()
+            {
+                let reason = if queue_share_exceeded {
+                    GiveUpReason::DestinationQueueFull
+                } else {
+                    GiveUpReason::TooSlow
+                };
                 self.give_up(now, id, wait, reason, actions);
             } else {
                 self.enqueue(now, id, unit);
@@ -444,8 +448,8 @@
     /// where messages that would miss their target count less, then the earliest target.
     pub(crate) fn rank(&self, now: Nanos, message: &Message) -> Rank {
         let finish = self.finish_time(now, message.lane.and_then(|lane| lane.unit));
-        let lateness = if finish > message.target_at { LATE_RANK_FACTOR } else { 1.0 };
-        let factor = if message.attempt_guaranteed() { f64::INFINITY } else { lateness };
+        let late_factor = if finish > message.target_at { LATE_RANK_FACTOR } else { 1.0 };
+        let factor = if message.attempt_guaranteed() { f64::INFINITY } else { late_factor };
         (-(message.worth * self.class_weights[message.class] * factor * 1e6) as i64, message.target_at)
     }
 
@@ -537,7 +541,7 @@
         let attempts_used_up = self.settings.max_attempts.is_some_and(|max| message.counted_attempts >= max);
         let possible_execution = message.unconfirmed.zip(message.rules.resend_window());
         let resend_window_over =
-            possible_execution.is_some_and(|(risk, memory)| now + self.guard >= risk.sent + memory);
+            possible_execution.is_some_and(|(attempt, window)| now + self.guard >= attempt.sent + window);
         let backoff = secs(message.backoff_until.unwrap_or(0).saturating_sub(now));
         let earliest = self.earliest_completion(now, message.dest, self.bypass_after(now, message)) + backoff;
         let reason = match () {
@@ -573,8 +577,9 @@
     /// by then. A message with a guaranteed attempt may be sent in any case shortly before its deadline
     /// (exception 12).
     fn bypass_after(&self, now: Nanos, message: &Message) -> Nanos {
-        let last = |unit| self.time_left(now, message) < LAST_CHANCE_SILENCES * self.silence_threshold(unit);
-        match message.attempt_guaranteed() && self.best_unit(now, message).is_some_and(last) {
+        let last_chance =
+            |unit| self.time_left(now, message) < LAST_CHANCE_SILENCES * self.silence_threshold(unit);
+        match message.attempt_guaranteed() && self.best_unit(now, message).is_some_and(last_chance) {
             true => 0,
             false if self.is_new(now, message) => self.warm_up_time,
             false => Nanos::MAX,
--- a/src/list_lease.rs
+++ b/src/list_lease.rs
@@ -22,7 +22,7 @@
 
 /// Changes count as announced this long after discovery had them and could be reached.
 const DEEMED_ANNOUNCED_AFTER: Nanos = 6 * SECOND;
-/// ... and this long after the relay was told to reload its configuration.
+/// ... and this long after the relay was asked to reload its configuration.
 const DEEMED_ANNOUNCED_AFTER_RELOAD: Nanos = 4 * SECOND;
 /// Calls may start for this long after a drain was announced.
 const DRAIN_GRACE: Nanos = SECOND / 2;
@@ -61,8 +61,8 @@
         ListLease::default()
     }
 
-    /// A lease on a list that is requested from discovery and was not received yet. `must_ask_in` is the
-    /// maximum time between two requests according to the settings, in nanoseconds.
+    /// A lease on a list that is requested from discovery and was not received yet. `list_poll_interval` is
+    /// the maximum time between two requests according to the settings, in nanoseconds.
     pub fn for_polled_list(list_poll_interval: Nanos) -> Self {
         ListLease {
             span: Some(DEEMED_ANNOUNCED_AFTER.min(list_poll_interval) + USABLE_GRACE),
@@ -89,14 +89,14 @@
         if oldest.is_none() { *oldest = Some(now) } else { *newest = Some(now) }
     }
 
-    /// Records that an answer was applied whose call started at `begun` and whose first byte arrived at
-    /// `first`. The contents of earlier answers are included in it, or were applied before.
-    pub fn confirm(&mut self, begun: Nanos, first: Nanos) {
-        self.confirmed_at = self.confirmed_at.max(Some(begun));
+    /// Records that an answer was applied whose call started at `started` and whose first byte arrived at
+    /// `first_byte`. The contents of earlier answers are included in it, or were applied before.
+    pub fn confirm(&mut self, started: Nanos, first_byte: Nanos) {
+        self.confirmed_at = self.confirmed_at.max(Some(started));
         self.refused_at = None;
-        let later = self.unread.iter().flatten().copied().find(|unread| *unread > first);
+        let later = self.unread.iter().flatten().copied().find(|unread| *unread > first_byte);
         self.unread = [later, None];
-        if self.reloaded_at.is_none_or(|reloaded| begun >= reloaded) {
+        if self.reloaded_at.is_none_or(|reloaded| started >= reloaded) {
             self.unconfirmed_reload_at = None;
         }
     }
--- a/src/ramp.rs
+++ b/src/ramp.rs
@@ -53,8 +53,8 @@
 impl Ramp {
     /// Starts at `rate` calls a second, and stays within the destination's capacity during warm-up if that is
     /// known.
-    pub fn new(now: Nanos, rate: f64, warming: Option<WarmUp>) -> Self {
-        Ramp { rate: rate.max(MIN_RATE), warm_up: warming, since: now, next_call_at: now, cut_at: None }
+    pub fn new(now: Nanos, rate: f64, warm_up: Option<WarmUp>) -> Self {
+        Ramp { rate: rate.max(MIN_RATE), warm_up, since: now, next_call_at: now, cut_at: None }
     }
 
     /// Delays the first call. Guards against relays that start together and all send their first call at
@@ -79,8 +79,8 @@
     /// Records a call that was served.
     pub fn call_succeeded(&mut self, now: Nanos) {
         if self.cut_at.is_none_or(|cut| now >= cut + GROWTH_PAUSE) {
-            let most = self.warm_up.map_or(f64::INFINITY, |w| w.limit_at(now.saturating_sub(self.since)));
-            self.rate = (self.rate + RATE_GAIN).min(most.max(self.rate));
+            let max = self.warm_up.map_or(f64::INFINITY, |w| w.limit_at(now.saturating_sub(self.since)));
+            self.rate = (self.rate + RATE_GAIN).min(max.max(self.rate));
         }
     }
 
@@ -94,8 +94,8 @@
     }
 
     /// Whether the destination is warm: the warm-up time has passed, and half of it without a failure.
-    pub fn is_over(&self, now: Nanos, cold: Nanos) -> bool {
-        now >= self.since + cold && self.cut_at.is_none_or(|cut| now >= cut + cold / 2)
+    pub fn is_over(&self, now: Nanos, warm_up_time: Nanos) -> bool {
+        now >= self.since + warm_up_time && self.cut_at.is_none_or(|cut| now >= cut + warm_up_time / 2)
     }
 
     /// The limit that was observed, in calls a second, if there was one.
--- a/src/state.rs
+++ b/src/state.rs
@@ -68,7 +68,7 @@
     pub in_flight: BTreeSet<(Nanos, MsgId)>,
 }
 
-/// A destination or route.
+/// The full record of a destination or route.
 #[derive(Default)]
 pub struct Unit {
     pub predictor: Predictor,
@@ -100,8 +100,8 @@
 }
 
 impl Unit {
-    pub fn new(now: Nanos, listed: Option<f64>, relays: f64, minimum: f64) -> Self {
-        let unit = Unit { listed_rate: listed, ..Unit::default() };
+    pub fn new(now: Nanos, listed_rate: Option<f64>, relays: f64, minimum: f64) -> Self {
+        let unit = Unit { listed_rate, ..Unit::default() };
         let even_share = unit.share_among(relays);
         Unit {
             window: 1.0,
@@ -159,7 +159,7 @@
     Returning(Nanos),
 }
 
-/// An endpoint.
+/// The full record of an endpoint.
 pub struct Peer {
     pub entry: Endpoint,
     pub unit: UnitId,
@@ -294,12 +294,12 @@
         QueueEntry { expires: self.deadline.saturating_sub(backoff), id, target_at: self.target_at }
     }
 
-    /// Share of the worth that an answer earns now. It falls linearly from the target to `late` at the
+    /// Share of the worth that an answer earns now. It falls linearly from the target to `late_worth` at the
     /// deadline.
-    pub fn worth_share_at(&self, now: Nanos, late: f64) -> f64 {
+    pub fn worth_share_at(&self, now: Nanos, late_worth: f64) -> f64 {
         let lateness =
             secs(now.saturating_sub(self.target_at)) / secs(self.deadline - self.target_at).max(1e-9);
-        1.0 - (1.0 - late) * lateness.min(1.0)
+        1.0 - (1.0 - late_worth) * lateness.min(1.0)
     }
 }
 
@@ -329,8 +329,8 @@
         self.0.get_mut(class).into_iter().for_each(|c| c.1 += worth);
     }
 
-    pub fn decay(&mut self, part: f64) {
-        self.0.iter_mut().for_each(|c| *c = (c.0 * part, c.1 * part));
+    pub fn decay(&mut self, factor: f64) {
+        self.0.iter_mut().for_each(|c| *c = (c.0 * factor, c.1 * factor));
     }
 
     /// Weight of a unit of worth by class. The worst served class counts `extra` times in addition by itself,
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -242,16 +242,16 @@
 }
 
 /// A world with one call at a time, in which the second class is worth twice as much as the first.
-fn one_call_world(worst_class: f64) -> World {
-    let mut settings = Settings { slots: Some(1), worst_class_weight: worst_class, ..settings() };
+fn one_call_world(worst_class_weight: f64) -> World {
+    let mut settings = Settings { slots: Some(1), worst_class_weight, ..settings() };
     settings.classes[1].worth = Some(2.0);
     World::new(settings, vec![endpoint(1, 5)])
 }
 
 #[test]
 fn the_worst_served_class_goes_first_if_it_has_extra_weight() {
-    for (worst_class, first) in [(0.0, 5), (0.25, 6)] {
-        let mut world = one_call_world(worst_class);
+    for (worst_class_weight, first) in [(0.0, 5), (0.25, 6)] {
+        let mut world = one_call_world(worst_class_weight);
         for order in 1..=3 {
             world.ask(order, 5, 1);
             world.close(50 * MS, order, 0, Outcome::Ok);
--- a/tests/queued.rs
+++ b/tests/queued.rs
@@ -142,7 +142,7 @@
             }
             for action in world.round(5 * MS, &events) {
                 match action {
-                    Action::Send { msg, endpoint, timeout: limit } => {
+                    Action::Send { msg, endpoint, timeout } => {
                         let (deadline, key) = open_messages[&msg.0];
                         prop_assert!(world.now <= deadline, "{:?} was sent after its deadline", msg);
                         if let Some(key) = key {
@@ -152,11 +152,11 @@
                         }
                         let attempt = attempts.entry(msg.0).or_default();
                         let duration = draw(60) * MS;
-                        let (attempt_number, until) = (*attempt, world.now + duration.min(limit));
+                        let (attempt_number, until) = (*attempt, world.now + duration.min(timeout));
                         *attempt += 1;
                         prop_assert!(
                             in_flight
-                                .insert(msg.0, (attempt_number, endpoint.0, until, duration > limit))
+                                .insert(msg.0, (attempt_number, endpoint.0, until, duration > timeout))
                                 .is_none(),
                             "two attempts in flight for {:?}",
                             msg
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -27,9 +27,9 @@
     for step in 0..steps {
         for action in world.round(STEP, &std::mem::take(&mut events)) {
             match action {
-                Action::Send { msg, endpoint, timeout: limit } => {
+                Action::Send { msg, endpoint, timeout } => {
                     let attempt = attempts.entry(msg.0).or_default();
-                    in_flight.insert(msg.0, (*attempt, world.now, limit, endpoint.0));
+                    in_flight.insert(msg.0, (*attempt, world.now, timeout, endpoint.0));
                     *attempt += 1;
                     called.insert(msg.0);
                     calls += 1;
@@ -45,10 +45,10 @@
             }
         }
         let now = world.now;
-        in_flight.retain(|msg, (attempt, sent, limit, endpoint)| {
+        in_flight.retain(|msg, (attempt, sent, timeout, endpoint)| {
             let (outcome, after) = match call_time {
-                Some(call_time) if call_time <= *limit => (Outcome::Ok, call_time),
-                _ => (Outcome::Timeout, *limit),
+                Some(call_time) if call_time <= *timeout => (Outcome::Ok, call_time),
+                _ => (Outcome::Timeout, *timeout),
             };
             let ended = now >= *sent + after;
             events.extend(ended.then(|| closed(*msg, *attempt, *endpoint, outcome, after)));
