--- a/benches/held.rs
+++ b/benches/held.rs
@@ -27,7 +27,7 @@
         classes: vec![class],
         kinds: vec![Kind::default()],
         slots: Some(100_000),
-        max_queued: Some(1_000_000),
+        max_open_messages: Some(1_000_000),
         ..Settings::default()
     };
     let mut dispatcher = Dispatcher::new(settings, 1);
--- a/benches/listed.rs
+++ b/benches/listed.rs
@@ -23,7 +23,7 @@
         classes: vec![class],
         kinds: vec![Kind::default()],
         slots: Some(64),
-        max_queued: Some(512),
+        max_open_messages: Some(512),
         ..Settings::default()
     };
     let mut dispatcher = Dispatcher::new(settings, 1);
--- a/relay/src/config/push/classes.rs
+++ b/relay/src/config/push/classes.rs
@@ -80,7 +80,7 @@
         worth_decay: Some(WorthDecay::Linear),
         kinds: vec![Kind::default()],
         slots: Some(limits.slots),
-        max_queued: Some(limits.jobs),
+        max_open_messages: Some(limits.jobs),
         max_attempts: Some(limits.tries),
         max_backoff: Some(millis(limits.longest_backoff_ms.max(1))),
         idle_close: Some(millis(limits.idle_close_ms)),
--- a/relay/src/core/backlog/tests.rs
+++ b/relay/src/core/backlog/tests.rs
@@ -127,7 +127,7 @@
     };
     let settings = Settings {
         classes: vec![class; classes.len()],
-        max_queued: Some(MOST_HELD),
+        max_open_messages: Some(MOST_HELD),
         slots: Some(CALLS),
         max_attempts: Some(1_000),
         ..Settings::default()
--- a/relay/src/core/mod.rs
+++ b/relay/src/core/mod.rs
@@ -281,7 +281,7 @@
             return successor.admit(job).await;
         }
         let held = self.state.borrow().seats.len() + self.borrowed.get();
-        let full = self.rules().settings.max_queued.is_some_and(|m| held >= m as usize);
+        let full = self.rules().settings.max_open_messages.is_some_and(|m| held >= m as usize);
         let winding_down = self.winding_down.get();
         if full || winding_down || !self.knows(job.dest) {
             tracing::debug!(id = job.id, dest = job.dest, full, winding_down, "turned away at the door");
--- a/relay/src/push/server.rs
+++ b/relay/src/push/server.rs
@@ -110,7 +110,7 @@
             };
         }
         // No more requests are read at once than jobs may be held.
-        let most = self.core.rules().settings.max_queued.map_or(usize::MAX, |m| m as usize);
+        let most = self.core.rules().settings.max_open_messages.map_or(usize::MAX, |m| m as usize);
         if self.reading.get() >= most {
             return refused(Some(Duration::from_secs(1)));
         }
--- a/relay/src/run.rs
+++ b/relay/src/run.rs
@@ -461,7 +461,7 @@
     let classes: Vec<_> = classes
         .map(|(name, class)| BacklogClass { name: name.clone(), worth: class.worth.unwrap_or(1.0) })
         .collect();
-    let most = rules.settings.max_queued;
+    let most = rules.settings.max_open_messages;
     let figures = BacklogFigures::register(core.figures());
     let opened = Backlog::open(settings, owner, &classes, most, journaled, figures).await;
     let (backlog, actions) = opened.map_err(|error| format!("backlog.folder: {error}"))?;
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -391,7 +391,7 @@
             let unit = self.best_unit(now, message);
             let queued = unit.and_then(|u| self.units.get(&u)).map_or(0, |u| u.queued);
             let wait = unit.map_or(0.0, |u| self.expected_time(now, u, self.queued_ahead(now, u, message)));
-            let room = f64::from(self.settings.max_queued.unwrap_or(u32::MAX));
+            let room = f64::from(self.settings.max_open_messages.unwrap_or(u32::MAX));
             let queue_share_exceeded = unit.is_some_and(|u| self.all_unhealthy(u))
                 && f64::from(queued) > room * UNHEALTHY_QUEUE_SHARE;
             if (wait > self.time_left(now, message) || queue_share_exceeded) && !message.attempt_guaranteed()
@@ -418,7 +418,7 @@
 
     /// Gives up the lowest-ranked messages once the queue is full, so that new messages are still considered.
     fn make_room(&mut self, now: Nanos, actions: &mut Vec<Action>) {
-        let max = self.settings.max_queued.map_or(usize::MAX, |m| m as usize);
+        let max = self.settings.max_open_messages.map_or(usize::MAX, |m| m as usize);
         let surplus = (self.open_messages + 1).saturating_sub(max);
         if surplus == 0 {
             return;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -182,7 +182,7 @@
     /// Maximum number of concurrent calls.
     pub slots: Option<u32>,
     /// Maximum number of open messages, queued and in flight.
-    pub max_queued: Option<u32>,
+    pub max_open_messages: Option<u32>,
     /// Maximum number of attempts for a message.
     pub max_attempts: Option<u32>,
     /// Longest backoff that clients respect.
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -221,7 +221,7 @@
         relays: Some(RELAYS),
         weights: Weights::Exact,
         slots: Some(64),
-        max_queued: Some(400),
+        max_open_messages: Some(400),
         cold_after,
         ..settings()
     }
--- a/tests/cold_return.rs
+++ b/tests/cold_return.rs
@@ -22,7 +22,7 @@
 }
 
 fn settings_with_ample_limits() -> Settings {
-    Settings { slots: Some(64), max_queued: Some(4000), max_attempts: None, ..settings() }
+    Settings { slots: Some(64), max_open_messages: Some(4000), max_attempts: None, ..settings() }
 }
 
 impl Scenario {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -30,7 +30,7 @@
         classes: vec![class(Effect::Safe), class(Effect::Deduplicated), class(Effect::Unsafe)],
         kinds: vec![Kind::default()],
         slots: Some(8),
-        max_queued: Some(40),
+        max_open_messages: Some(40),
         max_attempts: Some(6),
         max_backoff: Some(2 * SECOND),
         refusals_carry_backoff: true,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -131,7 +131,7 @@
 /// once.
 #[test]
 fn refusals_carry_a_backoff_long_enough_to_matter() {
-    let settings = Settings { max_queued: Some(4), ..settings() };
+    let settings = Settings { max_open_messages: Some(4), ..settings() };
     let mut world = World::new(settings, vec![]);
     let burst: Vec<_> = (1..=6).map(|i| Event::Request(request(i, 5, 0))).collect();
     for action in world.round(0, &burst) {
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -8,7 +8,12 @@
 const MINUTE: Nanos = 60 * SECOND;
 
 fn cold_after(minutes: u64) -> Settings {
-    Settings { cold_after: Some(minutes * MINUTE), slots: Some(64), max_queued: Some(400), ..settings() }
+    Settings {
+        cold_after: Some(minutes * MINUTE),
+        slots: Some(64),
+        max_open_messages: Some(400),
+        ..settings()
+    }
 }
 
 /// Submits messages at a given rate for a number of seconds, with every call answered (or refused) within a
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_full_queue_gives_up_the_lowest_ranked_messages() {
-    let settings = Settings { max_queued: Some(4), ..settings() };
+    let settings = Settings { max_open_messages: Some(4), ..settings() };
     let mut world = World::new(settings, vec![]);
     let burst: Vec<_> = (1..=6).map(|i| Event::Request(request(i, 5, 0))).collect();
     let actions = world.round(0, &burst);
--- a/tests/queued.rs
+++ b/tests/queued.rs
@@ -10,7 +10,7 @@
 const DESTS: u32 = 300;
 
 fn many(slots: u32) -> World {
-    let settings = Settings { slots: Some(slots), max_queued: Some(100_000), ..settings() };
+    let settings = Settings { slots: Some(slots), max_open_messages: Some(100_000), ..settings() };
     World::new(settings, (1..=DESTS).map(|id| endpoint(id, u64::from(id))).collect())
 }
 
@@ -92,7 +92,7 @@
     /// For any outcomes: each message ends once and before its deadline, no two attempts of a message are in
     /// flight, the order of keys is kept, and once the queue is empty all further messages are sent at once.
     #[test]
-    fn no_queued_message_is_lost(seed in any::<u64>(), slots in 1u32..40, max_queued in 20u32..400) {
+    fn no_queued_message_is_lost(seed in any::<u64>(), slots in 1u32..40, max_open_messages in 20u32..400) {
         let mut random = seed;
         let mut draw = move |below: u64| {
             random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -101,7 +101,12 @@
         let dests = 150;
         let mut classes = settings().classes;
         classes[0].ordered = true;
-        let settings = Settings { slots: Some(slots), max_queued: Some(max_queued), classes, ..settings() };
+        let settings = Settings {
+            slots: Some(slots),
+            max_open_messages: Some(max_open_messages),
+            classes,
+            ..settings()
+        };
         let mut world = World::new(settings, (1..=dests).map(|id| endpoint(id, u64::from(id))).collect());
         // Deadline and key of each open message, and the attempts in flight.
         let mut open_messages: BTreeMap<u32, (Nanos, Option<u64>)> = BTreeMap::new();
--- a/tests/starved.rs
+++ b/tests/starved.rs
@@ -10,7 +10,7 @@
     let settings = Settings {
         classes: vec![class(4.0), class(cheap)],
         slots: Some(1),
-        max_queued: Some(30),
+        max_open_messages: Some(30),
         ..settings()
     };
     let mut world = World::new(settings, vec![endpoint(1, 5)]);
--- a/wirehost/src/env.rs
+++ b/wirehost/src/env.rs
@@ -159,7 +159,7 @@
         over_quota_worth: env.over_share_worth,
         kinds,
         slots: extra.max_calls,
-        max_queued: limits.most_held,
+        max_open_messages: limits.most_held,
         max_attempts: limits.most_tries,
         max_backoff: limits.max_retry_after,
         idle_close: limits.idle_close,
