--- a/src/choice.rs
+++ b/src/choice.rs
@@ -896,9 +896,9 @@
         if let Outcome::Overloaded { retry_after: Some(wait) } = outcome
             && now + wait > unit.blocked_until
         {
-            // Guards against all relays returning at the same time when they were told the same end of a
-            // wait: their returns are spread over the duration of the trouble so far, with increasing
-            // density, as a cold destination warms up.
+            // Guards against all relays returning at the same time after the same announced wait: their
+            // returns are spread over the duration of the trouble so far, with increasing density, as a cold
+            // destination warms up.
             let spread = secs(wait).max(age).min(secs(self.warm_up_time));
             let delay = spread * (1.0 - 1.0 / self.relays) * self.random.fraction().sqrt();
             // With a small even share, the rate limit spreads the calls from then on.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -272,9 +272,9 @@
     Whole,
     /// The complete list as last received, possibly out of date.
     Stale,
-    /// The service could not be reached, or the subscription broke; no entries.
+    /// The service did not accept the call, or the subscription broke; no entries.
     Unreachable,
-    /// As `Unreachable`, but the call was rejected after it had been accepted.
+    /// As `Unreachable`, but the service accepted the call and then rejected it.
     Rejected,
     /// As `Unreachable`, but the answer broke off: any change that it contained may count as announced.
     Truncated,
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -19,7 +19,7 @@
 /// The properties shared by all messages of a lane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Lane {
-    /// The unit whose queue length they count towards.
+    /// The unit that they are counted for as queued.
     pub unit: Option<UnitId>,
     /// Their class.
     pub class: usize,
--- a/src/state.rs
+++ b/src/state.rs
@@ -355,13 +355,14 @@
 /// What was learned of a kind of destination.
 #[derive(Clone, Copy)]
 pub struct KindStats {
-    /// How long a connection may be idle before it is used again.
+    /// Maximum idle time after which a connection is still reused.
     pub keep_idle: Nanos,
     /// Until when that time is not reduced again.
     pub keep_idle_fixed_until: Nanos,
     /// Longest idle time after which a reused connection served a call.
     pub proven_idle: Nanos,
-    /// Backoff of a message after an overload answer without an announced wait, as a multiple.
+    /// Backoff of a message after an overload answer without an announced wait, as a multiple of the time
+    /// between calls or of the mean announced wait.
     pub backoff_factor: f64,
     /// Mean announced wait in seconds; zero if none was announced.
     pub mean_retry_after: f64,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -140,9 +140,9 @@
     }
 }
 
-/// Larger deployments: relays that were told the same end of a wait all returned at that moment.
+/// Larger deployments: relays that received the same announced wait all returned at its end.
 #[test]
-fn relays_told_the_same_wait_return_spread_out() {
+fn relays_with_the_same_announced_wait_return_spread_out() {
     let first_after = |seed: u64| {
         let settings = Settings { relays: Some(50), ..settings() };
         let mut world = World::new(settings, vec![endpoint(1, 5)]);
