--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -532,7 +532,7 @@
     fn expiry_notice(&self, message: &StoredMessage) -> Notice {
         let request = QueuedRequest::decode(&message.payload);
         let returns =
-            request.as_ref().is_ok_and(|request| !request.may_have_run() || request.rules().may_come_again());
+            request.as_ref().is_ok_and(|request| !request.may_have_run() || request.rules().may_be_resubmitted());
         if let Ok(request) = &request {
             self.metrics.message_ended(
                 &request.job.class,
--- a/relay/src/core/backlog/tests.rs
+++ b/relay/src/core/backlog/tests.rs
@@ -121,15 +121,15 @@
 fn rules(classes: &[&str]) -> Rules {
     let class = Class {
         effect: Effect::Unsafe,
-        give_up: LONG_TTL.as_nanos() as u64,
-        aim: 1_000_000_000,
+        lifetime: LONG_TTL.as_nanos() as u64,
+        target_latency: 1_000_000_000,
         ..Class::default()
     };
     let settings = Settings {
         classes: vec![class; classes.len()],
-        max_held: Some(MAX_IN_MEMORY),
+        max_open_messages: Some(MAX_IN_MEMORY),
         slots: Some(CALLS),
-        max_tries: Some(1_000),
+        max_attempts: Some(1_000),
         ..Settings::default()
     };
     let classes = classes.iter().map(|class| (*class).to_owned()).collect();
--- a/relay/src/core/job_task.rs
+++ b/relay/src/core/job_task.rs
@@ -1,5 +1,7 @@
 //! The task that runs one job, and its registration with the decision module.
-use slatethread::{Class, ClassId, DestId, EndpointId, Event, MsgId, Report, Request, Risk, ZoneId};
+use slatethread::{
+    Class, ClassId, DestId, EndpointId, Event, MsgId, Report, Request, UnconfirmedAttempt, ZoneId,
+};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
@@ -430,7 +432,7 @@
 
     /// Whether submitting the job again is harmless according to the rules of its class.
     fn may_return(&self, job: &Job, progress: &JobProgress) -> bool {
-        (progress.risk.is_none() || progress.rules.may_come_again()) && !job.time_left().is_zero()
+        (progress.risk.is_none() || progress.rules.may_be_resubmitted()) && !job.time_left().is_zero()
     }
 
     /// Writes a new job to the journal; `None` if that is impossible.
@@ -455,7 +457,7 @@
         let risk = progress.risk.as_ref().map(|risk| {
             let ago = risk.age(now);
             let zone = risk.zone.as_ref().and_then(|z| self.rules().names.zones.iter().position(|n| n == z));
-            Risk {
+            UnconfirmedAttempt {
                 sent: self.module_time(Instant::now()).saturating_sub(nanos(ago)),
                 // A node that is no longer listed gets a number that no node has; numbers are never reused.
                 endpoint: state.nodes.by_name(&risk.node).map_or(EndpointId(u32::MAX), |node| node.id),
@@ -477,12 +479,12 @@
             class: ClassId(progress.class),
             tenant: None,
             key: None,
-            patience: nanos(job.deadline.duration_since(now).unwrap_or_default()),
+            time_left: nanos(job.deadline.duration_since(now).unwrap_or_default()),
             retry: job.retry,
             reconnect: job.reconnect,
-            tries: progress.tries,
-            risk,
-            kept: progress.restarted,
+            previous_attempts: progress.tries,
+            unconfirmed: risk,
+            restored: progress.restarted,
             rules: Some(progress.rules.clone()),
         }));
         self.wake.notify_one();
@@ -492,7 +494,7 @@
 
 /// Until when the nodes remember the idempotency key of an earlier claim; `None` if repeats are harmless.
 fn key_memory_end(rules: &Class, risk: &RecordedClaim) -> Option<Instant> {
-    let memory = Duration::from_nanos(rules.memory()?);
+    let memory = Duration::from_nanos(rules.resend_window()?);
     Some(Instant::now() + memory.saturating_sub(risk.age(clock::now())))
 }
 
@@ -535,13 +537,13 @@
     }
 
     fn report_closed(&self, attempt: u32, node: &Node, outcome: Outcome, took: Duration, report: Report) {
-        self.report(Event::Closed {
+        self.report(Event::AttemptEnded {
             msg: self.msg,
             attempt,
             endpoint: node.id,
             outcome: outcome.for_module(),
             latency: nanos(took),
-            no_more: outcome.ends_job(),
+            message_done: outcome.ends_job(),
             report,
         });
     }
@@ -563,7 +565,7 @@
             }
             order = self.orders.try_recv().ok();
         }
-        self.report(Event::Expired { msg: self.msg });
+        self.report(Event::Abandoned { msg: self.msg });
     }
 }
 
--- a/relay/src/core/list_confirmation.rs
+++ b/relay/src/core/list_confirmation.rs
@@ -31,7 +31,7 @@
     /// decision module's clock.
     pub fn new(start: Instant) -> Self {
         LeaseClock {
-            lease: RefCell::new(ListLease::endless()),
+            lease: RefCell::new(ListLease::unbounded()),
             start,
             record: RefCell::default(),
             lapsed: Cell::new(false),
@@ -58,7 +58,7 @@
     /// confirmed.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         let lease = self.lease.borrow();
-        let confirmed = lease.confirmed().filter(|_| lease.ends_at().is_some())?;
+        let confirmed = lease.confirmed_at().filter(|_| lease.ends_at().is_some())?;
         Some(Duration::from_nanos(self.module_time(now).saturating_sub(confirmed)))
     }
 
@@ -82,7 +82,7 @@
         first_start: bool,
     ) {
         let now = self.module_time(Instant::now());
-        let mut lease = ListLease::asked_for(nanos(self.rules().must_ask_in()));
+        let mut lease = ListLease::for_polled_list(nanos(self.rules().must_ask_in()));
         match before {
             Some(before) => lease.restore(now.saturating_sub(nanos(before.age))),
             None if first_start => lease.restore(now),
@@ -102,7 +102,7 @@
     /// The first byte of an answer with a list has been received.
     pub fn list_answer_started(&self, first: Instant) {
         let first = self.module_time(first);
-        self.lease_clock.update(|lease| lease.answer_begins(first));
+        self.lease_clock.update(|lease| lease.answer_started(first));
         self.wake.notify_one();
     }
 
@@ -119,8 +119,8 @@
         let now = self.module_time(Instant::now());
         let must_ask_in = nanos(self.rules().must_ask_in());
         self.lease_clock.update(|lease| {
-            lease.settle(must_ask_in);
-            lease.reload(now);
+            lease.set_poll_interval(must_ask_in);
+            lease.configuration_reloaded(now);
         });
         self.record_lease();
         self.wake.notify_one();
@@ -129,7 +129,7 @@
     /// A call to discovery failed.
     pub(super) fn list_call_failed(&self, how: ListScope) {
         let now = self.module_time(Instant::now());
-        self.lease_clock.update(|lease| lease.fail(now, how));
+        self.lease_clock.update(|lease| lease.call_failed(now, how));
         self.record_lease();
     }
 
@@ -154,7 +154,7 @@
     fn record_lease(&self) {
         if let Some(record) = &mut *self.lease_clock.record.borrow_mut() {
             let now = self.module_time(Instant::now());
-            let confirmed = self.lease_clock.lease.borrow().inheritable();
+            let confirmed = self.lease_clock.lease.borrow().inheritable_confirmation();
             let generation = self.generation.get();
             record.write(confirmed.zip(generation).map(|(confirmed, generation)| ListConfirmation {
                 generation,
--- a/relay/src/core/mod.rs
+++ b/relay/src/core/mod.rs
@@ -10,7 +10,7 @@
 mod nodes;
 mod rounds;
 
-use slatethread::{Courier, EndpointId, Event, MsgId, Nanos};
+use slatethread::{Dispatcher, EndpointId, Event, MsgId, Nanos};
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -74,7 +74,7 @@
 }
 
 struct State {
-    courier: Courier,
+    courier: Dispatcher,
     /// Events since the last round.
     inbox: Vec<Event>,
     timers: BinaryHeap<Reverse<(Instant, u64)>>,
@@ -191,7 +191,7 @@
         metrics: Rc<Metrics>,
     ) -> Rc<Self> {
         let state = State {
-            courier: Courier::new(rules.settings.clone(), seed),
+            courier: Dispatcher::new(rules.settings.clone(), seed),
             inbox: Vec::new(),
             timers: BinaryHeap::new(),
             order_senders: HashMap::new(),
@@ -246,7 +246,7 @@
     /// refer to classes, kinds and zones by their indices in the settings, so rules that change these are not applied.
     pub fn apply_rules(&self, mut rules: Rules, disk: u64) {
         // These two are not reloaded: the number of relays may follow the instances that are up.
-        rules.settings.couriers = self.relay_count.get().or(rules.settings.couriers);
+        rules.settings.relays = self.relay_count.get().or(rules.settings.relays);
         rules.settings.list_shared = self.rules().settings.list_shared;
         self.journal.borrow_mut().set_limit(disk);
         let old = self.rules();
@@ -256,7 +256,7 @@
             self.list_reloaded();
             return;
         }
-        self.state.borrow_mut().courier.settle(rules.settings.clone());
+        self.state.borrow_mut().courier.apply_settings(rules.settings.clone());
         *self.rules.borrow_mut() = Rc::new(rules);
         self.list_reloaded();
         self.reserve_predecessor_slots();
@@ -266,9 +266,9 @@
     pub fn divide_limits(&self, relays: u32) {
         self.relay_count.set(Some(relays));
         let mut rules = (*self.rules()).clone();
-        if rules.settings.couriers != Some(relays) {
-            rules.settings.couriers = Some(relays);
-            self.state.borrow_mut().courier.settle(rules.settings.clone());
+        if rules.settings.relays != Some(relays) {
+            rules.settings.relays = Some(relays);
+            self.state.borrow_mut().courier.apply_settings(rules.settings.clone());
             *self.rules.borrow_mut() = Rc::new(rules);
         }
     }
@@ -281,7 +281,7 @@
             return successor.admit(job).await;
         }
         let in_memory = self.state.borrow().order_senders.len() + self.predecessor_claims.get();
-        let full = self.rules().settings.max_held.is_some_and(|m| in_memory >= m as usize);
+        let full = self.rules().settings.max_open_messages.is_some_and(|m| in_memory >= m as usize);
         let winding_down = self.winding_down.get();
         if full || winding_down || !self.knows_destination(job.dest) {
             tracing::debug!(id = job.id, dest = job.dest, full, winding_down, "job refused on arrival");
@@ -338,7 +338,7 @@
         GaugeValues {
             in_progress,
             known,
-            skipped: unavailable + state.courier.avoided(),
+            skipped: unavailable + state.courier.down_endpoints(),
             list_age,
             unwritten_records,
         }
@@ -390,7 +390,7 @@
                 let list_age = self.lease_clock.age(Instant::now());
                 let (open, kept) = {
                     let state = self.state.borrow();
-                    (state.ids.len(), state.courier.kept())
+                    (state.ids.len(), state.courier.record_counts())
                 };
                 tracing::info!(
                     front,
--- a/relay/src/core/nodes.rs
+++ b/relay/src/core/nodes.rs
@@ -484,7 +484,7 @@
         self.transport.node_removed(node);
         state.nodes.remove(node);
         state.waits.remove(&(node.dest, Some(node.id)));
-        self.endpoint(node, Condition::Left)
+        self.endpoint(node, Condition::Removed)
     }
 
     /// Whether a job for the destination may be accepted: it has a node or lost its last one recently. Jobs that no
@@ -546,7 +546,7 @@
     /// The timeout of a call to discovery other than the renewal of a watch; `has_list` says whether the call requests
     /// changes to a list rather than a full one.
     pub fn list_call_timeout(&self, has_list: bool) -> Duration {
-        Duration::from_nanos(self.state.borrow().courier.list_patience(has_list))
+        Duration::from_nanos(self.state.borrow().courier.list_timeout(has_list))
     }
 
     /// Creates the permit to send a job's claim to a node, valid until `not_after` if given.
@@ -577,7 +577,7 @@
 
     /// Whether the nodes of a destination of this kind are separate routes.
     pub(super) fn is_separate_route(&self, node: &Node) -> bool {
-        self.rules().settings.kinds.get(node.kind().0).and_then(|k| k.apart).unwrap_or(false)
+        self.rules().settings.kinds.get(node.kind().0).and_then(|k| k.separate_routes).unwrap_or(false)
     }
 
     /// Applies a wait requested by a node: no claim is sent there before its end, nor before the end of an earlier one.
@@ -635,7 +635,7 @@
     }
 
     pub(super) fn condition(&self) -> Condition {
-        if self.accepts_claims() { Condition::Active } else { Condition::Leaving }
+        if self.accepts_claims() { Condition::Active } else { Condition::Draining }
     }
 
     fn weight(&self) -> Option<f64> {
--- a/relay/src/core/nodes/tests.rs
+++ b/relay/src/core/nodes/tests.rs
@@ -121,7 +121,7 @@
 
 #[test]
 fn the_decision_module_receives_only_changes_and_closures_first() {
-    use Condition::*;
+use Condition::*;
     let folder = tempfile::tempdir().expect("a folder");
     actix_rt::System::new().block_on(async {
         let core = core(folder.path());
@@ -134,10 +134,10 @@
         let mut updates = apply(&core, true, fewer).await;
         updates[1..3].sort_by_key(|(id, _)| *id);
         // The draining node and the removed ones, then the node that moved, as a new one.
-        assert_eq!(updates, [(2001, Leaving), (2499, Left), (2500, Left), (1, Left), (2501, Active)]);
+        assert_eq!(updates, [(2001, Draining), (2499, Removed), (2500, Removed), (1, Removed), (2501, Active)]);
         assert!(core.knows_destination(2498), "its last node was removed only recently");
         let deleted = vec![entry(5, 1, Lifecycle::Deleted), entry(9999, 1, Lifecycle::Deleted)];
-        assert_eq!(apply(&core, false, deleted).await, [(6, Left)]);
+        assert_eq!(apply(&core, false, deleted).await, [(6, Removed)]);
         // A weight is updated in place: pending claims refer to this instance.
         let node = core.state.borrow().nodes.by_name("n7").cloned().expect("listed");
         let heavier = NodeEntry { weight: Some(3.0), ..entry(7, 1, Lifecycle::Serving) };
@@ -150,7 +150,7 @@
 
 #[test]
 fn a_disabled_node_drains_whatever_the_list_says_and_counts_as_just_started_once_enabled() {
-    use Condition::*;
+use Condition::*;
     use Lifecycle::*;
     let folder = tempfile::tempdir().expect("a folder");
     actix_rt::System::new().block_on(async {
@@ -169,14 +169,14 @@
         assert!(matches!(core.set_disabled("n9", false), Err(SetDisabledError::Unknown)));
         core.set_disabled("n1", true).expect("listed");
         core.set_disabled("n1", true).expect("listed");
-        assert_eq!(updates(), [(1, Leaving, false)]);
+        assert_eq!(updates(), [(1, Condition::Draining, false)]);
         // It stays disabled across lists, its removal and return, and a restart of this process.
         assert_eq!(apply(&core, true, list(Serving)).await, []);
-        assert_eq!(apply(&core, true, list(Draining)).await, [(1, Leaving)]);
-        assert_eq!(apply(&core, false, vec![entry(1, 1, Deleted)]).await, [(1, Left)]);
-        assert_eq!(apply(&core, false, list(Serving)).await, [(3, Leaving)]);
+        assert_eq!(apply(&core, true, list(Lifecycle::Draining)).await, [(1, Condition::Draining)]);
+        assert_eq!(apply(&core, false, vec![entry(1, 1, Deleted)]).await, [(1, Removed)]);
+        assert_eq!(apply(&core, false, list(Serving)).await, [(3, Condition::Draining)]);
         let after = self::core(folder.path());
-        assert_eq!(apply(&after, true, list(Serving)).await, [(1, Leaving), (2, Active)]);
+        assert_eq!(apply(&after, true, list(Serving)).await, [(1, Condition::Draining), (2, Active)]);
         core.set_disabled("n1", false).expect("disabled");
         core.set_disabled("n1", false).expect("listed");
         core.set_disabled("n2", false).expect("listed");
--- a/relay/src/core/rounds.rs
+++ b/relay/src/core/rounds.rs
@@ -112,7 +112,7 @@
         bundles: &mut HashMap<EndpointId, Rc<Bundle>>,
     ) {
         match action {
-            Action::Send { msg, endpoint, limit } => {
+            Action::Send { msg, endpoint, timeout: limit } => {
                 let Some(node) = state.nodes.get(endpoint).cloned() else {
                     tracing::error!(
                         endpoint = endpoint.0,
@@ -121,7 +121,7 @@
                     return;
                 };
                 let limit = Duration::from_nanos(limit);
-                let most = self.rules().settings.kinds.get(node.kind().0).and_then(|k| k.bundle).unwrap_or(1);
+                let most = self.rules().settings.kinds.get(node.kind().0).and_then(|k| k.max_batch).unwrap_or(1);
                 let share = (most > 1).then(|| {
                     let bundle = bundles.entry(endpoint).or_insert_with(Bundle::new);
                     if bundle.size() >= most as usize {
@@ -132,7 +132,7 @@
                 });
                 send_order(state, msg, Order::Claim { node, limit, share });
             }
-            Action::Refuse { msg, backoff, why } => {
+            Action::Refuse { msg, backoff, reason: why } => {
                 let after = backoff.map(Duration::from_nanos);
                 send_order(state, msg, Order::Refuse { after, why: Some(why) });
             }
@@ -141,14 +141,14 @@
             Action::SetTimer { nonce, after } => {
                 state.timers.push(Reverse((now + Duration::from_nanos(after), nonce)));
             }
-            Action::Close { endpoint } => {
+            Action::CloseIdle { endpoint } => {
                 if let Some(node) = state.nodes.get(endpoint) {
                     self.transport.close_idle(node);
                 }
             }
             Action::Log { line } => tracing::info!("decision module: {}", with_node_name(state, &line)),
-            Action::Follow { want: true } | Action::Reload => self.list_request.notify_one(),
-            Action::Follow { want: false } | Action::Probe { .. } | Action::Tell { .. } => {
+            Action::Subscribe { open: true } | Action::FetchList => self.list_request.notify_one(),
+            Action::Subscribe { open: false } | Action::Probe { .. } | Action::SendToRelays { .. } => {
                 tracing::error!(?action, "the decision module requested an unsupported action; ignored");
             }
         }
--- a/relay/src/discovery.rs
+++ b/relay/src/discovery.rs
@@ -86,7 +86,7 @@
                 sharing.as_ref(),
             ) => {
                 let CallError { message, kind, not_connected, elapsed } = error;
-                let doubtful = matches!(kind, ListScope::Torn | ListScope::Silent) && !not_connected;
+                let doubtful = matches!(kind, ListScope::Truncated | ListScope::TimedOut) && !not_connected;
                 doubtful_failures = if doubtful { doubtful_failures + 1 } else { 0 };
                 known_generation = known_generation.filter(|_| doubtful_failures < MAX_DOUBTFUL_FAILURES);
                 tracing::warn!(
@@ -96,7 +96,7 @@
                     "discovery cannot be followed; the decision module schedules a retry"
                 );
                 if let Some(sharing) = &sharing {
-                    sharing.failed(kind == ListScope::Torn);
+                    sharing.failed(kind == ListScope::Truncated);
                 }
                 core.list_unavailable(kind);
             }
@@ -130,9 +130,9 @@
     /// The kind of failure for the metrics.
     fn outcome(&self) -> DiscoveryResult {
         match self.kind {
-            ListScope::Broken => DiscoveryResult::ConnectFailed,
-            ListScope::Busy => DiscoveryResult::ErrorStatus,
-            ListScope::Torn => DiscoveryResult::Truncated,
+            ListScope::Unreachable => DiscoveryResult::ConnectFailed,
+            ListScope::Rejected => DiscoveryResult::ErrorStatus,
+            ListScope::Truncated => DiscoveryResult::Truncated,
             _ => DiscoveryResult::TimedOut,
         }
     }
@@ -142,12 +142,12 @@
     fn connect_failed(error: &ConnectError) -> Self {
         let refused =
             matches!(error, ConnectError::Io(e) if e.kind() == std::io::ErrorKind::ConnectionRefused);
-        let kind = if refused { ListScope::Broken } else { ListScope::Silent };
+        let kind = if refused { ListScope::Unreachable } else { ListScope::TimedOut };
         CallError { not_connected: true, ..CallError::new(kind, error) }
     }
 
     fn interrupted(message: impl ToString) -> Self {
-        CallError::new(ListScope::Torn, message)
+        CallError::new(ListScope::Truncated, message)
     }
 }
 
@@ -279,7 +279,7 @@
         })?;
         if response.status() != 200 {
             let message = format!("status {}", response.status().as_u16());
-            return Err(CallError::new(ListScope::Busy, message));
+            return Err(CallError::new(ListScope::Rejected, message));
         }
         let first = Instant::now();
         core.list_answer_started(first);
@@ -301,5 +301,5 @@
     };
     timeout(time_limit, call)
         .await
-        .unwrap_or_else(|_| Err(CallError::new(ListScope::Silent, "no response in time")))
+        .unwrap_or_else(|_| Err(CallError::new(ListScope::TimedOut, "no response in time")))
 }
--- a/relay/src/run.rs
+++ b/relay/src/run.rs
@@ -479,9 +479,9 @@
     let rules = core.rules();
     let classes = rules.names.classes.iter().zip(&rules.settings.classes);
     let classes: Vec<_> = classes
-        .map(|(name, class)| BacklogClass { name: name.clone(), worth: class.credit.unwrap_or(1.0) })
+        .map(|(name, class)| BacklogClass { name: name.clone(), worth: class.worth.unwrap_or(1.0) })
         .collect();
-    let max_held = rules.settings.max_held;
+    let max_held = rules.settings.max_open_messages;
     let figures = BacklogMetrics::register(core.metrics());
     let opened = Backlog::open(settings, owner, &classes, max_held, journaled, figures).await;
     let (backlog, actions) = opened.map_err(|error| format!("backlog.folder: {error}"))?;
