--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -531,8 +531,9 @@
     /// The notice of an expired message: a requeue notice if submitting it again is harmless, otherwise a failure.
     fn expiry_notice(&self, message: &StoredMessage) -> Notice {
         let request = QueuedRequest::decode(&message.payload);
-        let returns =
-            request.as_ref().is_ok_and(|request| !request.may_have_run() || request.rules().may_be_resubmitted());
+        let returns = request
+            .as_ref()
+            .is_ok_and(|request| !request.may_have_run() || request.rules().may_be_resubmitted());
         if let Ok(request) = &request {
             self.metrics.message_ended(
                 &request.job.class,
--- a/relay/src/core/handover.rs
+++ b/relay/src/core/handover.rs
@@ -3,12 +3,12 @@
 //! Each job has one owner at any time: the process that has the journal. A claim in flight belongs to the process that
 //! made it until its outcome is known. Until then, the new owner neither sends that job nor uses the claim's slot.
 use futures_util::future::LocalBoxFuture;
+use onyxglade_backlog::planner::Outcome as MemoryOutcome;
 use slatethread::{DestId, DestinationSnapshot, EndpointSnapshot};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
-use onyxglade_backlog::planner::Outcome as MemoryOutcome;
 
 use super::backlog::MemorySlot;
 use super::job_task::JobProgress;
--- a/relay/src/core/nodes/tests.rs
+++ b/relay/src/core/nodes/tests.rs
@@ -121,7 +121,7 @@
 
 #[test]
 fn the_decision_module_receives_only_changes_and_closures_first() {
-use Condition::*;
+    use Condition::*;
     let folder = tempfile::tempdir().expect("a folder");
     actix_rt::System::new().block_on(async {
         let core = core(folder.path());
@@ -134,7 +134,10 @@
         let mut updates = apply(&core, true, fewer).await;
         updates[1..3].sort_by_key(|(id, _)| *id);
         // The draining node and the removed ones, then the node that moved, as a new one.
-        assert_eq!(updates, [(2001, Draining), (2499, Removed), (2500, Removed), (1, Removed), (2501, Active)]);
+        assert_eq!(
+            updates,
+            [(2001, Draining), (2499, Removed), (2500, Removed), (1, Removed), (2501, Active)]
+        );
         assert!(core.knows_destination(2498), "its last node was removed only recently");
         let deleted = vec![entry(5, 1, Lifecycle::Deleted), entry(9999, 1, Lifecycle::Deleted)];
         assert_eq!(apply(&core, false, deleted).await, [(6, Removed)]);
@@ -150,7 +153,7 @@
 
 #[test]
 fn a_disabled_node_drains_whatever_the_list_says_and_counts_as_just_started_once_enabled() {
-use Condition::*;
+    use Condition::*;
     use Lifecycle::*;
     let folder = tempfile::tempdir().expect("a folder");
     actix_rt::System::new().block_on(async {
--- a/relay/src/core/rounds.rs
+++ b/relay/src/core/rounds.rs
@@ -121,7 +121,8 @@
                     return;
                 };
                 let limit = Duration::from_nanos(limit);
-                let most = self.rules().settings.kinds.get(node.kind().0).and_then(|k| k.max_batch).unwrap_or(1);
+                let most =
+                    self.rules().settings.kinds.get(node.kind().0).and_then(|k| k.max_batch).unwrap_or(1);
                 let share = (most > 1).then(|| {
                     let bundle = bundles.entry(endpoint).or_insert_with(Bundle::new);
                     if bundle.size() >= most as usize {
--- a/relay/src/job.rs
+++ b/relay/src/job.rs
@@ -62,7 +62,7 @@
 
 impl Outcome {
     pub fn never_ran(self) -> bool {
-use Outcome::*;
+        use Outcome::*;
         matches!(self, Over | NotSent | Full { .. } | Unconnected | LocalFault)
     }
 
@@ -71,7 +71,7 @@
     }
 
     pub fn for_module(self) -> slatethread::Outcome {
-use slatethread::Outcome as To;
+        use slatethread::Outcome as To;
         match self {
             // The node served the call; a permanent rejection concerns the message, not the node's health.
             Outcome::Delivered | Outcome::Rejected(_) => To::Ok,
