--- a/relay/src/backlog.rs
+++ b/relay/src/backlog.rs
@@ -80,7 +80,7 @@
     /// # Errors
     /// Those of the store; [`StoreError::InUse`] only after some seconds.
     pub async fn open(
-        settings: &config::Backlog,
+        settings: &config::BacklogConfig,
         owner: &str,
         classes: &[BacklogClass],
         most_in_memory: Option<u32>,
@@ -98,7 +98,7 @@
     /// Those of the store.
     pub async fn over(
         worker: Worker,
-        settings: &config::Backlog,
+        settings: &config::BacklogConfig,
         classes: &[BacklogClass],
         most_in_memory: Option<u32>,
         journaled: &[Open],
@@ -412,7 +412,7 @@
     request?.await?
 }
 
-async fn open_worker(settings: &config::Backlog, owner: &str) -> Result<Worker, StoreError> {
+async fn open_worker(settings: &config::BacklogConfig, owner: &str) -> Result<Worker, StoreError> {
     let config = Config {
         folder: settings.folder.clone(),
         owner: owner.to_owned(),
@@ -437,12 +437,12 @@
     }
 }
 
-fn store_memory(settings: &config::Backlog) -> u64 {
+fn store_memory(settings: &config::BacklogConfig) -> u64 {
     (settings.memory_bytes / STORE_MEMORY_SHARE).max(LEAST_MEMORY_BYTES)
 }
 
 fn planner_settings(
-    settings: &config::Backlog,
+    settings: &config::BacklogConfig,
     most_in_memory: Option<u32>,
     class_worth: Vec<f64>,
 ) -> Settings {
--- a/relay/src/config/admin.rs
+++ b/relay/src/config/admin.rs
@@ -5,7 +5,7 @@
 use super::faults::Faults;
 
 /// Where those who run the relay call, if the environment says so: over any file.
-pub fn admin() -> Result<Option<SocketAddr>, String> {
+pub fn admin_address_from_env() -> Result<Option<SocketAddr>, String> {
     address("BALANCER_ADMIN")
 }
 
--- a/relay/src/config/backlog.rs
+++ b/relay/src/config/backlog.rs
@@ -31,7 +31,7 @@
 
 /// What the operators set for the backlog.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Backlog {
+pub struct BacklogConfig {
     /// The folder, on a disk that outlasts the process.
     pub folder: PathBuf,
     /// Bytes of memory for all that the backlog uses: cache, write buffers, windows.
@@ -42,7 +42,7 @@
 
 impl BacklogTable {
     /// The section's value; what is wrong with it is added to `faults`.
-    pub(super) fn check(self, faults: &mut Faults) -> Option<Backlog> {
+    pub(super) fn check(self, faults: &mut Faults) -> Option<BacklogConfig> {
         let memory_mb = self.memory_mb.unwrap_or(DEFAULT_MEMORY_MB);
         let disk_mb = self.disk_mb.unwrap_or(DEFAULT_DISK_MB);
         let mut sound = true;
@@ -60,11 +60,11 @@
             fault("backlog.disk_mb", format!("must be at least {LEAST_DISK_MB}"));
         }
         let (memory_bytes, disk_bytes) = (memory_mb.saturating_mul(MB), disk_mb.saturating_mul(MB));
-        sound.then_some(Backlog { folder: self.folder, memory_bytes, disk_bytes })
+        sound.then_some(BacklogConfig { folder: self.folder, memory_bytes, disk_bytes })
     }
 }
 
-impl Backlog {
+impl BacklogConfig {
     /// Checks the folder itself, before it is opened: that it is there or can be made, can be written to, holds no more than it may, and is not
     /// part of `state`, the folder whose size the platform bounds.
     ///
--- a/relay/src/config/backlog/tests.rs
+++ b/relay/src/config/backlog/tests.rs
@@ -1,17 +1,17 @@
-use super::super::own_text;
+use super::super::parse_relay_config;
 use super::*;
 
-fn folder_of(folder: &Path, disk_bytes: u64) -> Backlog {
-    Backlog { folder: folder.to_owned(), memory_bytes: 32 * MB, disk_bytes }
+fn folder_of(folder: &Path, disk_bytes: u64) -> BacklogConfig {
+    BacklogConfig { folder: folder.to_owned(), memory_bytes: 32 * MB, disk_bytes }
 }
 
 #[test]
 fn the_section_has_defaults_and_each_fault_names_its_key() {
-    let own = own_text("[backlog]\nfolder = \"/var/spool/relay\"").expect("sound");
+    let own = parse_relay_config("[backlog]\nfolder = \"/var/spool/relay\"").expect("sound");
     let expected =
-        Backlog { folder: "/var/spool/relay".into(), memory_bytes: 32 * MB, disk_bytes: 8192 * MB };
+        BacklogConfig { folder: "/var/spool/relay".into(), memory_bytes: 32 * MB, disk_bytes: 8192 * MB };
     assert_eq!(own.backlog, Some(expected));
-    assert_eq!(own_text("").expect("sound").backlog, None);
+    assert_eq!(parse_relay_config("").expect("sound").backlog, None);
     let faults = [
         ("folder = ''", "backlog.folder"),
         ("folder = 'a'\nmemory_mb = 15", "backlog.memory_mb: must be at least 16"),
@@ -20,14 +20,14 @@
         ("memory_mb = 32", "backlog"),
     ];
     for (table, key) in faults {
-        let fault = own_text(&format!("[backlog]\n{table}")).err().expect("faulty");
+        let fault = parse_relay_config(&format!("[backlog]\n{table}")).err().expect("faulty");
         assert!(fault.contains(key), "{table}: {fault}");
     }
 }
 
 #[test]
 fn the_file_under_deploy_is_sound() {
-    let own = own_text(include_str!("../../../../deploy/backlog.toml")).expect("sound");
+    let own = parse_relay_config(include_str!("../../../../deploy/backlog.toml")).expect("sound");
     assert_eq!(own.backlog.map(|backlog| backlog.memory_bytes), Some(32 * MB));
 }
 
--- a/relay/src/config/idle.rs
+++ b/relay/src/config/idle.rs
@@ -27,7 +27,7 @@
 
 /// How destinations are kept that are seldom used, on the fronts that are on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Idle {
+pub struct IdleConfig {
     /// A destination unused for so long is cold until it shows otherwise; none is where this is not set.
     pub cold_after: Option<Duration>,
     /// The longest list that is read, in bytes.
@@ -36,13 +36,13 @@
     pub connections: Option<usize>,
 }
 
-impl Default for Idle {
+impl Default for IdleConfig {
     fn default() -> Self {
-        Idle { cold_after: None, list_limit: 8 * MB, connections: None }
+        IdleConfig { cold_after: None, list_limit: 8 * MB, connections: None }
     }
 }
 
-impl Idle {
+impl IdleConfig {
     /// Puts what the module is to know of it into a front's rules.
     pub fn apply(&self, rules: &mut Rules) {
         rules.settings.cold_after = self.cold_after.map(nanos);
@@ -51,7 +51,7 @@
 
 impl IdleTable {
     /// The section's value; what is wrong with it is added to `faults`.
-    pub(super) fn check(self, faults: &mut Faults) -> Idle {
+    pub(super) fn check(self, faults: &mut Faults) -> IdleConfig {
         if self.cold_after_s.is_some_and(|s| s < LEAST_COLD_AFTER_S) {
             faults.add("idle.cold_after_s", format!("must be at least {LEAST_COLD_AFTER_S}"));
         }
@@ -62,9 +62,9 @@
             faults.add("idle.connections", "must be at least 1");
         }
         let list_limit = self.list_limit_mb.map(|mb| mb.saturating_mul(MB));
-        Idle {
+        IdleConfig {
             cold_after: self.cold_after_s.map(Duration::from_secs),
-            list_limit: list_limit.unwrap_or(Idle::default().list_limit),
+            list_limit: list_limit.unwrap_or(IdleConfig::default().list_limit),
             connections: self.connections,
         }
     }
--- a/relay/src/config/instances.rs
+++ b/relay/src/config/instances.rs
@@ -41,7 +41,7 @@
 
 /// How an instance talks to the others.
 #[derive(Clone)]
-pub struct Instances {
+pub struct InstancesConfig {
     /// Where it listens for datagrams.
     pub listen: SocketAddr,
     /// Where others reach it; where it listens, if nothing is said.
@@ -64,7 +64,7 @@
 
 impl InstancesTable {
     /// The section's value; what is wrong with it is added to `faults`, and then there is no value.
-    pub(super) fn check(self, faults: &mut Faults) -> Option<Instances> {
+    pub(super) fn check(self, faults: &mut Faults) -> Option<InstancesConfig> {
         let found = faults.count();
         let listen = faults.address("instances.listen", &self.listen);
         let advertise = self.advertise.as_deref();
@@ -80,7 +80,7 @@
         let key = faults.keep_at("instances.key_file", self.key())?;
         let InstancesTable { name, zone, region, capacity, expected, lists, shares, .. } = self;
         let listen = listen.filter(|_| faults.count() == found)?;
-        Some(Instances {
+        Some(InstancesConfig {
             listen,
             advertise,
             seeds,
--- a/relay/src/config/platform_file.rs
+++ b/relay/src/config/platform_file.rs
@@ -14,7 +14,7 @@
 pub(super) const LEAST_DISK_MB: f64 = 0.1;
 
 /// What a relay on the platform is told.
-pub struct Platform {
+pub struct PlatformConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -23,17 +23,17 @@
     /// The folder that lasts.
     pub state: PathBuf,
     pub seed: u64,
-    pub limits: Limits,
+    pub limits: MachineLimits,
     /// The list of execute nodes as this relay last held it.
-    pub known: NodeList,
+    pub known_nodes: NodeList,
     pub rules: Rules,
 }
 
 /// The machine's limits.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct MachineLimits {
     /// Bytes that the folder that lasts may hold.
-    pub disk: u64,
+    pub disk_bytes: u64,
     /// File descriptors.
     pub sockets: usize,
 }
@@ -72,14 +72,14 @@
 /// Reads what the platform tells in `BALANCER_CONFIG`; the variables for the name and the address to listen on
 /// override it. That for discovery does not: the file may be replaced while the process runs, a variable can't
 /// be. Without `BALANCER_CONFIG`, this is no relay of the platform's.
-pub fn platform() -> Result<Option<Platform>, String> {
+pub fn load_platform_config() -> Result<Option<PlatformConfig>, String> {
     let Some(path) = variable("BALANCER_CONFIG")? else { return Ok(None) };
     let text = std::fs::read(&path).map_err(|e| format!("BALANCER_CONFIG: cannot read {path}: {e}"))?;
     platform_text(&text).map(Some)
 }
 
 /// The same from the file's text.
-fn platform_text(text: &[u8]) -> Result<Platform, String> {
+fn platform_text(text: &[u8]) -> Result<PlatformConfig, String> {
     let told: Told = decode(text).map_err(|e| format!("BALANCER_CONFIG: {e}"))?;
     let state = variable("BALANCER_STATE")?.ok_or("BALANCER_STATE is not set")?;
     let discovery = told.discovery.map_or_else(|| address("BALANCER_DISCOVERY"), |told| Ok(Some(told)))?;
@@ -90,15 +90,15 @@
     if !disk.is_finite() || disk < LEAST_DISK_MB {
         return Err(format!("BALANCER_CONFIG: limits.disk_mb: {disk} is too small to keep a journal in"));
     }
-    Ok(Platform {
+    Ok(PlatformConfig {
         name: variable("BALANCER_NAME")?.unwrap_or(told.name),
         listen: address("BALANCER_LISTEN")?.unwrap_or(told.listen),
         discovery,
         admin: told.admin,
         state: Path::new(&state).to_owned(),
         seed: seed.map_err(|_| format!("BALANCER_CONFIG: seed: '{}' is not hexadecimal", told.seed))?,
-        limits: Limits { disk: (disk * 1e6) as u64, sockets: told.limits.sockets },
-        known: known.unwrap_or_default(),
+        limits: MachineLimits { disk_bytes: (disk * 1e6) as u64, sockets: told.limits.sockets },
+        known_nodes: known.unwrap_or_default(),
         rules: rules(told.settings).map_err(|e| format!("BALANCER_CONFIG: settings: {e}"))?,
     })
 }
--- a/relay/src/config/push/classes.rs
+++ b/relay/src/config/push/classes.rs
@@ -5,7 +5,7 @@
 
 use super::upstreams::GATEWAY;
 use crate::config::faults::Faults;
-use crate::config::relay_file::OwnFile;
+use crate::config::relay_file::RelayConfigFile;
 use crate::config::rules::Rules;
 
 /// A class as it is written.
@@ -56,7 +56,7 @@
 }
 
 /// The rules of the push front; what is wrong with the classes is added to `faults`.
-pub(super) fn rules(file: &OwnFile, faults: &mut Faults) -> Rules {
+pub(super) fn rules(file: &RelayConfigFile, faults: &mut Faults) -> Rules {
     for (i, class) in file.classes.iter().enumerate() {
         if class.give_up_ms == 0 || class.aim_ms > class.give_up_ms {
             faults.add(format!("class[{i}].aim_ms"), "must not be above give_up_ms, which must not be 0");
@@ -70,7 +70,7 @@
     Rules { settings: settings(file), names }
 }
 
-fn settings(file: &OwnFile) -> Settings {
+fn settings(file: &RelayConfigFile) -> Settings {
     let limits = &file.limits;
     let rated = file.upstreams.iter().any(|u| u.rate.is_some());
     Settings {
--- a/relay/src/config/push/gateways.rs
+++ b/relay/src/config/push/gateways.rs
@@ -14,7 +14,7 @@
 
 /// Gateways that are reached by TLS.
 #[derive(Clone, Default)]
-pub struct Secured {
+pub struct GatewayTls {
     /// What they are held to.
     pub config: Option<Arc<rustls::ClientConfig>>,
     /// The name that the certificate of each must be for.
@@ -22,10 +22,10 @@
 }
 
 /// How a gateway is reached by TLS.
-pub type Trust = (Arc<rustls::ClientConfig>, ServerName<'static>);
+pub type TlsTarget = (Arc<rustls::ClientConfig>, ServerName<'static>);
 
-impl Secured {
-    pub fn of(&self, address: SocketAddr) -> Option<Trust> {
+impl GatewayTls {
+    pub fn of(&self, address: SocketAddr) -> Option<TlsTarget> {
         Some((self.config.clone()?, self.names.get(&address)?.clone()))
     }
 }
@@ -61,7 +61,7 @@
     pub pong_ms: u64,
     /// What upstreams with `tls` are held to.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub tls: Option<tls::ClientTable>,
+    pub tls: Option<tls::ClientTlsTable>,
 }
 
 impl Default for GatewaysTable {
--- a/relay/src/config/push/locations.rs
+++ b/relay/src/config/push/locations.rs
@@ -5,7 +5,7 @@
 
 use super::upstreams::number;
 use crate::config::faults::Faults;
-use crate::config::relay_file::OwnFile;
+use crate::config::relay_file::RelayConfigFile;
 
 /// A location as it is written.
 #[derive(Debug, Deserialize, Serialize)]
@@ -58,14 +58,14 @@
 }
 
 /// All locations; what is wrong with them is added to `faults`.
-pub(super) fn locations(file: &OwnFile, faults: &mut Faults) -> Vec<Location> {
+pub(super) fn locations(file: &RelayConfigFile, faults: &mut Faults) -> Vec<Location> {
     let tables = file.locations.iter().enumerate();
     tables.map(|(i, table)| table.check(&format!("location[{i}]"), file, faults)).collect()
 }
 
 impl LocationTable {
     /// The location of the table at `key`; what is wrong with it is added to `faults`.
-    fn check(&self, key: &str, file: &OwnFile, faults: &mut Faults) -> Location {
+    fn check(&self, key: &str, file: &RelayConfigFile, faults: &mut Faults) -> Location {
         if !file.upstreams.iter().any(|u| u.name == self.upstream) {
             faults.add(format!("{key}.upstream"), format!("there is no '{}'", self.upstream));
         }
@@ -88,7 +88,7 @@
     }
 
     /// Checks that the class of each urgency allows repeats as the location's own does.
-    fn check_urgency(&self, key: &str, file: &OwnFile, faults: &mut Faults) {
+    fn check_urgency(&self, key: &str, file: &RelayConfigFile, faults: &mut Faults) {
         let repeat = |name: &str| file.classes.iter().find(|c| c.name == name).map(|c| c.repeat);
         for (urgency, class) in &self.urgency {
             let urgency = serde_json::to_string(urgency).unwrap_or_default();
--- a/relay/src/config/push/mod.rs
+++ b/relay/src/config/push/mod.rs
@@ -6,7 +6,7 @@
 mod upstreams;
 
 pub use classes::{ClassTable, Repeat};
-pub use gateways::{GatewaysTable, PoolLimits, Secured, Trust};
+pub use gateways::{GatewayTls, GatewaysTable, PoolLimits, TlsTarget};
 pub use limits::LimitsTable;
 pub use locations::{Location, LocationTable, Urgency};
 pub use upstreams::{ServerTable, UpstreamTable};
@@ -17,19 +17,19 @@
 use std::sync::Arc;
 
 use super::faults::Faults;
-use super::idle::Idle;
+use super::idle::IdleConfig;
 use super::platform_file::LEAST_DISK_MB;
-use super::relay_file::OwnFile;
+use super::relay_file::RelayConfigFile;
 use super::rules::Rules;
 use crate::list::NodeList;
 use crate::tls;
 
 /// The second front.
-pub struct Push {
+pub struct PushConfig {
     pub listen: SocketAddr,
     /// The folder that lasts.
     pub state: PathBuf,
-    pub disk: u64,
+    pub disk_bytes: u64,
     /// Where ends are told.
     pub notices: SocketAddr,
     /// Largest body taken from a submitter.
@@ -38,10 +38,10 @@
     pub connections: usize,
     pub rules: Rules,
     /// What is presented to submitters, where the front speaks TLS.
-    pub secured: Option<Arc<rustls::ServerConfig>>,
-    pub trust: Secured,
+    pub server_tls: Option<Arc<rustls::ServerConfig>>,
+    pub gateway_tls: GatewayTls,
     /// The connections to each gateway.
-    pub pool: PoolLimits,
+    pub pool_limits: PoolLimits,
     pub gateways: NodeList,
     pub locations: Vec<Location>,
 }
@@ -61,7 +61,7 @@
     pub connections: usize,
     /// Certificates; without them the front speaks HTTP/2 in clear text.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub tls: Option<tls::ServerTable>,
+    pub tls: Option<tls::ServerTlsTable>,
     /// Clear text is spoken on an address that others reach, too.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub clear_text: bool,
@@ -82,7 +82,12 @@
 impl PushTable {
     /// The front that the section and the tables of `file` set up. What is wrong with them is added to `faults`;
     /// without a sound address there is no front.
-    pub(super) fn check(self, file: &OwnFile, idle: &Idle, faults: &mut Faults) -> Option<Push> {
+    pub(super) fn check(
+        self,
+        file: &RelayConfigFile,
+        idle: &IdleConfig,
+        faults: &mut Faults,
+    ) -> Option<PushConfig> {
         if file.classes.is_empty() {
             faults.add("class", "no class of message is given");
         }
@@ -96,19 +101,19 @@
         let mut rules = classes::rules(file, faults);
         idle.apply(&mut rules);
         let secured = self.secured(listen, faults);
-        let trust = file.gateways.tls.as_ref().and_then(|table| faults.keep(tls::client(table)));
+        let trust = file.gateways.tls.as_ref().and_then(|table| faults.keep(tls::client_config(table)));
         let (gateways, names) = upstreams::gateways(file, faults);
         let locations = locations::locations(file, faults);
-        Some(Push {
+        Some(PushConfig {
             listen: listen?,
             notices: notices?,
             state: self.state,
-            disk: (self.disk_mb * 1e6) as u64,
+            disk_bytes: (self.disk_mb * 1e6) as u64,
             body_limit: self.body_limit,
             connections: self.connections.max(1),
-            secured,
-            trust: Secured { config: trust, names },
-            pool: file.gateways.pool(&rules),
+            server_tls: secured,
+            gateway_tls: GatewayTls { config: trust, names },
+            pool_limits: file.gateways.pool(&rules),
             rules,
             gateways,
             locations,
@@ -124,12 +129,12 @@
             }
             return None;
         };
-        faults.keep(tls::server(table))
+        faults.keep(tls::server_config(table))
     }
 }
 
 /// Checks the figures that must not be 0.
-fn check_positive(file: &OwnFile, faults: &mut Faults) {
+fn check_positive(file: &RelayConfigFile, faults: &mut Faults) {
     let (limits, gateways) = (&file.limits, &file.gateways);
     let figures = [
         ("limits.slots", u64::from(limits.slots)),
--- a/relay/src/config/push/upstreams.rs
+++ b/relay/src/config/push/upstreams.rs
@@ -5,7 +5,7 @@
 
 use super::gateways::ServerNames;
 use crate::config::faults::Faults;
-use crate::config::relay_file::OwnFile;
+use crate::config::relay_file::RelayConfigFile;
 use crate::list::{Lifecycle, NodeEntry, NodeList};
 
 /// The kind and the zone of all gateways; nothing is said of either.
@@ -42,7 +42,7 @@
 }
 
 /// All gateways, and the names of those that are reached by TLS.
-pub(super) fn gateways(file: &OwnFile, faults: &mut Faults) -> (NodeList, ServerNames) {
+pub(super) fn gateways(file: &RelayConfigFile, faults: &mut Faults) -> (NodeList, ServerNames) {
     let (mut nodes, mut names) = (Vec::new(), ServerNames::new());
     let upstreams = &file.upstreams;
     for (i, upstream) in upstreams.iter().enumerate() {
--- a/relay/src/config/relay_file.rs
+++ b/relay/src/config/relay_file.rs
@@ -4,31 +4,33 @@
 use std::path::Path;
 
 use super::admin;
-use super::backlog::{Backlog, BacklogTable};
+use super::backlog::{BacklogConfig, BacklogTable};
 use super::faults::Faults;
 use super::hook::HookTable;
-use super::idle::{Idle, IdleTable};
-use super::instances::{Instances, InstancesTable};
-use super::push::{ClassTable, GatewaysTable, LimitsTable, LocationTable, Push, PushTable, UpstreamTable};
+use super::idle::{IdleConfig, IdleTable};
+use super::instances::{InstancesConfig, InstancesTable};
+use super::push::{
+    ClassTable, GatewaysTable, LimitsTable, LocationTable, PushConfig, PushTable, UpstreamTable,
+};
 
 /// What the relay's own file says.
 #[derive(Default)]
-pub struct Own {
+pub struct RelayConfig {
     /// The second front, if it is on.
-    pub push: Option<Push>,
+    pub push: Option<PushConfig>,
     /// A plug-in for the fronts that are on.
     pub hook: Option<HookTable>,
     /// How destinations are kept that are seldom used.
-    pub idle: Idle,
+    pub idle: IdleConfig,
     /// Where those who run the relay call.
     pub admin: Option<SocketAddr>,
     /// The other instances, if this one talks to any.
-    pub instances: Option<Instances>,
+    pub instances: Option<InstancesConfig>,
     /// Where the platform front's requests wait that cannot go soon, if not in memory.
-    pub backlog: Option<Backlog>,
+    pub backlog: Option<BacklogConfig>,
 }
 
-impl Own {
+impl RelayConfig {
     /// What the file sets up, in a line.
     pub(super) fn summary(&self) -> String {
         let push = self.push.as_ref().map_or("no second front".into(), |push| {
@@ -51,7 +53,7 @@
 /// The file as it is written. The importer writes this form, the push front runs it.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct OwnFile {
+pub struct RelayConfigFile {
     /// Address and port.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub admin: Option<String>,
@@ -76,19 +78,19 @@
 }
 
 /// Reads the relay's own file.
-pub fn own(path: &Path) -> Result<Own, String> {
+pub fn load_relay_config(path: &Path) -> Result<RelayConfig, String> {
     let name = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: cannot read it: {e}"))?;
-    own_text(&text).map_err(|e| format!("{name}: {e}"))
+    parse_relay_config(&text).map_err(|e| format!("{name}: {e}"))
 }
 
 /// The same from the file's text.
-pub fn own_text(text: &str) -> Result<Own, String> {
-    own_faults(text).map_err(|faults| faults.join("; "))
+pub fn parse_relay_config(text: &str) -> Result<RelayConfig, String> {
+    parse_with_all_errors(text).map_err(|faults| faults.join("; "))
 }
 
 /// The same, with each fault by itself.
-pub(super) fn own_faults(text: &str) -> Result<Own, Vec<String>> {
+pub(super) fn parse_with_all_errors(text: &str) -> Result<RelayConfig, Vec<String>> {
     let mut file = decode(text).map_err(|fault| vec![fault])?;
     let mut faults = Faults::default();
     let hook = file.hook.take();
@@ -100,10 +102,10 @@
     let push = file.push.take().and_then(|table| table.check(&file, &idle, &mut faults));
     let instances = file.instances.take().and_then(|table| table.check(&mut faults));
     let backlog = file.backlog.take().and_then(|table| table.check(&mut faults));
-    faults.none_or(Own { push, hook, idle, admin, instances, backlog })
+    faults.none_or(RelayConfig { push, hook, idle, admin, instances, backlog })
 }
 
-fn decode(text: &str) -> Result<OwnFile, String> {
+fn decode(text: &str) -> Result<RelayConfigFile, String> {
     let reader = toml::Deserializer::parse(text).map_err(|e| e.to_string())?;
     serde_path_to_error::deserialize(reader).map_err(|e| format!("{}: {}", e.path(), e.inner().message()))
 }
--- a/relay/src/config/rules.rs
+++ b/relay/src/config/rules.rs
@@ -13,22 +13,22 @@
 impl Rules {
     /// Least time between rounds.
     pub fn step(&self) -> Duration {
-        span(self.settings.step, Duration::from_millis(5))
+        duration_or(self.settings.step, Duration::from_millis(5))
     }
 
     /// The list must be watched or asked for this often.
-    pub fn must_ask_in(&self) -> Duration {
-        span(self.settings.rules.must_ask_in, Duration::from_secs(10))
+    pub fn list_max_age(&self) -> Duration {
+        duration_or(self.settings.rules.must_ask_in, Duration::from_secs(10))
     }
 
     /// A connection that is not up within this time has failed.
     pub fn dial_timeout(&self) -> Duration {
-        span(self.settings.dial_timeout, Duration::from_millis(1500))
+        duration_or(self.settings.dial_timeout, Duration::from_millis(1500))
     }
 
     /// An execute node closes a connection that has stood idle for so long.
     pub fn idle_close(&self) -> Duration {
-        span(self.settings.idle_close, Duration::from_secs(10))
+        duration_or(self.settings.idle_close, Duration::from_secs(10))
     }
 
     pub fn class(&self, name: &str) -> Option<usize> {
@@ -37,7 +37,7 @@
 }
 
 /// Nanoseconds are the module's; everything on this side of its edge has durations.
-pub fn span(nanos: Option<Nanos>, default: Duration) -> Duration {
+pub fn duration_or(nanos: Option<Nanos>, default: Duration) -> Duration {
     nanos.map_or(default, Duration::from_nanos)
 }
 
--- a/relay/src/config/tests.rs
+++ b/relay/src/config/tests.rs
@@ -7,12 +7,12 @@
 
 fn fault(from: &str, to: &str) -> String {
     assert!(FILE.contains(from), "{from}");
-    own_text(&FILE.replacen(from, to, 1)).err().unwrap_or_default()
+    parse_relay_config(&FILE.replacen(from, to, 1)).err().unwrap_or_default()
 }
 
 #[test]
 fn the_file_under_deploy_is_sound_and_repeats_no_order() {
-    let push = own_text(FILE).ok().and_then(|own| own.push).expect("a push front");
+    let push = parse_relay_config(FILE).ok().and_then(|own| own.push).expect("a push front");
     assert_eq!(push.rules.settings.classes[0].effect, Effect::Unsafe);
     assert_eq!(push.rules.settings.classes[1].effect, Effect::Safe);
     assert_eq!(push.gateways.len(), 2);
@@ -55,10 +55,10 @@
     std::fs::write(&key, "k".repeat(32)).expect("written");
     std::fs::write(&short, "k").expect("written");
     let file = |more: &str| format!("[instances]\nlisten = \"127.0.0.1:7946\"\nkey_file = {key:?}\n{more}");
-    let told = own_text(&file("seeds = [\"127.0.0.1:7947\"]\nzone = \"a\"\n")).expect("sound");
+    let told = parse_relay_config(&file("seeds = [\"127.0.0.1:7947\"]\nzone = \"a\"\n")).expect("sound");
     let told = told.instances.expect("it talks to others");
     assert_eq!((told.seeds.len(), &*told.zone, told.expected, told.advertise), (1, "a", 3, None));
-    assert!(own_text("").expect("sound").instances.is_none(), "off unless the file says otherwise");
+    assert!(parse_relay_config("").expect("sound").instances.is_none(), "off unless the file says otherwise");
     let long = format!("zone = \"{}\"", "z".repeat(LONGEST + 1));
     for (more, fault) in [
         ("seeds = [\"here\"]", "instances.seeds[0]"),
@@ -69,7 +69,7 @@
         ("tls = true", "instances"),
         (&*long, "instances.zone"),
     ] {
-        let told = own_text(&file(more)).err().expect("faulty");
+        let told = parse_relay_config(&file(more)).err().expect("faulty");
         assert!(told.contains(fault), "{more}: {told}");
     }
     for (from, to, fault) in [
@@ -78,7 +78,7 @@
         ("127.0.0.1:7946", "localhost", "instances.listen"),
         ("127.0.0.1:7946", "0.0.0.0:7946", "instances.advertise"),
     ] {
-        let told = own_text(&file("").replace(from, to)).err().expect("faulty");
+        let told = parse_relay_config(&file("").replace(from, to)).err().expect("faulty");
         assert!(told.contains(fault), "{to}: {told}");
     }
 }
@@ -86,14 +86,15 @@
 #[test]
 fn every_fault_is_told_and_the_idle_table_has_bounds() {
     let text = FILE.replacen("slots = 64", "slots = 0", 1).replacen("127.0.0.1:8480", "here", 1);
-    let faults =
-        own_faults(&format!("{text}\n[idle]\ncold_after_s = 3\nlist_limit_mb = 0\nconnections = 0\n"));
+    let faults = parse_with_all_errors(&format!(
+        "{text}\n[idle]\ncold_after_s = 3\nlist_limit_mb = 0\nconnections = 0\n"
+    ));
     let faults = faults.err().unwrap_or_default().join("\n");
     for key in ["limits.slots", "push.listen", "idle.cold_after_s", "idle.list_limit_mb", "idle.connections"]
     {
         assert!(faults.contains(key), "{key}: {faults}");
     }
-    let own = own_faults(&format!("{FILE}\n[idle]\ncold_after_s = 600\n")).expect("sound");
+    let own = parse_with_all_errors(&format!("{FILE}\n[idle]\ncold_after_s = 600\n")).expect("sound");
     let cold_after = own.push.expect("a front").rules.settings.cold_after;
     assert_eq!(cold_after, Some(600_000_000_000));
 }
--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -269,10 +269,11 @@
             let ruling = hooks.admit(&job, job.left());
             if ruling.refuse {
                 self.tell_backlog(&backlog, Event::SpillDropped { lane, count: 1 });
-                let refusal = Refusal::Refused { after: ruling.after };
+                let refusal = Refusal::Refused { after: ruling.retry_after };
                 return self.answer_placed(&job.id, answer, Decision::Refused(refusal));
             }
-            job.deadline = ruling.left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
+            job.deadline =
+                ruling.time_left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
             job.label = ruling.label;
         }
         let rules = self.rules();
--- a/relay/src/core/backlog/tests.rs
+++ b/relay/src/core/backlog/tests.rs
@@ -256,7 +256,7 @@
         let disabled = Disabled::open(site.folder.path());
         let core = Core::new(partner, rules(classes), None, 1, journal, disabled, figures);
         let settings =
-            config::Backlog { folder: "unused".into(), memory_bytes: 32 << 20, disk_bytes: 1 << 30 };
+            config::BacklogConfig { folder: "unused".into(), memory_bytes: 32 << 20, disk_bytes: 1 << 30 };
         let classes: Vec<_> =
             classes.iter().map(|name| BacklogClass { name: (*name).into(), worth: 1.0 }).collect();
         let worker = worker(&site.disk, crash);
--- a/relay/src/core/life.rs
+++ b/relay/src/core/life.rs
@@ -107,9 +107,10 @@
         if let (Some(hooks), Some(_)) = (&self.hooks, &answer) {
             let ruling = hooks.admit(&job, job.left());
             if ruling.refuse {
-                return self.turn_away(&job, answer, Refusal::Refused { after: ruling.after });
+                return self.turn_away(&job, answer, Refusal::Refused { after: ruling.retry_after });
             }
-            job.deadline = ruling.left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
+            job.deadline =
+                ruling.time_left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
             job.label = ruling.label;
         }
         let mut seat = self.take_seat(&job, &course);
@@ -206,10 +207,10 @@
                     if let Some(hooks) = &self.hooks {
                         let ruling = hooks.outcome(&job, job.left(), outcome, seat.next_attempt, &node.name);
                         job.label = ruling.label.or(job.label);
-                        let cut = if ruling.refuse { Some(Duration::ZERO) } else { ruling.left };
+                        let cut = if ruling.refuse { Some(Duration::ZERO) } else { ruling.time_left };
                         let cut = cut.map(|left| Instant::now() + left);
                         course.cut = course.cut.into_iter().chain(cut).min();
-                        course.cut_after = ruling.after.or(course.cut_after);
+                        course.cut_after = ruling.retry_after.or(course.cut_after);
                     }
                 }
             }
--- a/relay/src/core/list_confirmation.rs
+++ b/relay/src/core/list_confirmation.rs
@@ -74,7 +74,7 @@
     /// or an older one, and `first_start` that there was none. Then what the configuration says is taken as confirmed just now.
     pub fn bind_list(&self, record: Option<LeaseRecord>, before: Option<Confirmed>, first_start: bool) {
         let now = self.module_time(Instant::now());
-        let mut lease = ListLease::asked_for(nanos(self.rules().must_ask_in()));
+        let mut lease = ListLease::asked_for(nanos(self.rules().list_max_age()));
         match before {
             Some(before) => lease.restore(now.saturating_sub(nanos(before.ago))),
             None if first_start => lease.restore(now),
@@ -104,7 +104,7 @@
     /// The configuration was read anew.
     pub(super) fn list_reloaded(&self) {
         let now = self.module_time(Instant::now());
-        let must_ask_in = nanos(self.rules().must_ask_in());
+        let must_ask_in = nanos(self.rules().list_max_age());
         self.list_clock.change(|lease| {
             lease.settle(must_ask_in);
             lease.reload(now);
--- a/relay/src/discovery.rs
+++ b/relay/src/discovery.rs
@@ -13,7 +13,7 @@
 
 use crate::core::{Answered, Carrier, Core};
 use crate::figures::Heard;
-use crate::instances::Sharing;
+use crate::instances::ListSharing;
 use crate::list::{ListText, NodeList};
 
 /// How long a watch is held where nothing changes, as a part of the time in which the settings want the list
@@ -53,7 +53,7 @@
     core: Rc<Core<C>>,
     mut place: watch::Receiver<Place>,
     mut held: Option<u64>,
-    sharing: Option<Sharing>,
+    sharing: Option<ListSharing>,
 ) {
     // Where lists are pushed, who has them is on this machine and keeps nobody waiting: the module does not ask for them.
     let mut pushed = !core.rules().settings.list_on_request;
@@ -70,7 +70,7 @@
             doubts = 0;
         }
         if let Some(sharing) = &sharing {
-            sharing.turn().await;
+            sharing.wait_until_poller().await;
         }
         let now = place.borrow_and_update().clone();
         tokio::select! {
@@ -90,7 +90,7 @@
                     "discovery cannot be followed; the module asks again later"
                 );
                 if let Some(sharing) = &sharing {
-                    sharing.failed(how == ListScope::Torn);
+                    sharing.call_failed(how == ListScope::Torn);
                 }
                 core.list_broken(how);
             }
@@ -98,9 +98,9 @@
     }
 }
 
-async fn over(sharing: &Option<Sharing>) {
+async fn over(sharing: &Option<ListSharing>) {
     match sharing {
-        Some(sharing) => sharing.over().await,
+        Some(sharing) => sharing.wait_while_poller().await,
         None => std::future::pending().await,
     }
 }
@@ -154,15 +154,15 @@
     place: &Place,
     held: &mut Option<u64>,
     doubts: &mut u32,
-    sharing: Option<&Sharing>,
+    sharing: Option<&ListSharing>,
 ) -> Fault {
     let mut first = true;
     // The last answer was a watch's, so that the next one goes on from it.
     let mut goes_on = false;
     loop {
-        let shared = sharing.and_then(|sharing| Some((sharing, sharing.asks()?)));
+        let shared = sharing.and_then(|sharing| Some((sharing, sharing.call_started()?)));
         let index = shared.as_ref().map_or(*held, |(_, index)| *index);
-        let longest = core.rules().must_ask_in() / if shared.is_some() { SHARED_PART } else { WAIT_PART };
+        let longest = core.rules().list_max_age() / if shared.is_some() { SHARED_PART } else { WAIT_PART };
         let longest = longest.min(LONGEST_WAIT);
         let wait = if goes_on || shared.is_some() { longest } else { FIRST_WAIT };
         let patience = if goes_on { wait + PATIENCE } else { wait + core.list_patience(index.is_some()) };
@@ -185,7 +185,7 @@
         tracing::debug!(generation, changes, whole, ?waited, "discovery has answered");
         if let Some((sharing, _)) = shared {
             *held = Some(generation);
-            sharing.answered(begun, &list);
+            sharing.call_answered(begun, &list);
             if std::mem::take(&mut first) {
                 // The module hears that the list can be had; what is in it comes by way of the others' one.
                 take(core, NodeList::made(generation, false, Vec::new()), answered);
--- a/relay/src/hook.rs
+++ b/relay/src/hook.rs
@@ -1,7 +1,7 @@
 //! Plug-ins: a script in rhai with a hook at admission and one at each outcome.
 //!
 //! A script may refuse a job, shorten its time and label it. It cannot send, lengthen or repeat: what it says
-//! is a [`Ruling`], which the core keeps within the rules. It runs inside fixed bounds, sees no files and no
+//! is a [`HookDecision`], which the core keeps within the rules. It runs inside fixed bounds, sees no files and no
 //! network, and keeps nothing from one call to the next. When it fails, that is logged and the job goes on.
 use rhai::{AST, Dynamic, Engine, EvalAltResult, Map, Scope};
 use std::time::Duration;
@@ -11,12 +11,12 @@
 
 /// What a script says of a job.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ruling {
+pub struct HookDecision {
     pub refuse: bool,
     /// With a refusal: when to come again.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// The job has no more time than this from now on.
-    pub left: Option<Duration>,
+    pub time_left: Option<Duration>,
     pub label: Option<String>,
 }
 
@@ -61,12 +61,19 @@
     }
 
     /// Asked before the module sees a new job.
-    pub fn admit(&self, job: &Job, left: Duration) -> Ruling {
+    pub fn admit(&self, job: &Job, left: Duration) -> HookDecision {
         self.ask("admit", job, (describe(job, left),))
     }
 
     /// Asked after each outcome that does not end the job.
-    pub fn outcome(&self, job: &Job, left: Duration, outcome: Outcome, tries: u32, node: &str) -> Ruling {
+    pub fn outcome(
+        &self,
+        job: &Job,
+        left: Duration,
+        outcome: Outcome,
+        tries: u32,
+        node: &str,
+    ) -> HookDecision {
         let mut told = Map::new();
         told.insert("kind".into(), kind(outcome).into());
         told.insert("may_have_run".into(), (!outcome.never_ran()).into());
@@ -75,19 +82,19 @@
         self.ask("outcome", job, (describe(job, left), told))
     }
 
-    fn ask(&self, hook: &str, job: &Job, arguments: impl rhai::FuncArgs) -> Ruling {
+    fn ask(&self, hook: &str, job: &Job, arguments: impl rhai::FuncArgs) -> HookDecision {
         let said = self.engine.call_fn::<Dynamic>(&mut Scope::new(), &self.script, hook, arguments);
         let ruling = match said {
             Ok(said) => read(said),
             // A script may leave a hook out.
             Err(e) if matches!(&*e, EvalAltResult::ErrorFunctionNotFound(name, _) if name.starts_with(hook)) => {
-                Ok(Ruling::default())
+                Ok(HookDecision::default())
             }
             Err(e) => Err(e.to_string()),
         };
         ruling.unwrap_or_else(|fault| {
             tracing::warn!(id = job.id, hook, fault, "script failed; the job goes on without it");
-            Ruling::default()
+            HookDecision::default()
         })
     }
 }
@@ -120,8 +127,8 @@
 }
 
 /// Decodes what a hook returned: nothing, or a map with known keys.
-fn read(said: Dynamic) -> Result<Ruling, String> {
-    let mut ruling = Ruling::default();
+fn read(said: Dynamic) -> Result<HookDecision, String> {
+    let mut ruling = HookDecision::default();
     if said.is_unit() {
         return Ok(ruling);
     }
@@ -135,8 +142,8 @@
     for (key, value) in &map {
         match key.as_str() {
             "refuse" => ruling.refuse = value.as_bool().map_err(|_| "refuse must be true or false")?,
-            "after_ms" => ruling.after = Some(millis("after_ms", value)?),
-            "left_ms" => ruling.left = Some(millis("left_ms", value)?),
+            "after_ms" => ruling.retry_after = Some(millis("after_ms", value)?),
+            "left_ms" => ruling.time_left = Some(millis("left_ms", value)?),
             "label" => {
                 let label = value.clone().into_string().map_err(|_| "label must be a string")?;
                 ruling.label = Some(label.chars().take(LONGEST_LABEL).collect());
--- a/relay/src/hook/tests.rs
+++ b/relay/src/hook/tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-fn admit(body: &str) -> Ruling {
+fn admit(body: &str) -> HookDecision {
     let hooks = Hooks::new(&format!("fn admit(job) {{ {body} }}"), 20_000).expect("it compiles");
     hooks.admit(&job(), Duration::from_secs(2))
 }
@@ -23,11 +23,14 @@
 #[test]
 fn a_hook_refuses_shortens_and_labels() {
     let said = admit(r##"if job.size == 10 && job.left_ms == 2000 { #{ left_ms: 500, label: job.class } }"##);
-    let wanted =
-        Ruling { left: Some(Duration::from_millis(500)), label: Some("order".into()), ..Ruling::default() };
+    let wanted = HookDecision {
+        time_left: Some(Duration::from_millis(500)),
+        label: Some("order".into()),
+        ..HookDecision::default()
+    };
     assert_eq!(said, wanted);
     assert!(admit("#{ refuse: true }").refuse);
-    assert_eq!(admit(""), Ruling::default());
+    assert_eq!(admit(""), HookDecision::default());
 }
 
 #[test]
@@ -46,7 +49,7 @@
         "admit(job)",
     ];
     for body in faulty {
-        assert_eq!(admit(body), Ruling::default(), "{body}");
+        assert_eq!(admit(body), HookDecision::default(), "{body}");
     }
     assert!(began.elapsed() < Duration::from_secs(5));
 }
--- a/relay/src/import.rs
+++ b/relay/src/import.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::config::{
-    ClassTable, GatewaysTable, LimitsTable, LocationTable, OwnFile, PushTable, Repeat, ServerTable,
+    ClassTable, GatewaysTable, LimitsTable, LocationTable, PushTable, RelayConfigFile, Repeat, ServerTable,
     UpstreamTable,
 };
 
@@ -22,33 +22,33 @@
 
 /// A fault in the input, or something that was not carried over. Line 0 stands for the file as a whole.
 #[derive(Debug, PartialEq)]
-pub struct Remark {
+pub struct Diagnostic {
     pub line: usize,
-    pub what: String,
+    pub message: String,
 }
 
-impl fmt::Display for Remark {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
-            0 => f.write_str(&self.what),
-            line => write!(f, "line {line}: {}", self.what),
+            0 => f.write_str(&self.message),
+            line => write!(f, "line {line}: {}", self.message),
         }
     }
 }
 
-fn remark<T: Into<String>>(line: usize, what: T) -> Remark {
-    Remark { line, what: what.into() }
+fn remark<T: Into<String>>(line: usize, what: T) -> Diagnostic {
+    Diagnostic { line, message: what.into() }
 }
 
 /// Reads a file; gives the text of ours and what was not carried over.
-pub fn file(path: &Path) -> Result<(String, Vec<Remark>), String> {
+pub fn import_file(path: &Path) -> Result<(String, Vec<Diagnostic>), String> {
     let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let text = String::from_utf8(text).map_err(|_| format!("{}: it is not UTF-8", path.display()))?;
-    import(&text).map_err(|fault| format!("{}: {fault}", path.display()))
+    import_text(&text).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
 /// The same from the file's text.
-pub fn import(text: &str) -> Result<(String, Vec<Remark>), Remark> {
+pub fn import_text(text: &str) -> Result<(String, Vec<Diagnostic>), Diagnostic> {
     let directives = block(&mut tokens(text)?.into_iter(), None, 0)?;
     let mut import = Import::default();
     import.level(&directives);
@@ -64,7 +64,7 @@
 }
 
 /// Splits into words and punctuation, by nginx's rules for blanks, quotes, escapes and comments.
-fn tokens(text: &str) -> Result<Vec<(usize, Token)>, Remark> {
+fn tokens(text: &str) -> Result<Vec<(usize, Token)>, Diagnostic> {
     let mut tokens = Vec::new();
     let mut line = 1;
     let mut chars = text.chars().peekable();
@@ -124,7 +124,7 @@
     tokens: &mut std::vec::IntoIter<(usize, Token)>,
     opened: Option<usize>,
     depth: usize,
-) -> Result<Vec<Directive>, Remark> {
+) -> Result<Vec<Directive>, Diagnostic> {
     let mut directives = Vec::new();
     let mut words: Vec<String> = Vec::new();
     let mut start = 0;
@@ -174,7 +174,7 @@
     dial_timeout: Option<Duration>,
     upstreams: Vec<UpstreamTable>,
     locations: Vec<LocationTable>,
-    remarks: Vec<Remark>,
+    remarks: Vec<Diagnostic>,
 }
 
 impl Import {
@@ -327,7 +327,7 @@
     }
 
     /// Puts the file together, once all upstreams are known.
-    fn finish(mut self) -> Result<(String, Vec<Remark>), Remark> {
+    fn finish(mut self) -> Result<(String, Vec<Diagnostic>), Diagnostic> {
         for location in &self.locations {
             let host = &location.upstream;
             if !self.upstreams.iter().any(|u| u.name == *host) {
@@ -359,7 +359,7 @@
         );
         let limits = LimitsTable::default();
         let dial_timeout_ms = self.dial_timeout.map_or(limits.dial_timeout_ms, |t| t.as_millis() as u64);
-        let file = OwnFile {
+        let file = RelayConfigFile {
             instances: None,
             backlog: None,
             admin: None,
@@ -391,7 +391,7 @@
         };
         let text = toml::to_string(&file).map_err(|e| remark(0, e.to_string()))?;
         // What the importer writes, the front must be able to run; a name may resolve elsewhere only.
-        if let Err(fault) = crate::config::own_text(&text) {
+        if let Err(fault) = crate::config::parse_relay_config(&text) {
             self.remarks.push(remark(0, format!("on this machine the file cannot be run: {fault}")));
         }
         Ok((text, self.remarks))
--- a/relay/src/import/tests.rs
+++ b/relay/src/import/tests.rs
@@ -27,8 +27,8 @@
 
 #[test]
 fn upstreams_and_locations_are_carried_over_and_run() {
-    let (text, remarks) = import(NGINX).expect("it is sound");
-    let push = crate::config::own_text(&text).expect("it runs").push.expect("a push front");
+    let (text, remarks) = import_text(NGINX).expect("it is sound");
+    let push = crate::config::parse_relay_config(&text).expect("it runs").push.expect("a push front");
     assert_eq!(push.listen, "127.0.0.1:8090".parse().expect("an address"));
     assert_eq!(push.body_limit, 8192);
     assert_eq!(push.rules.dial_timeout(), Duration::from_millis(700));
@@ -59,10 +59,10 @@
         ("a", 1),
     ];
     for (text, line) in cases {
-        assert_eq!(import(text).err().map(|r| r.line), Some(line), "{text}");
+        assert_eq!(import_text(text).err().map(|r| r.line), Some(line), "{text}");
     }
-    assert!(import(&"a {".repeat(100_000)).is_err());
-    assert!(import("events {}").is_err_and(|r| r.line == 0));
+    assert!(import_text(&"a {".repeat(100_000)).is_err());
+    assert!(import_text("events {}").is_err_and(|r| r.line == 0));
 }
 
 #[test]
--- a/relay/src/instances/lists.rs
+++ b/relay/src/instances/lists.rs
@@ -29,11 +29,11 @@
 
 /// What the lists of this instance are told beforehand.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct ListSharingLimits {
     /// The list is to be no older than this.
-    pub must_ask_in: Duration,
+    pub max_age: Duration,
     /// The longest list that is taken, in bytes.
-    pub longest: usize,
+    pub max_bytes: usize,
 }
 
 /// A link that stands.
@@ -44,7 +44,7 @@
 
 /// Lists, as this instance has them from the list service or from others.
 pub struct Shared {
-    told: Told,
+    told: ListSharingLimits,
     begun: Instant,
     lists: RefCell<Option<Lists>>,
     turn: watch::Sender<bool>,
@@ -55,7 +55,7 @@
 }
 
 impl Shared {
-    pub(super) fn new(told: Told, begun: Instant) -> Rc<Self> {
+    pub(super) fn new(told: ListSharingLimits, begun: Instant) -> Rc<Self> {
         Rc::new(Shared {
             told,
             begun,
@@ -74,8 +74,8 @@
             me,
             seeds: instances.told.seeds.clone(),
             expected: instances.told.expected,
-            must_ask_in: self.told.must_ask_in,
-            longest: self.told.longest,
+            must_ask_in: self.told.max_age,
+            longest: self.told.max_bytes,
         };
         *self.lists.borrow_mut() = Some(Lists::new(config, seed, self.begun.elapsed()));
         self.began.notify_waiters();
@@ -185,14 +185,14 @@
 
 /// The way in which this instance asks the list service where lists are shared.
 #[derive(Clone)]
-pub struct Sharing {
+pub struct ListSharing {
     pub(super) instances: Rc<Instances>,
     pub(super) shared: Rc<Shared>,
 }
 
-impl Sharing {
+impl ListSharing {
     /// Done when the list service is to be called by this instance.
-    pub async fn turn(&self) {
+    pub async fn wait_until_poller(&self) {
         let shared = &self.shared;
         if shared.lists.borrow().is_none() {
             let _ = timeout(LISTENS, shared.began.notified()).await;
@@ -204,7 +204,7 @@
     }
 
     /// Done when it no longer is.
-    pub async fn over(&self) {
+    pub async fn wait_while_poller(&self) {
         let shared = &self.shared;
         if shared.lists.borrow().is_none() {
             shared.began.notified().await;
@@ -214,27 +214,27 @@
 
     /// The service is called: from which generation on, or for all of the list. None while this instance does not listen yet, and asks
     /// as one that is alone.
-    pub fn asks(&self) -> Option<Option<u64>> {
+    pub fn call_started(&self) -> Option<Option<u64>> {
         let index = self.shared.lists.borrow().as_ref().map(Lists::index)?;
         self.shared.handle(&self.instances, Heard::Asked);
         Some(index)
     }
 
     /// It answered a call that began at a time.
-    pub fn answered(&self, began: Instant, list: &NodeList) {
+    pub fn call_answered(&self, began: Instant, list: &NodeList) {
         let began = began.saturating_duration_since(self.shared.begun);
         let (generation, whole, entries) = (list.generation, list.reset, list.texts());
         self.shared.handle(&self.instances, Heard::Answered { began, generation, whole, entries });
     }
 
     /// It did not.
-    pub fn failed(&self, torn: bool) {
+    pub fn call_failed(&self, torn: bool) {
         self.shared.handle(&self.instances, Heard::Failed { torn });
     }
 }
 
 /// Takes in what is held, whenever that is another list; for want of any, what was known before the start.
-pub async fn take<C: Carrier>(core: Rc<Core<C>>, sharing: Sharing, known: NodeList) {
+pub async fn apply_lists<C: Carrier>(core: Rc<Core<C>>, sharing: ListSharing, known: NodeList) {
     let shared = sharing.shared;
     let mut taken = None;
     let mut known = (!known.is_empty()).then_some(known);
--- a/relay/src/instances/mod.rs
+++ b/relay/src/instances/mod.rs
@@ -19,8 +19,8 @@
 use crate::admin_client;
 use crate::config;
 use lists::Shared;
-pub use lists::{Sharing, Told, take};
-pub use shares::divide;
+pub use lists::{ListSharing, ListSharingLimits, apply_lists};
+pub use shares::divide_limits;
 
 /// Largest datagram that is read; a longer one is none of ours.
 const LARGEST: usize = 2048;
@@ -30,7 +30,7 @@
 const TOGETHER: Duration = Duration::from_millis(100);
 /// The others, as this instance sees them.
 pub struct Instances {
-    told: config::Instances,
+    told: config::InstancesConfig,
     begun: Instant,
     swim: RefCell<Option<Swim>>,
     /// Another's view is being asked for.
@@ -49,7 +49,11 @@
 
 impl Instances {
     /// Talks to the others from now on. The relay does not wait for it.
-    pub fn start(told: config::Instances, name: Option<String>, lists: Option<Told>) -> Rc<Self> {
+    pub fn start(
+        told: config::InstancesConfig,
+        name: Option<String>,
+        lists: Option<ListSharingLimits>,
+    ) -> Rc<Self> {
         let begun = Instant::now();
         let instances = Rc::new(Instances {
             told,
@@ -159,17 +163,17 @@
     }
 
     /// Whether its file says that lists pass between instances.
-    pub fn wants_lists(&self) -> bool {
+    pub fn shares_lists(&self) -> bool {
         self.told.lists
     }
 
     /// How lists are had, where they pass between instances.
-    pub fn sharing(self: &Rc<Self>) -> Option<Sharing> {
-        Some(Sharing { instances: self.clone(), shared: self.shared.clone()? })
+    pub fn list_sharing(self: &Rc<Self>) -> Option<ListSharing> {
+        Some(ListSharing { instances: self.clone(), shared: self.shared.clone()? })
     }
 
     /// Whether its file says that limits are divided among those that are there.
-    pub fn wants_shares(&self) -> bool {
+    pub fn shares_limits(&self) -> bool {
         self.told.shares
     }
 
@@ -297,13 +301,13 @@
 }
 
 /// Asks a running relay for its view.
-pub async fn ask(address: SocketAddr) -> Result<Value, String> {
+pub async fn fetch_view(address: SocketAddr) -> Result<Value, String> {
     let body = admin_client::get(address, "/-/instances").await?;
     serde_json::from_slice(&body).map_err(|e| format!("its answer cannot be read: {e}"))
 }
 
 /// The view as a table.
-pub fn table(view: &Value) -> String {
+pub fn format_view(view: &Value) -> String {
     let text = |v: &Value| v.as_str().map_or(v.to_string(), str::to_owned);
     let others = view["instances"].as_array().map_or(&[][..], Vec::as_slice);
     let mut table =
--- a/relay/src/instances/shares.rs
+++ b/relay/src/instances/shares.rs
@@ -11,7 +11,7 @@
 const FAR_OFF: Duration = Duration::from_secs(3600);
 
 /// Divides what a front sends among those that are there, as they come and go. At first as many are counted as the settings tell.
-pub async fn divide<C: Carrier>(core: Rc<Core<C>>, instances: Rc<Instances>) {
+pub async fn divide_limits<C: Carrier>(core: Rc<Core<C>>, instances: Rc<Instances>) {
     let mut members = instances.members.subscribe();
     let told = core.rules().settings.couriers.unwrap_or(1);
     let mut count = Count::new(told, instances.begun.elapsed());
--- a/relay/src/main.rs
+++ b/relay/src/main.rs
@@ -123,9 +123,9 @@
 }
 
 fn instances(address: SocketAddr, json: bool) -> ExitCode {
-    match actix_rt::System::new().block_on(onyxglade::instances::ask(address)) {
+    match actix_rt::System::new().block_on(onyxglade::instances::fetch_view(address)) {
         Ok(view) => {
-            print!("{}", if json { format!("{view}\n") } else { onyxglade::instances::table(&view) });
+            print!("{}", if json { format!("{view}\n") } else { onyxglade::instances::format_view(&view) });
             ExitCode::SUCCESS
         }
         Err(fault) => {
@@ -153,7 +153,7 @@
 }
 
 fn make_certificates(folder: &Path, names: &[String]) -> ExitCode {
-    match tls::make(folder, names) {
+    match tls::generate_certificates(folder, names) {
         Ok(written) => {
             written.iter().for_each(|path| println!("{}", path.display()));
             ExitCode::SUCCESS
@@ -180,7 +180,7 @@
 
 /// Prints the file of ours, and beside it what was not carried over.
 fn import_nginx(file: &Path) -> ExitCode {
-    match import::file(file) {
+    match import::import_file(file) {
         Ok((text, remarks)) => {
             remarks.iter().for_each(|remark| eprintln!("{}: {remark}", file.display()));
             match std::io::stdout().write_all(text.as_bytes()) {
--- a/relay/src/push/gateways.rs
+++ b/relay/src/push/gateways.rs
@@ -23,7 +23,7 @@
 use super::pool::{ClaimId, Denial, Left, LineId, Order, Pool};
 use super::{PATH, TOPIC, TTL};
 use crate::clock;
-use crate::config::{PoolLimits, Secured, Trust};
+use crate::config::{GatewayTls, PoolLimits, TlsTarget};
 use crate::core::{Carrier, Core, Node, Ticket};
 use crate::job::{Job, Outcome};
 use crate::journal::SettledEnd;
@@ -47,7 +47,7 @@
     gateways: RefCell<HashMap<SocketAddr, Rc<Gateway>>>,
     notices: Cell<SocketAddr>,
     limits: Cell<PoolLimits>,
-    secured: RefCell<Secured>,
+    secured: RefCell<GatewayTls>,
 }
 
 type Stream = Either<TcpStream, TlsStream<TcpStream>>;
@@ -55,7 +55,7 @@
 /// The connections to one gateway.
 struct Gateway {
     address: SocketAddr,
-    trust: RefCell<Option<Trust>>,
+    trust: RefCell<Option<TlsTarget>>,
     pool: RefCell<Pool>,
     lines: RefCell<HashMap<LineId, Line>>,
     waiting: RefCell<HashMap<ClaimId, oneshot::Sender<Result<LineId, Denial>>>>,
@@ -87,7 +87,7 @@
 }
 
 impl Gateway {
-    fn new(address: SocketAddr, limits: PoolLimits, trust: Option<Trust>) -> Rc<Self> {
+    fn new(address: SocketAddr, limits: PoolLimits, trust: Option<TlsTarget>) -> Rc<Self> {
         Rc::new(Gateway {
             address,
             trust: RefCell::new(trust),
@@ -335,7 +335,7 @@
 
 async fn handshake(
     address: SocketAddr,
-    trust: Option<Trust>,
+    trust: Option<TlsTarget>,
 ) -> Result<(SendRequest<Bytes>, PingPong, Driver), String> {
     let stream = TcpStream::connect(address).await.map_err(|e| e.to_string())?;
     stream.set_nodelay(true).map_err(|e| e.to_string())?;
@@ -344,7 +344,7 @@
         Some((config, name)) => {
             let secured = TlsConnector::from(config).connect(name, stream).await;
             let secured = secured.map_err(|e| format!("TLS: {e}"))?;
-            if !tls::speaks_h2(secured.get_ref().1.alpn_protocol()) {
+            if !tls::negotiated_h2(secured.get_ref().1.alpn_protocol()) {
                 return Err("TLS: it does not agree on HTTP/2".into());
             }
             Either::Right(secured)
@@ -409,7 +409,7 @@
 
     /// Takes up how gateways are reached by TLS. Connections that are up keep what they were opened with, and give way
     /// to others as they end.
-    pub fn secure(&self, secured: Secured) {
+    pub fn set_tls(&self, secured: GatewayTls) {
         for (address, gateway) in self.gateways.borrow().iter() {
             *gateway.trust.borrow_mut() = secured.of(*address);
         }
@@ -417,7 +417,7 @@
     }
 
     /// Takes up other limits, and another reader of notices. What is under way goes on.
-    pub fn settle(&self, limits: PoolLimits, notices: SocketAddr) {
+    pub fn reconfigure(&self, limits: PoolLimits, notices: SocketAddr) {
         self.limits.set(limits);
         self.notices.set(notices);
         let gateways = self.gateways.borrow();
@@ -503,7 +503,7 @@
 }
 
 /// Looks after connections for as long as the front runs: idle ones are closed, silent ones broken off.
-pub async fn tend(core: Rc<Core<Gateways>>) {
+pub async fn maintain_connections(core: Rc<Core<Gateways>>) {
     loop {
         tokio::time::sleep(LOOK).await;
         let gateways: Vec<_> = core.carrier.gateways.borrow().values().cloned().collect();
--- a/relay/src/push/server.rs
+++ b/relay/src/push/server.rs
@@ -20,7 +20,7 @@
 
 use super::{PATH, TOPIC, TTL};
 use crate::clock;
-use crate::config::{Location, Push, Urgency};
+use crate::config::{Location, PushConfig, Urgency};
 use crate::connection_limiter::{self, ConnectionPolicy, Places, TrackedStream, Yields};
 use crate::core::{Carrier, Core};
 use crate::job::{Answer, Job};
@@ -65,12 +65,12 @@
 }
 
 impl<C: Carrier> Server<C> {
-    pub fn new(core: Rc<Core<C>>, push: &Push, seed: u64) -> Rc<Self> {
+    pub fn new(core: Rc<Core<C>>, push: &PushConfig, seed: u64) -> Rc<Self> {
         Rc::new(Server {
             locations: RefCell::new(push.locations.clone()),
             body_limit: Cell::new(push.body_limit),
             reading: Cell::new(0),
-            secured: RefCell::new(push.secured.clone()),
+            secured: RefCell::new(push.server_tls.clone()),
             prefix: format!("{seed:016x}"),
             next_id: Cell::new(0),
             core,
@@ -78,7 +78,12 @@
     }
 
     /// The file was read anew.
-    pub fn settle(&self, locations: Vec<Location>, body_limit: usize, secured: Option<Arc<ServerConfig>>) {
+    pub fn reconfigure(
+        &self,
+        locations: Vec<Location>,
+        body_limit: usize,
+        secured: Option<Arc<ServerConfig>>,
+    ) {
         // Connections that are open keep what they were greeted with.
         *self.secured.borrow_mut() = secured;
         self.body_limit.set(body_limit);
@@ -201,7 +206,7 @@
     // Guards against submitters that begin a handshake and go no further.
     let handshake = tokio::time::timeout(READ_TIME, TlsAcceptor::from(config).accept(gate)).await;
     let line = handshake.map_err(|_| DispatchError::SlowRequestTimeout)?.map_err(DispatchError::Io)?;
-    if !tls::speaks_h2(line.get_ref().1.alpn_protocol()) {
+    if !tls::negotiated_h2(line.get_ref().1.alpn_protocol()) {
         return Err(DispatchError::Io(std::io::Error::other("TLS without HTTP/2")));
     }
     Ok(Either::Right(line))
--- a/relay/src/run.rs
+++ b/relay/src/run.rs
@@ -12,14 +12,14 @@
 use crate::availability::{Availability, Word};
 use crate::backlog::{Backlog, BacklogClass};
 use crate::clock;
-use crate::config::{self, Idle, Limits, Rules};
+use crate::config::{self, IdleConfig, MachineLimits, Rules};
 use crate::connection_limiter::Places;
 use crate::core::{Carrier, Core, NotOut};
 use crate::disabled::Disabled;
 use crate::figures::{BacklogFigures, Census, Figures};
 use crate::handover::{self, Elder};
 use crate::hook::Hooks;
-use crate::instances::{self, Instances, Sharing};
+use crate::instances::{self, Instances, ListSharing};
 use crate::journal::{Journal, Open, may_pass};
 use crate::lease_record::LeaseRecord;
 use crate::list::NodeList;
@@ -66,12 +66,12 @@
 pub async fn run(file: Option<PathBuf>) -> Result<(), Fault> {
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let mut reload = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
-    let platform = config::platform().map_err(Fault::Configuration)?;
+    let platform = config::load_platform_config().map_err(Fault::Configuration)?;
     if let Some(platform) = &platform {
         // Before anything is reckoned by it.
         clock::adopt(&platform.state);
     }
-    let own = file.as_deref().map(config::own).transpose().map_err(Fault::Configuration)?;
+    let own = file.as_deref().map(config::load_relay_config).transpose().map_err(Fault::Configuration)?;
     let own = own.unwrap_or_default();
     if platform.is_none() && own.push.is_none() {
         let fault = "no front is configured: set BALANCER_CONFIG or name a file with [push] (--config FILE)";
@@ -80,7 +80,7 @@
     // Each front has its own, read from the same script.
     let hooks = || own.hook.as_ref().map(Hooks::load).transpose().map_err(Fault::Configuration);
     let told = platform.as_ref().and_then(|platform| platform.admin);
-    let admin = config::admin().map_err(Fault::Configuration)?.or(told).or(own.admin);
+    let admin = config::admin_address_from_env().map_err(Fault::Configuration)?.or(told).or(own.admin);
     let rules = platform.as_ref().map(|p| &p.rules).into_iter().chain(own.push.as_ref().map(|p| &p.rules));
     let figures = Figures::new(rules.flat_map(|rules| &rules.names.classes));
     let process = Rc::new(Standing::default());
@@ -92,18 +92,18 @@
     }
     let name = platform.as_ref().map(|platform| platform.name.clone());
     // Lists pass between instances of the platform's front only: the second one's gateways are in the file.
-    let lists = platform.as_ref().map(|platform| instances::Told {
-        must_ask_in: platform.rules.must_ask_in(),
-        longest: own.idle.list_limit,
+    let lists = platform.as_ref().map(|platform| instances::ListSharingLimits {
+        max_age: platform.rules.list_max_age(),
+        max_bytes: own.idle.list_limit,
     });
     let instances = own.instances.map(|told| {
         let lists = lists.filter(|_| told.lists);
         Instances::start(told, name, lists)
     });
-    if lists.is_none() && instances.as_ref().is_some_and(|instances| instances.wants_lists()) {
+    if lists.is_none() && instances.as_ref().is_some_and(|instances| instances.shares_lists()) {
         tracing::warn!("instances.lists: there is no list to pass on without the platform's front");
     }
-    let sharing = instances.as_ref().and_then(Instances::sharing);
+    let sharing = instances.as_ref().and_then(Instances::list_sharing);
     desk.set_instances(instances.clone());
     let platform = match platform {
         Some(platform) => {
@@ -132,12 +132,12 @@
         Some(push) => Some(start_push(push, hooks()?, &figures).await?),
         None => None,
     };
-    if let Some(instances) = instances.as_ref().filter(|instances| instances.wants_shares()) {
+    if let Some(instances) = instances.as_ref().filter(|instances| instances.shares_limits()) {
         if let Some(platform) = &platform {
-            actix_rt::spawn(instances::divide(platform.core.clone(), instances.clone()));
+            actix_rt::spawn(instances::divide_limits(platform.core.clone(), instances.clone()));
         }
         if let Some(push) = &push {
-            actix_rt::spawn(instances::divide(push.core.clone(), instances.clone()));
+            actix_rt::spawn(instances::divide_limits(push.core.clone(), instances.clone()));
         }
     }
     figures.loaded(true);
@@ -336,15 +336,15 @@
 
 #[allow(clippy::too_many_arguments)]
 async fn start_platform(
-    mut config: config::Platform,
-    idle: &Idle,
+    mut config: config::PlatformConfig,
+    idle: &IdleConfig,
     hooks: Option<Hooks>,
     figures: &Rc<Figures>,
     process: &Standing,
     desk: &Admin,
     upgrades: bool,
-    sharing: Option<Sharing>,
-    backlog: Option<&config::Backlog>,
+    sharing: Option<ListSharing>,
+    backlog: Option<&config::BacklogConfig>,
 ) -> Result<PlatformFront, String> {
     let (lock, legacy) = match upgrades {
         true => {
@@ -358,20 +358,20 @@
     };
     idle.apply(&mut config.rules);
     config.rules.settings.list_shared = sharing.is_some();
-    let Limits { disk, sockets } = config.limits;
+    let MachineLimits { disk_bytes, sockets } = config.limits;
     let budget = Rc::new(Budget { sockets: Cell::new(sockets), shared: Cell::new(legacy.is_some()) });
     let to_nodes = crate::platform::carrier::ToNodes::new(&config.rules, config.discovery, idle.list_limit);
     to_nodes.set_connections(budget.connections(idle));
     let discovery = to_nodes.platform();
     let first_start = !Journal::exists(&config.state) && !LeaseRecord::exists(&config.state);
     let mut listener = None;
-    let opened = match Journal::open(&config.state, disk) {
+    let opened = match Journal::open(&config.state, disk_bytes) {
         Ok(opened) => Ok(opened),
         Err(error) if !may_pass(&error) => Err(format!("journal in {}: {error}", config.state.display())),
         Err(_) => {
             let listener = listener.insert(listen_to_submitters(config.listen).await?);
             tokio::select! {
-                opened = open_journal(&config.state, disk) => opened,
+                opened = open_journal(&config.state, disk_bytes) => opened,
                 () = refuse_all(listener, budget.submitters()) => Err("no connections can be taken".into()),
             }
         }
@@ -405,8 +405,8 @@
             open.into_iter().for_each(|open| core.recover(open));
             // Where lists pass between instances, what is known waits for a better one; the first round is played all the same.
             let nothing = NodeList::default();
-            core.take_list(if sharing.is_some() { &nothing } else { &config.known }).await;
-            held = held.or((!config.known.is_empty()).then_some(config.known.generation));
+            core.take_list(if sharing.is_some() { &nothing } else { &config.known_nodes }).await;
+            held = held.or((!config.known_nodes.is_empty()).then_some(config.known_nodes.generation));
         }
     }
     if core.rules().settings.list_on_request && sharing.is_none() {
@@ -414,7 +414,7 @@
     }
     begin(&core, "platform");
     if let Some(sharing) = &sharing {
-        actix_rt::spawn(instances::take(core.clone(), sharing.clone(), config.known));
+        actix_rt::spawn(instances::apply_lists(core.clone(), sharing.clone(), config.known_nodes));
     }
     let following = actix_rt::spawn(crate::discovery::follow(core.clone(), discovery, held, sharing));
     actix_rt::spawn(crate::platform::carrier::close_idle(core.clone()));
@@ -452,7 +452,7 @@
 /// Opens the backlog on disk and has the core use it.
 async fn attach_backlog<C: Carrier>(
     core: &Rc<Core<C>>,
-    settings: &config::Backlog,
+    settings: &config::BacklogConfig,
     owner: &str,
     journaled: &[Open],
 ) -> Result<(), String> {
@@ -486,7 +486,7 @@
     }
 
     /// How many connections to nodes may be open: what the file says, else what submitters leave.
-    fn connections(&self, idle: &Idle) -> usize {
+    fn connections(&self, idle: &IdleConfig) -> usize {
         let left = self.mine().saturating_sub(self.submitters() + BESIDE).max(1);
         idle.connections.map_or(left, |said| if self.shared.get() { said.min(left) } else { said })
     }
@@ -522,8 +522,10 @@
 
     /// Reads the configuration anew and takes it up without dropping a job or a connection. False if it is faulty.
     fn reload(&self, file: Option<&Path>) -> bool {
-        let own = file.map(config::own).transpose();
-        let read = own.and_then(|own| Ok((config::platform()?, own.map_or(Idle::default(), |own| own.idle))));
+        let own = file.map(config::load_relay_config).transpose();
+        let read = own.and_then(|own| {
+            Ok((config::load_platform_config()?, own.map_or(IdleConfig::default(), |own| own.idle)))
+        });
         let (config, idle) = match read {
             Ok((Some(mut config), idle)) => {
                 idle.apply(&mut config.rules);
@@ -542,7 +544,7 @@
         self.core.carrier.settle(&config.rules, config.discovery, idle.list_limit);
         self.budget.sockets.set(config.limits.sockets);
         self.core.carrier.set_connections(self.budget.connections(&idle));
-        self.core.settle(config.rules, config.limits.disk);
+        self.core.settle(config.rules, config.limits.disk_bytes);
         self.places.set(self.budget.submitters());
         tracing::info!(discovery = %config.discovery, "SIGHUP: configuration read anew");
         true
@@ -550,23 +552,23 @@
 }
 
 async fn start_push(
-    config: config::Push,
+    config: config::PushConfig,
     hooks: Option<Hooks>,
     figures: &Rc<Figures>,
 ) -> Result<PushFront, String> {
     // Not told by anybody: this front's own, new with each start.
     let seed = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
-    let gateways = crate::push::gateways::Gateways::new(config.pool, config.notices);
-    gateways.secure(config.trust.clone());
+    let gateways = crate::push::gateways::Gateways::new(config.pool_limits, config.notices);
+    gateways.set_tls(config.gateway_tls.clone());
     let rules = config.rules.clone();
-    let opened = open_journal(&config.state, config.disk).await;
+    let opened = open_journal(&config.state, config.disk_bytes).await;
     let (journal, open) = opened.map_err(|e| format!("push.state: {e}"))?;
     tracing::info!(recovered = open.len(), "journal read");
     let core = new_core(gateways, rules, hooks, seed, &config.state, journal, figures);
     open.into_iter().for_each(|open| core.recover(open));
     begin(&core, "push");
     core.take_list(&config.gateways).await;
-    actix_rt::spawn(crate::push::gateways::tend(core.clone()));
+    actix_rt::spawn(crate::push::gateways::maintain_connections(core.clone()));
     let listener = listen("push.listen", config.listen)?;
     let address = listener.local_addr().unwrap_or(config.listen);
     let server = crate::push::server::Server::new(core.clone(), &config, seed);
@@ -579,16 +581,17 @@
 impl PushFront {
     /// Reads the file anew and takes it up without dropping a message or a connection. False if it is faulty.
     async fn reload(&self, file: &Path) -> bool {
-        match config::own(file).and_then(|own| own.push.ok_or("push: the table is gone".into())) {
+        match config::load_relay_config(file).and_then(|own| own.push.ok_or("push: the table is gone".into()))
+        {
             Ok(push) => {
                 if (push.listen, &push.state) != (self.listen, &self.state) {
                     tracing::warn!("SIGHUP: push.listen and push.state are taken up with the next start");
                 }
-                self.core.carrier.settle(push.pool, push.notices);
-                self.core.carrier.secure(push.trust);
-                self.core.settle(push.rules, push.disk);
+                self.core.carrier.reconfigure(push.pool_limits, push.notices);
+                self.core.carrier.set_tls(push.gateway_tls);
+                self.core.settle(push.rules, push.disk_bytes);
                 self.core.take_list(&push.gateways).await;
-                self.server.settle(push.locations, push.body_limit, push.secured);
+                self.server.reconfigure(push.locations, push.body_limit, push.server_tls);
                 self.places.set(push.connections);
                 tracing::info!(gateways = push.gateways.len(), "SIGHUP: file read anew");
                 true
--- a/relay/src/tls.rs
+++ b/relay/src/tls.rs
@@ -22,21 +22,21 @@
 /// What the front presents to submitters.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct ServerTable {
+pub struct ServerTlsTable {
     /// Its certificate, with those between it and the authority's.
     pub certificate: PathBuf,
     pub key: PathBuf,
     /// Authorities of submitters; where it is given, each must present a certificate of theirs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub clients: Option<PathBuf>,
-    #[serde(default)]
-    pub least: Least,
+    #[serde(rename = "least", default)]
+    pub min_version: MinTlsVersion,
 }
 
 /// What is asked of gateways that are reached by TLS, and presented to them.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct ClientTable {
+pub struct ClientTlsTable {
     /// Authorities that are trusted.
     pub trust: PathBuf,
     /// What is presented to gateways that ask for it.
@@ -44,13 +44,13 @@
     pub certificate: Option<PathBuf>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<PathBuf>,
-    #[serde(default)]
-    pub least: Least,
+    #[serde(rename = "least", default)]
+    pub min_version: MinTlsVersion,
 }
 
 /// The least version that is spoken.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
-pub enum Least {
+pub enum MinTlsVersion {
     #[default]
     #[serde(rename = "1.2")]
     Tls12,
@@ -58,11 +58,11 @@
     Tls13,
 }
 
-impl Least {
+impl MinTlsVersion {
     fn versions(self) -> Vec<&'static SupportedProtocolVersion> {
         match self {
-            Least::Tls12 => vec![&rustls::version::TLS13, &rustls::version::TLS12],
-            Least::Tls13 => vec![&rustls::version::TLS13],
+            MinTlsVersion::Tls12 => vec![&rustls::version::TLS13, &rustls::version::TLS12],
+            MinTlsVersion::Tls13 => vec![&rustls::version::TLS13],
         }
     }
 }
@@ -92,9 +92,9 @@
 }
 
 /// Reads what the front presents. Every fault names its key.
-pub fn server(table: &ServerTable) -> Result<Arc<ServerConfig>, String> {
+pub fn server_config(table: &ServerTlsTable) -> Result<Arc<ServerConfig>, String> {
     let versions =
-        ServerConfig::builder_with_provider(provider()).with_protocol_versions(&table.least.versions());
+        ServerConfig::builder_with_provider(provider()).with_protocol_versions(&table.min_version.versions());
     let builder = versions.map_err(|e| format!("push.tls.least: {e}"))?;
     let builder = match &table.clients {
         Some(path) => {
@@ -113,9 +113,9 @@
 }
 
 /// Reads what gateways are held to. Every fault names its key.
-pub fn client(table: &ClientTable) -> Result<Arc<ClientConfig>, String> {
+pub fn client_config(table: &ClientTlsTable) -> Result<Arc<ClientConfig>, String> {
     let versions =
-        ClientConfig::builder_with_provider(provider()).with_protocol_versions(&table.least.versions());
+        ClientConfig::builder_with_provider(provider()).with_protocol_versions(&table.min_version.versions());
     let builder = versions.map_err(|e| format!("gateways.tls.least: {e}"))?;
     let builder = builder.with_root_certificates(authorities("gateways.tls.trust", &table.trust)?);
     let mut config = match (&table.certificate, &table.key) {
@@ -134,13 +134,13 @@
 }
 
 /// Whether a handshake ended with HTTP/2; peers that name no protocol do not speak it by prior agreement here.
-pub fn speaks_h2(agreed: Option<&[u8]>) -> bool {
+pub fn negotiated_h2(agreed: Option<&[u8]>) -> bool {
     agreed == Some(H2)
 }
 
 /// Makes an authority for trying things out, and a certificate of it for each name, for 127.0.0.1 and for submitters,
 /// as files in a folder. Keys are made anew each time.
-pub fn make(folder: &Path, names: &[String]) -> Result<Vec<PathBuf>, String> {
+pub fn generate_certificates(folder: &Path, names: &[String]) -> Result<Vec<PathBuf>, String> {
     let fault = |what: &str, e: rcgen::Error| format!("{what}: {e}");
     let mut params = CertificateParams::default();
     params.distinguished_name.push(DnType::CommonName, "onyxglade's authority for trying things out");
--- a/relay/tests/tls.rs
+++ b/relay/tests/tls.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use h2::{client, server};
 use http::{Request, Response};
-use onyxglade::tls::{self, ClientTable, Least, ServerTable};
+use onyxglade::tls::{self, ClientTlsTable, MinTlsVersion, ServerTlsTable};
 use program::Program;
 use rustls::pki_types::ServerName;
 use rustls::{ClientConfig, ServerConfig};
@@ -26,7 +26,7 @@
 impl Certificates {
     fn make(folder: &Path, name: &str) -> Self {
         let folder = folder.join(name);
-        tls::make(&folder, &["gateway.test".into()]).expect("certificates");
+        tls::generate_certificates(&folder, &["gateway.test".into()]).expect("certificates");
         Certificates(folder)
     }
 
@@ -37,7 +37,8 @@
     fn server(&self, clients: bool) -> Arc<ServerConfig> {
         let clients = clients.then(|| self.file("authority.pem"));
         let (certificate, key) = (self.file("server.pem"), self.file("server.key"));
-        tls::server(&ServerTable { certificate, key, clients, least: Least::Tls12 }).expect("sound")
+        tls::server_config(&ServerTlsTable { certificate, key, clients, min_version: MinTlsVersion::Tls12 })
+            .expect("sound")
     }
 
     fn client(&self, presents: bool) -> ClientConfig {
@@ -48,8 +49,13 @@
     fn client_with(&self, presents: Option<&Certificates>) -> ClientConfig {
         let of = |name: &str| presents.map(|own| own.file(name));
         let (certificate, key) = (of("client.pem"), of("client.key"));
-        let table = ClientTable { trust: self.file("authority.pem"), certificate, key, least: Least::Tls12 };
-        Arc::unwrap_or_clone(tls::client(&table).expect("sound"))
+        let table = ClientTlsTable {
+            trust: self.file("authority.pem"),
+            certificate,
+            key,
+            min_version: MinTlsVersion::Tls12,
+        };
+        Arc::unwrap_or_clone(tls::client_config(&table).expect("sound"))
     }
 }
 
