--- a/relay/src/config/admin.rs
+++ b/relay/src/config/admin.rs
@@ -1,15 +1,15 @@
-//! The address at which those who run the relay call: the environment's, or `admin` in the relay's own file.
+//! The address of the admin API for operators: from the environment, or `admin` in the relay's own file.
 use std::net::SocketAddr;
 
 use super::environment::address;
-use super::faults::Faults;
+use super::errors::ConfigErrors;
 
-/// Where those who run the relay call, if the environment says so: over any file.
+/// The address of the admin API from `BALANCER_ADMIN`, which overrides both files.
 pub fn admin_address_from_env() -> Result<Option<SocketAddr>, String> {
     address("BALANCER_ADMIN")
 }
 
-/// `admin` in the relay's own file.
-pub(super) fn check(text: Option<String>, faults: &mut Faults) -> Option<SocketAddr> {
-    faults.address("admin", &text?)
+/// Validates `admin` in the relay's own file.
+pub(super) fn check(text: Option<String>, errors: &mut ConfigErrors) -> Option<SocketAddr> {
+    errors.address("admin", &text?)
 }
--- a/relay/src/config/environment.rs
+++ b/relay/src/config/environment.rs
@@ -1,7 +1,7 @@
-//! Variables of the environment that configuration is read from. An empty one counts as not set.
+//! Environment variables of the configuration. An empty variable counts as not set.
 use std::net::SocketAddr;
 
-/// The variable of that name, if it is set.
+/// The value of a variable, if it is set.
 pub(super) fn variable(name: &str) -> Result<Option<String>, String> {
     match std::env::var(name) {
         Ok(value) if value.is_empty() => Ok(None),
@@ -11,8 +11,8 @@
     }
 }
 
-/// The address and port in the variable of that name, if it is set.
+/// The address and port in a variable, if it is set.
 pub(super) fn address(name: &str) -> Result<Option<SocketAddr>, String> {
     let value = variable(name)?;
-    value.map(|v| v.parse().map_err(|_| format!("{name}: '{v}' is no address and port"))).transpose()
+    value.map(|v| v.parse().map_err(|_| format!("{name}: '{v}' is not an address with a port"))).transpose()
 }
--- a/relay/src/config/hook.rs
+++ b/relay/src/config/hook.rs
@@ -1,15 +1,15 @@
-//! The section `[hook]`: a plug-in for the fronts that are on.
+//! The section `[hook]`: a hook script for all enabled fronts.
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
-use super::faults::Faults;
+use super::errors::ConfigErrors;
 
 /// The section as it is written.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct HookTable {
     pub script: PathBuf,
-    /// Steps that one call of a hook may take.
+    /// Maximum number of interpreter operations in one call of a hook.
     #[serde(default = "default_operations")]
     pub operations: u64,
 }
@@ -19,10 +19,10 @@
 }
 
 impl HookTable {
-    /// Adds what is wrong with the table to `faults`.
-    pub(super) fn check(&self, faults: &mut Faults) {
+    /// Validates the section; errors are added to `errors`.
+    pub(super) fn check(&self, errors: &mut ConfigErrors) {
         if self.operations == 0 {
-            faults.add("hook.operations", "must be at least 1");
+            errors.add("hook.operations", "must be at least 1");
         }
     }
 }
--- a/relay/src/config/idle.rs
+++ b/relay/src/config/idle.rs
@@ -1,38 +1,39 @@
-//! The section `[idle]`: how destinations are kept that are seldom used.
+//! The section `[idle]`: resources kept for rarely used destinations.
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-use super::faults::Faults;
+use super::errors::ConfigErrors;
 use super::rules::Rules;
 use crate::job::nanos;
 
 const MB: usize = 1024 * 1024;
-/// The module forgets what it measured of a destination after a minute without use: no return can be told from
-/// ordinary use before.
-const LEAST_COLD_AFTER_S: u64 = 60;
+/// The decision module drops its measurements of a destination after a minute without use; a shorter time could not
+/// distinguish a return after idleness from normal use.
+const MIN_COLD_AFTER_S: u64 = 60;
 
-/// Longest list that may be allowed, in megabytes.
-const MOST_LIST_LIMIT_MB: usize = 1024;
+/// Upper bound of `list_limit_mb`, in megabytes.
+const MAX_LIST_LIMIT_MB: usize = 1024;
 
 /// The section as it is written.
 #[derive(Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct IdleTable {
-    /// Seconds; at least 60.
+    /// Seconds of disuse after which a destination counts as cold; at least 60.
     pub cold_after_s: Option<u64>,
-    /// Megabytes (of 1,048,576 bytes).
+    /// Maximum size of the list of execute nodes, in megabytes (of 1,048,576 bytes).
     pub list_limit_mb: Option<usize>,
     pub connections: Option<usize>,
 }
 
-/// How destinations are kept that are seldom used, on the fronts that are on.
+/// Resources kept for rarely used destinations, on all enabled fronts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IdleConfig {
-    /// A destination unused for so long is cold until it shows otherwise; none is where this is not set.
+    /// A destination that was unused for this time is treated as cold until it proves warm. Without a value no destination
+    /// is.
     pub cold_after: Option<Duration>,
-    /// The longest list that is read, in bytes.
+    /// Maximum size of the list of execute nodes, in bytes.
     pub list_limit: usize,
-    /// Connections to execute nodes that may be open at once, idle ones counted.
+    /// Maximum number of open connections to execute nodes, including idle ones.
     pub connections: Option<usize>,
 }
 
@@ -43,23 +44,23 @@
 }
 
 impl IdleConfig {
-    /// Puts what the module is to know of it into a front's rules.
+    /// Applies the settings that concern the decision module to the rules of a front.
     pub fn apply(&self, rules: &mut Rules) {
         rules.settings.cold_after = self.cold_after.map(nanos);
     }
 }
 
 impl IdleTable {
-    /// The section's value; what is wrong with it is added to `faults`.
-    pub(super) fn check(self, faults: &mut Faults) -> IdleConfig {
-        if self.cold_after_s.is_some_and(|s| s < LEAST_COLD_AFTER_S) {
-            faults.add("idle.cold_after_s", format!("must be at least {LEAST_COLD_AFTER_S}"));
+    /// Validates the section; errors are added to `errors`.
+    pub(super) fn check(self, errors: &mut ConfigErrors) -> IdleConfig {
+        if self.cold_after_s.is_some_and(|s| s < MIN_COLD_AFTER_S) {
+            errors.add("idle.cold_after_s", format!("must be at least {MIN_COLD_AFTER_S}"));
         }
-        if self.list_limit_mb.is_some_and(|mb| !(1..=MOST_LIST_LIMIT_MB).contains(&mb)) {
-            faults.add("idle.list_limit_mb", format!("must be from 1 to {MOST_LIST_LIMIT_MB}"));
+        if self.list_limit_mb.is_some_and(|mb| !(1..=MAX_LIST_LIMIT_MB).contains(&mb)) {
+            errors.add("idle.list_limit_mb", format!("must be from 1 to {MAX_LIST_LIMIT_MB}"));
         }
         if self.connections == Some(0) {
-            faults.add("idle.connections", "must be at least 1");
+            errors.add("idle.connections", "must be at least 1");
         }
         let list_limit = self.list_limit_mb.map(|mb| mb.saturating_mul(MB));
         IdleConfig {
--- a/relay/src/config/instances.rs
+++ b/relay/src/config/instances.rs
@@ -1,13 +1,13 @@
-//! The section `[instances]`: how an instance talks to the others.
+//! The section `[instances]`: communication among the instances of the relay.
 use onyxglade_instances::{Key, LONGEST, fits};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use super::faults::Faults;
+use super::errors::ConfigErrors;
 
-/// Most instances, which is what the traffic among them is measured for.
-const MOST_INSTANCES: u32 = 1000;
+/// Maximum number of instances: the largest number for which the traffic among them was measured.
+const MAX_INSTANCES: u32 = 1000;
 
 /// The section as it is written.
 #[derive(Debug, Deserialize, Serialize)]
@@ -39,47 +39,47 @@
     3
 }
 
-/// How an instance talks to the others.
+/// Settings for the communication among instances.
 #[derive(Clone)]
 pub struct InstancesConfig {
-    /// Where it listens for datagrams.
+    /// The address for datagrams and links from other instances.
     pub listen: SocketAddr,
-    /// Where others reach it; where it listens, if nothing is said.
+    /// The address at which other instances reach this one; defaults to `listen`.
     pub advertise: Option<SocketAddr>,
     pub seeds: Vec<SocketAddr>,
     pub key: Key,
-    /// Its name; the platform's name for it, if nothing is said.
+    /// The name of this instance; defaults to the name from the platform's file.
     pub name: Option<String>,
     pub zone: String,
     pub region: String,
-    /// Messages a second that it bears; 0 is untold.
+    /// Messages per second that it can handle; 0 if unknown.
     pub capacity: u32,
-    /// About how many instances there are.
+    /// Approximate number of instances.
     pub expected: u32,
-    /// Lists pass between instances.
+    /// Whether instances pass lists of execute nodes to each other.
     pub lists: bool,
-    /// Limits are divided among the instances that are there.
+    /// Whether limits are divided among the live instances.
     pub shares: bool,
 }
 
 impl InstancesTable {
-    /// The section's value; what is wrong with it is added to `faults`, and then there is no value.
-    pub(super) fn check(self, faults: &mut Faults) -> Option<InstancesConfig> {
-        let found = faults.count();
-        let listen = faults.address("instances.listen", &self.listen);
+    /// Validates the section; errors are added to `errors`, and the result is then `None`.
+    pub(super) fn check(self, errors: &mut ConfigErrors) -> Option<InstancesConfig> {
+        let previous_errors = errors.count();
+        let listen = errors.address("instances.listen", &self.listen);
         let advertise = self.advertise.as_deref();
-        let advertise = advertise.and_then(|text| faults.address("instances.advertise", text));
+        let advertise = advertise.and_then(|text| errors.address("instances.advertise", text));
         let seeds = self.seeds.iter().enumerate();
         let seeds =
-            seeds.filter_map(|(n, text)| faults.address(format!("instances.seeds[{n}]"), text)).collect();
-        check_reachable(listen, advertise, faults);
-        self.check_texts(faults);
-        if !(1..=MOST_INSTANCES).contains(&self.expected) {
-            faults.add("instances.expected", format!("must be from 1 to {MOST_INSTANCES}"));
+            seeds.filter_map(|(n, text)| errors.address(format!("instances.seeds[{n}]"), text)).collect();
+        check_reachable(listen, advertise, errors);
+        self.check_texts(errors);
+        if !(1..=MAX_INSTANCES).contains(&self.expected) {
+            errors.add("instances.expected", format!("must be from 1 to {MAX_INSTANCES}"));
         }
-        let key = faults.keep_at("instances.key_file", self.key())?;
+        let key = errors.ok_or_add_at("instances.key_file", self.read_key())?;
         let InstancesTable { name, zone, region, capacity, expected, lists, shares, .. } = self;
-        let listen = listen.filter(|_| faults.count() == found)?;
+        let listen = listen.filter(|_| errors.count() == previous_errors)?;
         Some(InstancesConfig {
             listen,
             advertise,
@@ -95,31 +95,31 @@
         })
     }
 
-    /// Checks the texts that other instances are sent.
-    fn check_texts(&self, faults: &mut Faults) {
+    /// Validates the texts that are sent to other instances.
+    fn check_texts(&self, errors: &mut ConfigErrors) {
         let texts = [
             ("name", self.name.as_deref()),
             ("zone", Some(self.zone.as_str())),
             ("region", Some(self.region.as_str())),
         ];
         for (key, _) in texts.iter().filter(|(_, text)| text.is_some_and(|text| !fits(text))) {
-            let fault = format!("at most {LONGEST} bytes, without control characters");
-            faults.add(format!("instances.{key}"), fault);
+            let message = format!("must have at most {LONGEST} bytes and no control characters");
+            errors.add(format!("instances.{key}"), message);
         }
     }
 
-    /// Reads the key that all instances share.
-    fn key(&self) -> Result<Key, String> {
+    /// Reads the key shared by all instances.
+    fn read_key(&self) -> Result<Key, String> {
         let path = self.key_file.display();
         let text = std::fs::read(&self.key_file).map_err(|e| format!("cannot read {path}: {e}"))?;
         Key::read(&text).map_err(|e| format!("{path}: {e}"))
     }
 }
 
-/// Others are told where to reach this instance, so the address has to lead to it.
-fn check_reachable(listen: Option<SocketAddr>, advertise: Option<SocketAddr>, faults: &mut Faults) {
-    let Some(reached) = advertise.or(listen) else { return };
-    if reached.ip().is_unspecified() || advertise.is_some_and(|a| a.port() == 0) {
-        faults.add("instances.advertise", format!("others cannot reach {reached}"));
+/// Validates the address that is announced to other instances: it must be reachable for them.
+fn check_reachable(listen: Option<SocketAddr>, advertise: Option<SocketAddr>, errors: &mut ConfigErrors) {
+    let Some(address) = advertise.or(listen) else { return };
+    if address.ip().is_unspecified() || advertise.is_some_and(|a| a.port() == 0) {
+        errors.add("instances.advertise", format!("other instances cannot reach {address}"));
     }
 }
--- a/relay/src/config/mod.rs
+++ b/relay/src/config/mod.rs
@@ -1,17 +1,19 @@
-//! The one place where configuration is read, checked and given defaults. Every fault names its key.
+//! Reads and validates the configuration and applies defaults; nothing else reads configuration. Every error names the
+//! key at fault.
 //!
-//! Two files are read. The platform's, in JSON (`platform_file`), gives the addresses, the machine's limits and
-//! the settings from which the [`Rules`] follow; variables of the `environment` override some of it. The relay's
-//! own, in TOML (`relay_file`), turns on what is off by default.
+//! There are two files. The platform's file, in JSON (`platform_file`), sets the addresses, the machine's limits and the
+//! settings that the [`Rules`] are made from; environment variables (`environment`) override some of it. The relay's own
+//! file, in TOML (`relay_file`), enables what is off by default.
 //!
-//! Each section of the relay's own file is a module here: `admin`, `backlog`, `hook`, `idle`, `instances` and `push`, with
-//! the tables that belong to the push front below it. Such a module holds the table as it is written, the checked
-//! value made of it, and the table's `check`, which adds to `faults::Faults` what is wrong and at which key. A new
-//! section is such a module, with a field in [`RelayConfigFile`] and in [`RelayConfig`] and a line in `relay_file::parse_with_all_errors`.
+//! Each section of the relay's own file has a module: `admin`, `backlog`, `hook`, `idle`, `instances` and `push`; the tables
+//! that belong to the push front are submodules of `push`. Such a module defines the table as it is written, the
+//! validated value, and the table's `check` method, which adds errors with their keys to `errors::ConfigErrors`. A new
+//! section needs such a module, a field in [`RelayConfigFile`] and in [`RelayConfig`], and a line in
+//! `relay_file::parse_with_all_errors`.
 mod admin;
 mod backlog;
 mod environment;
-mod faults;
+mod errors;
 mod hook;
 mod idle;
 mod instances;
@@ -36,18 +38,18 @@
 use relay_file::parse_with_all_errors;
 use std::path::Path;
 
-/// Reads and checks a file of either kind; gives what it sets up in a line, or each fault with its key.
+/// Reads and validates a configuration file of either kind. Returns a one-line summary, or all errors with their keys.
 pub fn check(path: &Path) -> Result<String, Vec<String>> {
-    let text = std::fs::read(path).map_err(|e| vec![format!("cannot read it: {e}")])?;
+    let text = std::fs::read(path).map_err(|e| vec![format!("cannot read the file: {e}")])?;
     if text.iter().find(|byte| !byte.is_ascii_whitespace()) == Some(&b'{') {
-        return platform_file::summary(&text).map_err(|fault| vec![fault]);
+        return platform_file::summary(&text).map_err(|error| vec![error]);
     }
-    let text = String::from_utf8(text).map_err(|e| vec![format!("it is not UTF-8: {e}")])?;
-    let own = parse_with_all_errors(&text)?;
-    if let Some(backlog) = &own.backlog {
-        backlog.check_folder(None).map_err(|fault| vec![fault])?;
+    let text = String::from_utf8(text).map_err(|e| vec![format!("the file is not UTF-8: {e}")])?;
+    let config = parse_with_all_errors(&text)?;
+    if let Some(backlog) = &config.backlog {
+        backlog.check_folder(None).map_err(|error| vec![error])?;
     }
-    Ok(own.summary())
+    Ok(config.summary())
 }
 
 #[cfg(test)]
--- a/relay/src/config/platform_file.rs
+++ b/relay/src/config/platform_file.rs
@@ -1,4 +1,4 @@
-//! The platform's file: addresses, the machine's limits, and the settings that rules follow from.
+//! The platform's file: addresses, the machine's limits, and the settings of the platform front.
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use slatethread_wirehost::env::Env;
@@ -10,21 +10,21 @@
 use crate::json::decode;
 use crate::list::{ListText, NodeList};
 
-/// The least that a journal can be kept in, in megabytes.
-pub(super) const LEAST_DISK_MB: f64 = 0.1;
+/// Minimum disk space of a journal, in megabytes.
+pub(super) const MIN_DISK_MB: f64 = 0.1;
 
-/// What a relay on the platform is told.
+/// The platform's configuration of a relay.
 pub struct PlatformConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// Where those who run the relay call.
+    /// The address of the admin API for operators.
     pub admin: Option<SocketAddr>,
-    /// The folder that lasts.
+    /// The folder for persistent state.
     pub state: PathBuf,
     pub seed: u64,
     pub limits: MachineLimits,
-    /// The list of execute nodes as this relay last held it.
+    /// The list of execute nodes as this relay last knew it.
     pub known_nodes: NodeList,
     pub rules: Rules,
 }
@@ -32,29 +32,29 @@
 /// The machine's limits.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineLimits {
-    /// Bytes that the folder that lasts may hold.
+    /// Size limit in bytes of the folder for persistent state.
     pub disk_bytes: u64,
-    /// File descriptors.
+    /// Limit of open file descriptors.
     pub sockets: usize,
 }
 
-/// The file as it is written. Its name stands in the errors of the decoder, and so does that of its limits.
+/// The file as it is written. The names of this type and of [`PlatformFileLimits`] appear in decoding errors.
 #[derive(Deserialize)]
-struct Told<'a> {
+struct PlatformFile<'a> {
     name: String,
     listen: SocketAddr,
     discovery: Option<SocketAddr>,
     admin: Option<SocketAddr>,
     #[serde(default)]
     seed: String,
-    limits: ToldLimits,
+    limits: PlatformFileLimits,
     #[serde(borrow)]
     known: Option<&'a RawValue>,
     settings: Env,
 }
 
 #[derive(Deserialize)]
-struct ToldLimits {
+struct PlatformFileLimits {
     #[serde(default = "default_sockets")]
     sockets: usize,
     #[serde(default = "default_disk_mb")]
@@ -69,50 +69,52 @@
     3.0
 }
 
-/// Reads what the platform tells in `BALANCER_CONFIG`; the variables for the name and the address to listen on
-/// override it. That for discovery does not: the file may be replaced while the process runs, a variable can't
-/// be. Without `BALANCER_CONFIG`, this is no relay of the platform's.
+/// Reads the file that `BALANCER_CONFIG` names. `BALANCER_NAME` and `BALANCER_LISTEN` override it. `BALANCER_DISCOVERY`
+/// does not, since the file can be replaced while the process runs and a variable cannot. Returns `None` if
+/// `BALANCER_CONFIG` is not set: the relay then does not run on the platform.
 pub fn load_platform_config() -> Result<Option<PlatformConfig>, String> {
     let Some(path) = variable("BALANCER_CONFIG")? else { return Ok(None) };
     let text = std::fs::read(&path).map_err(|e| format!("BALANCER_CONFIG: cannot read {path}: {e}"))?;
-    platform_text(&text).map(Some)
+    parse_platform_config(&text).map(Some)
 }
 
-/// The same from the file's text.
-fn platform_text(text: &[u8]) -> Result<PlatformConfig, String> {
-    let told: Told = decode(text).map_err(|e| format!("BALANCER_CONFIG: {e}"))?;
+/// Parses and validates the text of the platform's file.
+fn parse_platform_config(text: &[u8]) -> Result<PlatformConfig, String> {
+    let file: PlatformFile = decode(text).map_err(|e| format!("BALANCER_CONFIG: {e}"))?;
     let state = variable("BALANCER_STATE")?.ok_or("BALANCER_STATE is not set")?;
-    let discovery = told.discovery.map_or_else(|| address("BALANCER_DISCOVERY"), |told| Ok(Some(told)))?;
-    let discovery = discovery.ok_or("BALANCER_CONFIG: discovery: it is missing")?;
-    let seed = if told.seed.is_empty() { Ok(0) } else { u64::from_str_radix(&told.seed, 16) };
-    let known = known_nodes(told.known).map_err(|e| format!("BALANCER_CONFIG: known: {e}"))?;
-    let disk = told.limits.disk_mb;
-    if !disk.is_finite() || disk < LEAST_DISK_MB {
-        return Err(format!("BALANCER_CONFIG: limits.disk_mb: {disk} is too small to keep a journal in"));
+    let discovery =
+        file.discovery.map_or_else(|| address("BALANCER_DISCOVERY"), |discovery| Ok(Some(discovery)))?;
+    let discovery = discovery
+        .ok_or("BALANCER_CONFIG: discovery: the key is missing, and BALANCER_DISCOVERY is not set")?;
+    let seed = if file.seed.is_empty() { Ok(0) } else { u64::from_str_radix(&file.seed, 16) };
+    let known = known_nodes(file.known).map_err(|e| format!("BALANCER_CONFIG: known: {e}"))?;
+    let disk = file.limits.disk_mb;
+    if !disk.is_finite() || disk < MIN_DISK_MB {
+        return Err(format!("BALANCER_CONFIG: limits.disk_mb: {disk} MB is too small for a journal"));
     }
     Ok(PlatformConfig {
-        name: variable("BALANCER_NAME")?.unwrap_or(told.name),
-        listen: address("BALANCER_LISTEN")?.unwrap_or(told.listen),
+        name: variable("BALANCER_NAME")?.unwrap_or(file.name),
+        listen: address("BALANCER_LISTEN")?.unwrap_or(file.listen),
         discovery,
-        admin: told.admin,
+        admin: file.admin,
         state: Path::new(&state).to_owned(),
-        seed: seed.map_err(|_| format!("BALANCER_CONFIG: seed: '{}' is not hexadecimal", told.seed))?,
-        limits: MachineLimits { disk_bytes: (disk * 1e6) as u64, sockets: told.limits.sockets },
+        seed: seed.map_err(|_| format!("BALANCER_CONFIG: seed: '{}' is not hexadecimal", file.seed))?,
+        limits: MachineLimits { disk_bytes: (disk * 1e6) as u64, sockets: file.limits.sockets },
         known_nodes: known.unwrap_or_default(),
-        rules: rules(told.settings).map_err(|e| format!("BALANCER_CONFIG: settings: {e}"))?,
+        rules: rules(file.settings).map_err(|e| format!("BALANCER_CONFIG: settings: {e}"))?,
     })
 }
 
-/// The list of execute nodes that the file says is known, if it has one.
+/// Decodes the list of execute nodes in `known`, if the file has one.
 fn known_nodes(known: Option<&RawValue>) -> Result<Option<NodeList>, String> {
     known.map(|known| NodeList::read(ListText::from(known.get().as_bytes().to_vec()))).transpose()
 }
 
-/// What the file sets up, in a line.
+/// A one-line summary of a valid platform file.
 pub(super) fn summary(text: &[u8]) -> Result<String, String> {
-    let Told { settings, known, .. } = decode(text)?;
+    let PlatformFile { settings, known, .. } = decode(text)?;
     let rules = rules(settings).map_err(|e| format!("settings: {e}"))?;
     let known = known_nodes(known).map_err(|e| format!("known: {e}"))?;
     let (classes, nodes) = (rules.names.classes.len(), known.map_or(0, |known| known.len()));
-    Ok(format!("the platform's configuration, {classes} classes, {nodes} nodes known"))
+    Ok(format!("platform configuration, {classes} classes, {nodes} known nodes"))
 }
--- a/relay/src/config/push/classes.rs
+++ b/relay/src/config/push/classes.rs
@@ -1,10 +1,10 @@
-//! The tables `[[class]]`: classes of messages, and the rules of the push front that follow from them.
+//! The tables `[[class]]`: classes of messages, and the settings of the push front that are derived from the file.
 use serde::{Deserialize, Serialize};
 use slatethread::{Effect, Fade, Kind, Settings, Weights};
 use slatethread_wirehost::env::Names;
 
-use super::upstreams::GATEWAY;
-use crate::config::faults::Faults;
+use super::upstreams::GATEWAY_KIND;
+use crate::config::errors::ConfigErrors;
 use crate::config::relay_file::RelayConfigFile;
 use crate::config::rules::Rules;
 
@@ -13,18 +13,18 @@
 #[serde(deny_unknown_fields)]
 pub struct ClassTable {
     pub name: String,
-    /// Delivered within this time, a message earns its full worth.
+    /// A message that is delivered within this time earns its full worth.
     pub aim_ms: u64,
     pub give_up_ms: u64,
     pub repeat: Repeat,
     #[serde(default = "default_worth")]
     pub worth: f64,
-    /// Share of the worth left at the deadline.
+    /// Fraction of the worth that remains at the deadline.
     #[serde(default)]
     pub late_worth: f64,
 }
 
-/// Whether a message that may have run is sent again.
+/// Whether a message is sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
@@ -37,13 +37,13 @@
 }
 
 impl ClassTable {
-    /// The class as the module has it.
-    fn class(&self) -> slatethread::Class {
+    /// The class in the form of the decision module.
+    fn to_class(&self) -> slatethread::Class {
         slatethread::Class {
-            aim: millis(self.aim_ms),
-            give_up: millis(self.give_up_ms),
-            // A gateway remembers no keys, and one that resets streams at random may have taken the message
-            // with any reason it gives: such a class is never sent again once it may have run.
+            aim: nanos_from_millis(self.aim_ms),
+            give_up: nanos_from_millis(self.give_up_ms),
+            // Gateways do not support idempotency keys, and a gateway that resets streams at random may have accepted the
+            // message whatever error code it sends. Messages of such a class are not sent again once they may have run.
             effect: match self.repeat {
                 Repeat::Safe => Effect::Safe,
                 Repeat::Never => Effect::Unsafe,
@@ -55,16 +55,19 @@
     }
 }
 
-/// The rules of the push front; what is wrong with the classes is added to `faults`.
-pub(super) fn rules(file: &RelayConfigFile, faults: &mut Faults) -> Rules {
+/// The rules of the push front. Errors in the classes are added to `errors`.
+pub(super) fn rules(file: &RelayConfigFile, errors: &mut ConfigErrors) -> Rules {
     for (i, class) in file.classes.iter().enumerate() {
         if class.give_up_ms == 0 || class.aim_ms > class.give_up_ms {
-            faults.add(format!("class[{i}].aim_ms"), "must not be above give_up_ms, which must not be 0");
+            errors.add(
+                format!("class[{i}].aim_ms"),
+                "must not exceed give_up_ms, and give_up_ms must not be 0",
+            );
         }
     }
     let names = Names {
         classes: file.classes.iter().map(|c| c.name.clone()).collect(),
-        kinds: vec![GATEWAY.into()],
+        kinds: vec![GATEWAY_KIND.into()],
         ..Names::default()
     };
     Rules { settings: settings(file), names }
@@ -72,34 +75,34 @@
 
 fn settings(file: &RelayConfigFile) -> Settings {
     let limits = &file.limits;
-    let rated = file.upstreams.iter().any(|u| u.rate.is_some());
+    let has_rates = file.upstreams.iter().any(|u| u.rate.is_some());
     Settings {
         couriers: Some(limits.relays.max(1)),
-        step: Some(millis(limits.step_ms)),
-        classes: file.classes.iter().map(ClassTable::class).collect(),
+        step: Some(nanos_from_millis(limits.step_ms)),
+        classes: file.classes.iter().map(ClassTable::to_class).collect(),
         fade: Some(Fade::Line),
         kinds: vec![Kind::default()],
         slots: Some(limits.slots),
         max_held: Some(limits.jobs),
         max_tries: Some(limits.tries),
-        max_backoff: Some(millis(limits.longest_backoff_ms.max(1))),
-        idle_close: Some(millis(limits.idle_close_ms)),
-        dial_timeout: Some(millis(limits.dial_timeout_ms)),
+        max_backoff: Some(nanos_from_millis(limits.longest_backoff_ms.max(1))),
+        idle_close: Some(nanos_from_millis(limits.idle_close_ms)),
+        dial_timeout: Some(nanos_from_millis(limits.dial_timeout_ms)),
         backoff_told: true,
-        weights: if rated { Weights::Exact } else { Weights::Nothing },
-        // The platform's figures: nothing better is known of gateways that come back cold.
+        weights: if has_rates { Weights::Exact } else { Weights::Nothing },
+        // The platform's values, as nothing better is known about gateways that return cold.
         rules: slatethread::Rules {
-            cold: Some(millis(14_000)),
+            cold: Some(nanos_from_millis(14_000)),
             cold_share: Some(0.18),
             fall_multiple: Some(2.0),
-            fall: Some(millis(3000)),
+            fall: Some(nanos_from_millis(3000)),
             ..slatethread::Rules::default()
         },
         ..Settings::default()
     }
 }
 
-/// Milliseconds in the module's nanoseconds.
-fn millis(ms: u64) -> slatethread::Nanos {
+/// Converts milliseconds to the nanoseconds of the decision module.
+fn nanos_from_millis(ms: u64) -> slatethread::Nanos {
     ms.saturating_mul(1_000_000)
 }
--- a/relay/src/config/push/gateways.rs
+++ b/relay/src/config/push/gateways.rs
@@ -1,4 +1,4 @@
-//! The section `[gateways]`: the connections to each gateway, and whom they trust.
+//! The section `[gateways]`: limits and TLS settings of the connections to gateways.
 use rustls::pki_types::ServerName;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -9,57 +9,58 @@
 use crate::config::rules::Rules;
 use crate::tls;
 
-/// Gateways' addresses, each with the name that its certificate must be for.
+/// The expected certificate name of each gateway that uses TLS, by address.
 pub(super) type ServerNames = HashMap<SocketAddr, ServerName<'static>>;
 
-/// Gateways that are reached by TLS.
+/// TLS settings of the gateways.
 #[derive(Clone, Default)]
 pub struct GatewayTls {
-    /// What they are held to.
-    pub config: Option<Arc<rustls::ClientConfig>>,
-    /// The name that the certificate of each must be for.
-    pub names: HashMap<SocketAddr, ServerName<'static>>,
+    /// The client configuration; `None` if `gateways.tls` is missing.
+    pub client_config: Option<Arc<rustls::ClientConfig>>,
+    /// The expected certificate name of each gateway that uses TLS.
+    pub server_names: HashMap<SocketAddr, ServerName<'static>>,
 }
 
-/// How a gateway is reached by TLS.
+/// TLS settings of one gateway: the client configuration and the expected certificate name.
 pub type TlsTarget = (Arc<rustls::ClientConfig>, ServerName<'static>);
 
 impl GatewayTls {
-    pub fn of(&self, address: SocketAddr) -> Option<TlsTarget> {
-        Some((self.config.clone()?, self.names.get(&address)?.clone()))
+    /// The TLS settings of the gateway at `address`; `None` if it is reached in clear text.
+    pub fn target(&self, address: SocketAddr) -> Option<TlsTarget> {
+        Some((self.client_config.clone()?, self.server_names.get(&address)?.clone()))
     }
 }
 
-/// What binds the connections to a gateway.
+/// Limits of the connection pool of one gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolLimits {
-    /// Streams on one connection; a gateway may allow fewer.
-    pub streams: usize,
-    /// Connections open or being opened, without those that only let their last streams end.
-    pub connections: usize,
-    /// A connection with streams open on which nothing came for so long is pinged.
-    pub quiet: Duration,
-    /// One whose ping is not answered within this time is broken off.
-    pub pong: Duration,
-    /// One without streams for so long is closed.
-    pub idle: Duration,
-    /// One that is not up within this time has failed.
-    pub dial: Duration,
+    /// Concurrent streams on one connection; the gateway may allow fewer.
+    pub max_streams: usize,
+    /// Connections that are open or being established; draining ones are not counted.
+    pub max_connections: usize,
+    /// A connection with open streams on which nothing was received for this time is pinged.
+    pub ping_after: Duration,
+    /// A connection whose PING is not acknowledged within this time is aborted.
+    pub pong_timeout: Duration,
+    /// A connection without streams for this time is closed.
+    pub idle_timeout: Duration,
+    /// A connection attempt that takes longer than this fails.
+    pub connect_timeout: Duration,
 }
 
-/// Connections to each gateway.
+/// The section as it is written.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewaysTable {
-    /// Streams on one connection.
+    /// Concurrent streams on one connection.
     pub streams: usize,
-    /// Connections to one gateway.
+    /// Maximum connections to one gateway.
     pub connections: usize,
-    /// Silence with streams open after which a connection is pinged.
+    /// Time without received data, with streams open, after which a connection is pinged.
     pub quiet_ms: u64,
-    /// Time for the answer to a ping.
+    /// Time allowed for the acknowledgement of a PING.
     pub pong_ms: u64,
-    /// What upstreams with `tls` are held to.
+    /// Certificate settings for upstreams with `tls`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tls: Option<tls::ClientTlsTable>,
 }
@@ -71,15 +72,15 @@
 }
 
 impl GatewaysTable {
-    /// What binds the connections to a gateway, by this table and the front's rules.
-    pub(super) fn pool(&self, rules: &Rules) -> PoolLimits {
+    /// The limits that follow from this table and the settings of the push front.
+    pub(super) fn pool_limits(&self, rules: &Rules) -> PoolLimits {
         PoolLimits {
-            streams: self.streams,
-            connections: self.connections,
-            quiet: Duration::from_millis(self.quiet_ms),
-            pong: Duration::from_millis(self.pong_ms),
-            idle: rules.idle_close(),
-            dial: rules.dial_timeout(),
+            max_streams: self.streams,
+            max_connections: self.connections,
+            ping_after: Duration::from_millis(self.quiet_ms),
+            pong_timeout: Duration::from_millis(self.pong_ms),
+            idle_timeout: rules.idle_close(),
+            connect_timeout: rules.dial_timeout(),
         }
     }
 }
--- a/relay/src/config/push/limits.rs
+++ b/relay/src/config/push/limits.rs
@@ -1,27 +1,28 @@
-//! The section `[limits]`: what binds the push front.
+//! The section `[limits]`: limits of the push front.
 use serde::{Deserialize, Serialize};
 
-use crate::config::faults::Faults;
+use crate::config::errors::ConfigErrors;
 
-/// Drains must be seen by the round that acts, and nothing new be sent half a second after.
-const MOST_STEP_MS: u64 = 100;
+/// Upper bound of `step_ms`. A drain must be noticed by the next round, and nothing new may be sent to a draining node half
+/// a second later.
+const MAX_STEP_MS: u64 = 100;
 
 /// The section as it is written.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitsTable {
-    /// Relays like this one that share the gateways.
+    /// Number of relays that share the gateways, including this one.
     pub relays: u32,
-    /// Claims out at once.
+    /// Maximum number of claims in flight.
     pub slots: u32,
-    /// Jobs held at once.
+    /// Maximum number of jobs, queued or in flight.
     pub jobs: u32,
-    /// Claims for one job.
+    /// Maximum number of claims for one job.
     pub tries: u32,
     pub dial_timeout_ms: u64,
     pub idle_close_ms: u64,
     pub longest_backoff_ms: u64,
-    /// Least time between two rounds of the module: what comes meanwhile is decided on together.
+    /// Minimum interval between two rounds of the decision module; events that arrive in between are handled together.
     pub step_ms: u64,
 }
 
@@ -41,10 +42,10 @@
 }
 
 impl LimitsTable {
-    /// Checks the least time between rounds.
-    pub(super) fn check_step(&self, faults: &mut Faults) {
-        if !(1..=MOST_STEP_MS).contains(&self.step_ms) {
-            faults.add("limits.step_ms", format!("must be from 1 to {MOST_STEP_MS}"));
+    /// Validates the interval between rounds.
+    pub(super) fn check_step(&self, errors: &mut ConfigErrors) {
+        if !(1..=MAX_STEP_MS).contains(&self.step_ms) {
+            errors.add("limits.step_ms", format!("must be from 1 to {MAX_STEP_MS}"));
         }
     }
 }
--- a/relay/src/config/push/locations.rs
+++ b/relay/src/config/push/locations.rs
@@ -1,10 +1,10 @@
-//! The tables `[[location]]`: where submitters' paths lead, and the classes of what comes on them.
+//! The tables `[[location]]`: the destination and the class of messages by request path.
 use serde::de::IntoDeserializer;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-use super::upstreams::number;
-use crate::config::faults::Faults;
+use super::upstreams::destination_id;
+use crate::config::errors::ConfigErrors;
 use crate::config::relay_file::RelayConfigFile;
 
 /// A location as it is written.
@@ -14,31 +14,31 @@
     pub path: String,
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub exact: bool,
-    /// Defaults to the path itself.
+    /// Replaces `path` in the request to the gateway; defaults to `path`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target: Option<String>,
     pub upstream: String,
     pub class: String,
-    /// Classes by urgency, where they are others; they must allow repeats as `class` does.
+    /// Classes by urgency, where they differ from `class`; their `repeat` must be the same.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub urgency: BTreeMap<Urgency, String>,
 }
 
-/// Where submitters' paths lead.
+/// The destination and the class of messages by request path.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Location {
     pub path: String,
-    /// The path must be the whole of a request's path, not just its beginning.
+    /// Whether `path` must equal the request path; otherwise it is a prefix.
     pub exact: bool,
-    /// What takes the place of `path` on the way to the gateway.
+    /// Replaces `path` in the request to the gateway.
     pub target: String,
     pub class: String,
-    /// The class of messages of an urgency, where it is another.
+    /// Classes by urgency, where they differ from `class`.
     pub urgency: BTreeMap<Urgency, String>,
     pub dest: u64,
 }
 
-/// How urgent a submitter calls a message (RFC 8030, 5.3).
+/// The urgency of a message, as the submitter states it (RFC 8030, 5.3).
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum Urgency {
@@ -50,32 +50,32 @@
 }
 
 impl Urgency {
-    /// The one of that name.
-    pub fn named(name: &str) -> Option<Self> {
+    /// The urgency with that name in the `Urgency` header.
+    pub fn from_name(name: &str) -> Option<Self> {
         let name: serde::de::value::StrDeserializer<'_, serde::de::value::Error> = name.into_deserializer();
         Urgency::deserialize(name).ok()
     }
 }
 
-/// All locations; what is wrong with them is added to `faults`.
-pub(super) fn locations(file: &RelayConfigFile, faults: &mut Faults) -> Vec<Location> {
+/// All locations. Errors in them are added to `errors`.
+pub(super) fn locations(file: &RelayConfigFile, errors: &mut ConfigErrors) -> Vec<Location> {
     let tables = file.locations.iter().enumerate();
-    tables.map(|(i, table)| table.check(&format!("location[{i}]"), file, faults)).collect()
+    tables.map(|(i, table)| table.check(&format!("location[{i}]"), file, errors)).collect()
 }
 
 impl LocationTable {
-    /// The location of the table at `key`; what is wrong with it is added to `faults`.
-    fn check(&self, key: &str, file: &RelayConfigFile, faults: &mut Faults) -> Location {
+    /// Validates the table at `key`; errors are added to `errors`.
+    fn check(&self, key: &str, file: &RelayConfigFile, errors: &mut ConfigErrors) -> Location {
         if !file.upstreams.iter().any(|u| u.name == self.upstream) {
-            faults.add(format!("{key}.upstream"), format!("there is no '{}'", self.upstream));
+            errors.add(format!("{key}.upstream"), format!("there is no upstream '{}'", self.upstream));
         }
         if !file.classes.iter().any(|c| c.name == self.class) {
-            faults.add(format!("{key}.class"), format!("there is no '{}'", self.class));
+            errors.add(format!("{key}.class"), format!("there is no class '{}'", self.class));
         }
-        self.check_urgency(key, file, faults);
+        self.check_urgency(key, file, errors);
         let target = self.target.as_ref().unwrap_or(&self.path);
         if !self.path.starts_with('/') || !target.starts_with('/') {
-            faults.add(format!("{key}.path"), "it and its target must begin with '/'");
+            errors.add(format!("{key}.path"), "the path and its target must begin with '/'");
         }
         Location {
             path: self.path.clone(),
@@ -83,21 +83,21 @@
             target: target.clone(),
             class: self.class.clone(),
             urgency: self.urgency.clone(),
-            dest: number(&self.upstream),
+            dest: destination_id(&self.upstream),
         }
     }
 
-    /// Checks that the class of each urgency allows repeats as the location's own does.
-    fn check_urgency(&self, key: &str, file: &RelayConfigFile, faults: &mut Faults) {
-        let repeat = |name: &str| file.classes.iter().find(|c| c.name == name).map(|c| c.repeat);
+    /// Checks that the class of each urgency has the same `repeat` as the location's own class.
+    fn check_urgency(&self, key: &str, file: &RelayConfigFile, errors: &mut ConfigErrors) {
+        let repeat_of = |name: &str| file.classes.iter().find(|c| c.name == name).map(|c| c.repeat);
         for (urgency, class) in &self.urgency {
             let urgency = serde_json::to_string(urgency).unwrap_or_default();
             let key = format!("{key}.urgency.{}", urgency.trim_matches('"'));
-            match repeat(class) {
-                None => faults.add(key, format!("there is no '{class}'")),
-                // Guards against an order that is sent twice because it was called urgent.
-                own if own != repeat(&self.class) => {
-                    faults.add(key, format!("'{class}' differs from '{}' in repeat", self.class));
+            match repeat_of(class) {
+                None => errors.add(key, format!("there is no class '{class}'")),
+                // Guards against a message of a never-repeated class being sent twice because of its urgency.
+                repeat if repeat != repeat_of(&self.class) => {
+                    errors.add(key, format!("class '{class}' and class '{}' differ in repeat", self.class));
                 }
                 _ => {}
             }
--- a/relay/src/config/push/mod.rs
+++ b/relay/src/config/push/mod.rs
@@ -1,4 +1,4 @@
-//! The section `[push]`: the second front, and the tables that belong to it.
+//! The section `[push]`: the push front, and the tables that belong to it.
 mod classes;
 mod gateways;
 mod limits;
@@ -16,31 +16,32 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use super::faults::Faults;
+use super::errors::ConfigErrors;
 use super::idle::IdleConfig;
-use super::platform_file::LEAST_DISK_MB;
+use super::platform_file::MIN_DISK_MB;
 use super::relay_file::RelayConfigFile;
 use super::rules::Rules;
 use crate::list::NodeList;
 use crate::tls;
 
-/// The second front.
+/// Validated configuration of the push front.
 pub struct PushConfig {
     pub listen: SocketAddr,
-    /// The folder that lasts.
+    /// The folder for persistent state.
     pub state: PathBuf,
+    /// Size limit of that folder in bytes.
     pub disk_bytes: u64,
-    /// Where ends are told.
+    /// The receiver of end notices.
     pub notices: SocketAddr,
-    /// Largest body taken from a submitter.
+    /// Maximum body size of a push message, in bytes.
     pub body_limit: usize,
-    /// Submitters' connections at once.
+    /// Maximum number of submitters' connections.
     pub connections: usize,
     pub rules: Rules,
-    /// What is presented to submitters, where the front speaks TLS.
+    /// TLS settings for submitters' connections; `None` for clear text.
     pub server_tls: Option<Arc<rustls::ServerConfig>>,
     pub gateway_tls: GatewayTls,
-    /// The connections to each gateway.
+    /// Limits of the connection pool of each gateway.
     pub pool_limits: PoolLimits,
     pub gateways: NodeList,
     pub locations: Vec<Location>,
@@ -59,10 +60,10 @@
     pub body_limit: usize,
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Certificates; without them the front speaks HTTP/2 in clear text.
+    /// Certificate settings; without them the front uses clear-text HTTP/2.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tls: Option<tls::ServerTlsTable>,
-    /// Clear text is spoken on an address that others reach, too.
+    /// Allows clear text on an address that is not loopback.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub clear_text: bool,
 }
@@ -80,30 +81,31 @@
 }
 
 impl PushTable {
-    /// The front that the section and the tables of `file` set up. What is wrong with them is added to `faults`;
-    /// without a sound address there is no front.
+    /// Validates the section and the tables of the push front in `file`; errors are added to `errors`. Returns `None` if
+    /// an address is invalid.
     pub(super) fn check(
         self,
         file: &RelayConfigFile,
         idle: &IdleConfig,
-        faults: &mut Faults,
+        errors: &mut ConfigErrors,
     ) -> Option<PushConfig> {
         if file.classes.is_empty() {
-            faults.add("class", "no class of message is given");
+            errors.add("class", "at least one class of messages is needed");
         }
-        if !self.disk_mb.is_finite() || self.disk_mb < LEAST_DISK_MB {
-            faults.add("push.disk_mb", format!("{} is too small to keep a journal in", self.disk_mb));
+        if !self.disk_mb.is_finite() || self.disk_mb < MIN_DISK_MB {
+            errors.add("push.disk_mb", format!("{} MB is too small for a journal", self.disk_mb));
         }
-        check_positive(file, faults);
-        let listen = faults.address("push.listen", &self.listen);
-        let notices = faults.address("push.notices", &self.notices);
-        file.limits.check_step(faults);
-        let mut rules = classes::rules(file, faults);
+        check_nonzero(file, errors);
+        let listen = errors.address("push.listen", &self.listen);
+        let notices = errors.address("push.notices", &self.notices);
+        file.limits.check_step(errors);
+        let mut rules = classes::rules(file, errors);
         idle.apply(&mut rules);
-        let secured = self.secured(listen, faults);
-        let trust = file.gateways.tls.as_ref().and_then(|table| faults.keep(tls::client_config(table)));
-        let (gateways, names) = upstreams::gateways(file, faults);
-        let locations = locations::locations(file, faults);
+        let server_tls = self.server_tls(listen, errors);
+        let client_config =
+            file.gateways.tls.as_ref().and_then(|table| errors.ok_or_add(tls::client_config(table)));
+        let (gateways, server_names) = upstreams::gateways(file, errors);
+        let locations = locations::locations(file, errors);
         Some(PushConfig {
             listen: listen?,
             notices: notices?,
@@ -111,32 +113,36 @@
             disk_bytes: (self.disk_mb * 1e6) as u64,
             body_limit: self.body_limit,
             connections: self.connections.max(1),
-            server_tls: secured,
-            gateway_tls: GatewayTls { config: trust, names },
-            pool_limits: file.gateways.pool(&rules),
+            server_tls,
+            gateway_tls: GatewayTls { client_config, server_names },
+            pool_limits: file.gateways.pool_limits(&rules),
             rules,
             gateways,
             locations,
         })
     }
 
-    /// What is presented to submitters. Clear text on an address that others reach has to be asked for.
-    fn secured(&self, listen: Option<SocketAddr>, faults: &mut Faults) -> Option<Arc<rustls::ServerConfig>> {
+    /// Reads the TLS settings for submitters. Clear text on an address that is not loopback must be enabled explicitly.
+    fn server_tls(
+        &self,
+        listen: Option<SocketAddr>,
+        errors: &mut ConfigErrors,
+    ) -> Option<Arc<rustls::ServerConfig>> {
         let Some(table) = &self.tls else {
             if !self.clear_text && listen.is_some_and(|at| !at.ip().is_loopback()) {
-                let missing = "it is missing, and push.listen is no loopback address";
-                faults.add("push.tls", format!("{missing}; push.clear_text = true would allow it"));
+                let problem = "the table is missing, and push.listen is not a loopback address";
+                errors.add("push.tls", format!("{problem}; set push.clear_text = true to allow clear text"));
             }
             return None;
         };
-        faults.keep(tls::server_config(table))
+        errors.ok_or_add(tls::server_config(table))
     }
 }
 
-/// Checks the figures that must not be 0.
-fn check_positive(file: &RelayConfigFile, faults: &mut Faults) {
+/// Validates the settings that must not be 0.
+fn check_nonzero(file: &RelayConfigFile, errors: &mut ConfigErrors) {
     let (limits, gateways) = (&file.limits, &file.gateways);
-    let figures = [
+    let values = [
         ("limits.slots", u64::from(limits.slots)),
         ("limits.jobs", limits.jobs.into()),
         ("limits.tries", limits.tries.into()),
@@ -145,7 +151,7 @@
         ("gateways.quiet_ms", gateways.quiet_ms),
         ("gateways.pong_ms", gateways.pong_ms),
     ];
-    for (key, _) in figures.iter().filter(|(_, value)| *value == 0) {
-        faults.add(key, "must be at least 1");
+    for (key, _) in values.iter().filter(|(_, value)| *value == 0) {
+        errors.add(key, "must be at least 1");
     }
 }
--- a/relay/src/config/relay_file.rs
+++ b/relay/src/config/relay_file.rs
@@ -1,11 +1,11 @@
-//! The relay's own file, which turns on what is off by default.
+//! The relay's own file, which enables what is off by default.
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::Path;
 
 use super::admin;
 use super::backlog::{BacklogConfig, BacklogTable};
-use super::faults::Faults;
+use super::errors::ConfigErrors;
 use super::hook::HookTable;
 use super::idle::{IdleConfig, IdleTable};
 use super::instances::{InstancesConfig, InstancesTable};
@@ -13,48 +13,48 @@
     ClassTable, GatewaysTable, LimitsTable, LocationTable, PushConfig, PushTable, UpstreamTable,
 };
 
-/// What the relay's own file says.
+/// The validated configuration of the relay's own file.
 #[derive(Default)]
 pub struct RelayConfig {
-    /// The second front, if it is on.
+    /// The push front, if it is enabled.
     pub push: Option<PushConfig>,
-    /// A plug-in for the fronts that are on.
+    /// A hook script for all enabled fronts.
     pub hook: Option<HookTable>,
-    /// How destinations are kept that are seldom used.
+    /// Resources kept for rarely used destinations.
     pub idle: IdleConfig,
-    /// Where those who run the relay call.
+    /// The address of the admin API for operators.
     pub admin: Option<SocketAddr>,
-    /// The other instances, if this one talks to any.
+    /// Communication with other instances, if it is enabled.
     pub instances: Option<InstancesConfig>,
-    /// Where the platform front's requests wait that cannot go soon, if not in memory.
+    /// The on-disk queue for requests of the platform front that cannot be sent soon. Without it they wait in memory.
     pub backlog: Option<BacklogConfig>,
 }
 
 impl RelayConfig {
-    /// What the file sets up, in a line.
+    /// A one-line summary of what is enabled.
     pub(super) fn summary(&self) -> String {
-        let push = self.push.as_ref().map_or("no second front".into(), |push| {
+        let push = self.push.as_ref().map_or("no push front".into(), |push| {
             let (locations, gateways) = (push.locations.len(), push.gateways.len());
-            format!("a second front on {}, {locations} locations, {gateways} gateways", push.listen)
+            format!("push front on {}, {locations} locations, {gateways} gateways", push.listen)
         });
-        let hook = if self.hook.is_some() { "a plug-in" } else { "no plug-in" };
-        let instances = self.instances.as_ref().map_or(String::new(), |told| {
-            let lists = if told.lists { ", lists pass between them" } else { "" };
-            format!(", talks to other instances on {} ({} seeds){lists}", told.listen, told.seeds.len())
+        let hook = if self.hook.is_some() { "hook script" } else { "no hook script" };
+        let instances = self.instances.as_ref().map_or(String::new(), |config| {
+            let lists = if config.lists { ", shares lists" } else { "" };
+            format!(", instances on {} ({} seeds){lists}", config.listen, config.seeds.len())
         });
         let backlog = self
             .backlog
             .as_ref()
-            .map_or(String::new(), |backlog| format!(", a backlog in {}", backlog.folder.display()));
+            .map_or(String::new(), |backlog| format!(", backlog in {}", backlog.folder.display()));
         format!("{push}, {hook}{instances}{backlog}")
     }
 }
 
-/// The file as it is written. The importer writes this form, the push front runs it.
+/// The file as it is written. The nginx importer generates this form.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelayConfigFile {
-    /// Address and port.
+    /// Address and port of the admin API.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub admin: Option<String>,
     pub push: Option<PushTable>,
@@ -77,32 +77,32 @@
     pub locations: Vec<LocationTable>,
 }
 
-/// Reads the relay's own file.
+/// Reads and validates the relay's own file.
 pub fn load_relay_config(path: &Path) -> Result<RelayConfig, String> {
     let name = path.display();
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: cannot read it: {e}"))?;
+    let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: cannot read the file: {e}"))?;
     parse_relay_config(&text).map_err(|e| format!("{name}: {e}"))
 }
 
-/// The same from the file's text.
+/// Parses and validates the text of the relay's own file; all errors are joined into one message.
 pub fn parse_relay_config(text: &str) -> Result<RelayConfig, String> {
-    parse_with_all_errors(text).map_err(|faults| faults.join("; "))
+    parse_with_all_errors(text).map_err(|errors| errors.join("; "))
 }
 
-/// The same, with each fault by itself.
+/// Like [`parse_relay_config`], with each error by itself.
 pub(super) fn parse_with_all_errors(text: &str) -> Result<RelayConfig, Vec<String>> {
-    let mut file = decode(text).map_err(|fault| vec![fault])?;
-    let mut faults = Faults::default();
+    let mut file = decode(text).map_err(|error| vec![error])?;
+    let mut errors = ConfigErrors::default();
     let hook = file.hook.take();
     if let Some(hook) = &hook {
-        hook.check(&mut faults);
+        hook.check(&mut errors);
     }
-    let idle = file.idle.take().unwrap_or_default().check(&mut faults);
-    let admin = admin::check(file.admin.take(), &mut faults);
-    let push = file.push.take().and_then(|table| table.check(&file, &idle, &mut faults));
-    let instances = file.instances.take().and_then(|table| table.check(&mut faults));
-    let backlog = file.backlog.take().and_then(|table| table.check(&mut faults));
-    faults.none_or(RelayConfig { push, hook, idle, admin, instances, backlog })
+    let idle = file.idle.take().unwrap_or_default().check(&mut errors);
+    let admin = admin::check(file.admin.take(), &mut errors);
+    let push = file.push.take().and_then(|table| table.check(&file, &idle, &mut errors));
+    let instances = file.instances.take().and_then(|table| table.check(&mut errors));
+    let backlog = file.backlog.take().and_then(|table| table.check(&mut errors));
+    errors.into_result(RelayConfig { push, hook, idle, admin, instances, backlog })
 }
 
 fn decode(text: &str) -> Result<RelayConfigFile, String> {
--- a/relay/src/config/rules.rs
+++ b/relay/src/config/rules.rs
@@ -1,9 +1,9 @@
-//! The rules that follow from the platform's settings.
+//! The settings of a front in the form of the decision module.
 use slatethread::{Nanos, Settings};
 use slatethread_wirehost::env::{self, Env, Names};
 use std::time::Duration;
 
-/// The module's settings, with what else a front needs of them.
+/// The settings of the decision module, and the names that a front needs in addition.
 #[derive(Clone)]
 pub struct Rules {
     pub settings: Settings,
@@ -11,41 +11,42 @@
 }
 
 impl Rules {
-    /// Least time between rounds.
+    /// Minimum interval between rounds of the decision module.
     pub fn step(&self) -> Duration {
         duration_or(self.settings.step, Duration::from_millis(5))
     }
 
-    /// The list must be watched or asked for this often.
+    /// The list of execute nodes must be confirmed by a watch or a request at least this often.
     pub fn list_max_age(&self) -> Duration {
         duration_or(self.settings.rules.must_ask_in, Duration::from_secs(10))
     }
 
-    /// A connection that is not up within this time has failed.
+    /// A connection attempt that takes longer than this fails.
     pub fn dial_timeout(&self) -> Duration {
         duration_or(self.settings.dial_timeout, Duration::from_millis(1500))
     }
 
-    /// An execute node closes a connection that has stood idle for so long.
+    /// Execute nodes close connections that were idle for this time.
     pub fn idle_close(&self) -> Duration {
         duration_or(self.settings.idle_close, Duration::from_secs(10))
     }
 
+    /// The index of the class with this name.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.names.classes.iter().position(|n| n == name)
     }
 }
 
-/// Nanoseconds are the module's; everything on this side of its edge has durations.
+/// Converts nanoseconds of the decision module to a duration; the relay uses `Duration` everywhere else.
 pub fn duration_or(nanos: Option<Nanos>, default: Duration) -> Duration {
     nanos.map_or(default, Duration::from_nanos)
 }
 
-/// The rules of the platform's settings; a fault names its key among them.
+/// Makes the rules from the platform's settings; an error names the key within them.
 pub(super) fn rules(env: Env) -> Result<Rules, String> {
     let (settings, names) = env::settings(env)?;
     if settings.classes.is_empty() {
-        return Err("categories: no class of message is given".into());
+        return Err("categories: at least one class of messages is needed".into());
     }
     Ok(Rules { settings, names })
 }
--- a/relay/src/config/tests.rs
+++ b/relay/src/config/tests.rs
@@ -5,13 +5,13 @@
 
 const FILE: &str = include_str!("../../../deploy/push.toml");
 
-fn fault(from: &str, to: &str) -> String {
+fn error_after(from: &str, to: &str) -> String {
     assert!(FILE.contains(from), "{from}");
     parse_relay_config(&FILE.replacen(from, to, 1)).err().unwrap_or_default()
 }
 
 #[test]
-fn the_file_under_deploy_is_sound_and_repeats_no_order() {
+fn deployed_push_file_is_valid_and_never_repeats_orders() {
     let push = parse_relay_config(FILE).ok().and_then(|own| own.push).expect("a push front");
     assert_eq!(push.rules.settings.classes[0].effect, Effect::Unsafe);
     assert_eq!(push.rules.settings.classes[1].effect, Effect::Safe);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn faults_name_their_key() {
+fn errors_name_their_key() {
     let cases = [
         ("aim_ms = 4000", "aim_ms = \"soon\"", "class[0].aim_ms"),
         ("aim_ms = 4000", "aim_ms = 40000", "class[0].aim_ms"),
@@ -43,24 +43,28 @@
         ("path = \"/order/\"", "path = \"order\"", "location[1].path"),
     ];
     for (from, to, key) in cases {
-        let fault = fault(from, to);
-        assert!(fault.contains(key), "{to}: {fault}");
+        let error = error_after(from, to);
+        assert!(error.contains(key), "{to}: {error}");
     }
 }
 
 #[test]
-fn the_instances_table_is_checked_key_by_key() {
+fn instances_table_is_validated_key_by_key() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (key, short) = (folder.path().join("key"), folder.path().join("short"));
-    std::fs::write(&key, "k".repeat(32)).expect("written");
+    let (key_file, short) = (folder.path().join("key"), folder.path().join("short"));
+    std::fs::write(&key_file, "k".repeat(32)).expect("written");
     std::fs::write(&short, "k").expect("written");
-    let file = |more: &str| format!("[instances]\nlisten = \"127.0.0.1:7946\"\nkey_file = {key:?}\n{more}");
-    let told = parse_relay_config(&file("seeds = [\"127.0.0.1:7947\"]\nzone = \"a\"\n")).expect("sound");
-    let told = told.instances.expect("it talks to others");
-    assert_eq!((told.seeds.len(), &*told.zone, told.expected, told.advertise), (1, "a", 3, None));
-    assert!(parse_relay_config("").expect("sound").instances.is_none(), "off unless the file says otherwise");
+    let file =
+        |more: &str| format!("[instances]\nlisten = \"127.0.0.1:7946\"\nkey_file = {key_file:?}\n{more}");
+    let config = parse_relay_config(&file("seeds = [\"127.0.0.1:7947\"]\nzone = \"a\"\n")).expect("valid");
+    let instances = config.instances.expect("instances are enabled");
+    assert_eq!(
+        (instances.seeds.len(), &*instances.zone, instances.expected, instances.advertise),
+        (1, "a", 3, None)
+    );
+    assert!(parse_relay_config("").expect("valid").instances.is_none(), "disabled by default");
     let long = format!("zone = \"{}\"", "z".repeat(LONGEST + 1));
-    for (more, fault) in [
+    for (more, key) in [
         ("seeds = [\"here\"]", "instances.seeds[0]"),
         ("advertise = \"0.0.0.0:7946\"", "instances.advertise"),
         ("advertise = \"127.0.0.1\"", "instances.advertise"),
@@ -69,32 +73,32 @@
         ("tls = true", "instances"),
         (&*long, "instances.zone"),
     ] {
-        let told = parse_relay_config(&file(more)).err().expect("faulty");
-        assert!(told.contains(fault), "{more}: {told}");
+        let error = parse_relay_config(&file(more)).err().expect("invalid");
+        assert!(error.contains(key), "{more}: {error}");
     }
-    for (from, to, fault) in [
-        (&*format!("{key:?}"), &*format!("{short:?}"), "instances.key_file"),
-        (&*format!("{key:?}"), "\"/none\"", "instances.key_file"),
+    for (from, to, key) in [
+        (&*format!("{key_file:?}"), &*format!("{short:?}"), "instances.key_file"),
+        (&*format!("{key_file:?}"), "\"/none\"", "instances.key_file"),
         ("127.0.0.1:7946", "localhost", "instances.listen"),
         ("127.0.0.1:7946", "0.0.0.0:7946", "instances.advertise"),
     ] {
-        let told = parse_relay_config(&file("").replace(from, to)).err().expect("faulty");
-        assert!(told.contains(fault), "{to}: {told}");
+        let error = parse_relay_config(&file("").replace(from, to)).err().expect("invalid");
+        assert!(error.contains(key), "{to}: {error}");
     }
 }
 
 #[test]
-fn every_fault_is_told_and_the_idle_table_has_bounds() {
+fn all_errors_are_reported_and_the_idle_table_has_bounds() {
     let text = FILE.replacen("slots = 64", "slots = 0", 1).replacen("127.0.0.1:8480", "here", 1);
-    let faults = parse_with_all_errors(&format!(
+    let errors = parse_with_all_errors(&format!(
         "{text}\n[idle]\ncold_after_s = 3\nlist_limit_mb = 0\nconnections = 0\n"
     ));
-    let faults = faults.err().unwrap_or_default().join("\n");
+    let errors = errors.err().unwrap_or_default().join("\n");
     for key in ["limits.slots", "push.listen", "idle.cold_after_s", "idle.list_limit_mb", "idle.connections"]
     {
-        assert!(faults.contains(key), "{key}: {faults}");
+        assert!(errors.contains(key), "{key}: {errors}");
     }
-    let own = parse_with_all_errors(&format!("{FILE}\n[idle]\ncold_after_s = 600\n")).expect("sound");
-    let cold_after = own.push.expect("a front").rules.settings.cold_after;
+    let config = parse_with_all_errors(&format!("{FILE}\n[idle]\ncold_after_s = 600\n")).expect("valid");
+    let cold_after = config.push.expect("a push front").rules.settings.cold_after;
     assert_eq!(cold_after, Some(600_000_000_000));
 }
--- a/relay/src/push/mod.rs
+++ b/relay/src/push/mod.rs
@@ -1,9 +1,9 @@
-//! The second front: submitters and push gateways over HTTP/2, by RFC 8030.
+//! The push front: submitters and push gateways use HTTP/2 (RFC 8030).
 pub mod gateways;
 pub mod pool;
 pub mod server;
 
-/// Fields of a job that are not headers of the message.
+/// Names of the job fields that this module interprets: the target path, the TTL and the topic.
 const PATH: &str = ":path";
 const TTL: &str = "ttl";
 const TOPIC: &str = "topic";
--- a/relay/src/push/pool.rs
+++ b/relay/src/push/pool.rs
@@ -1,332 +1,370 @@
-//! The connections to one gateway: how many there are, which one a claim's stream goes on, and when one ends. Free of
-//! I/O and clocks: what happened goes in, with the time; what is to be done comes out as [`Order`]s.
+//! The connection pool of one gateway: how many connections are open, which one carries the stream of a claim, and when
+//! a connection is closed. The pool does no I/O and reads no clock: callers report events together with the current time
+//! and carry out the [`Action`]s that the pool returns.
 //!
-//! A claim is in one place at a time: it waits, or it has a stream on one connection, until it leaves. A connection that
-//! is going away, is doubted, or has as many streams as it may have gets no new one.
+//! A claim is in exactly one state: it waits for a stream, or it has a stream on one connection, until it is released. A
+//! connection that is draining, is suspect, or has reached its stream limit gets no new streams.
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
 
-use crate::config::PoolLimits as Limits;
+use crate::config::PoolLimits;
 
-/// A connection.
+/// Identifies a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LineId(u64);
+pub struct ConnectionId(u64);
 
-/// A claim that waits for a stream or has one.
+/// Identifies a claim that waits for a stream or has one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimId(u64);
 
-/// What is to be done.
+/// What the owner of the pool has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
-    /// Open a connection; [`Pool::connected`] or [`Pool::failed`] tells what came of it.
-    Dial(LineId),
-    /// Ping it; [`Pool::heard`] tells that the answer came.
-    Ping(LineId),
-    /// Close it: it has no streams.
-    Close(LineId),
-    /// Break it off: it is silent. Its claims find out by themselves.
-    Break(LineId),
-    /// The claim may open a stream there.
-    Grant(ClaimId, LineId),
+pub enum Action {
+    /// Open a connection, and report the result with [`Pool::connected`] or [`Pool::connect_failed`].
+    Dial(ConnectionId),
+    /// Send a PING, and report its acknowledgement with [`Pool::activity`].
+    Ping(ConnectionId),
+    /// Close a connection that has no streams.
+    Close(ConnectionId),
+    /// Abort an unresponsive connection. Its claims fail with I/O errors of their own.
+    Abort(ConnectionId),
+    /// The claim may open a stream on the connection.
+    Grant(ClaimId, ConnectionId),
     /// The claim gets no stream.
     Deny(ClaimId, Denial),
 }
 
-/// Why a claim gets no stream. It never ran.
+/// Why a claim gets no stream. Nothing of it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// No connection came up.
-    Unconnected,
-    /// The gateway is listed no more.
-    Withdrawn,
+    /// No connection could be established.
+    NoConnection,
+    /// The gateway is no longer listed.
+    GatewayRemoved,
 }
 
-/// How a claim left.
+/// How a claim ended, as far as the connection is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Left {
-    /// Something of the gateway's came for it.
-    Heard,
-    /// It was given up, or ended with its connection.
-    Unheard,
+pub enum ClaimResult {
+    /// The gateway sent something on its stream.
+    Responded,
+    /// It was given up, or it ended together with its connection.
+    NoResponse,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Dialling,
+    Connecting,
     Open,
-    /// Nothing new goes on it.
-    Leaving,
-    /// The connection is no more; claims on it have not all found out yet.
-    Ended,
+    /// It gets no new streams.
+    Draining,
+    /// The connection has ended, but not all claims on it have been released yet.
+    Closed,
 }
 
-struct Line {
+struct Connection {
     state: State,
-    /// Streams that the gateway allows.
-    allowed: usize,
-    /// Claims with a stream on it, and since when.
+    /// Concurrent streams that the gateway allows (SETTINGS_MAX_CONCURRENT_STREAMS).
+    peer_max_streams: usize,
+    /// Claims with a stream on it, and when each was granted.
     streams: BTreeMap<ClaimId, Instant>,
-    /// When something last came on it.
-    heard: Instant,
-    /// A ping is out since then.
-    pinged: Option<Instant>,
-    /// A claim was given up on it of which nothing was heard.
-    doubted: bool,
-    /// When its last stream ended.
-    idle: Instant,
+    /// When anything was last received on it.
+    last_activity: Instant,
+    /// When the PING that is still unacknowledged was sent.
+    ping_sent: Option<Instant>,
+    /// A claim on it ended without any response.
+    suspect: bool,
+    /// When a stream on it last ended.
+    idle_since: Instant,
 }
 
-impl Line {
-    fn room(&self, limits: &Limits) -> usize {
-        let usable = self.state == State::Open && !self.doubted;
-        if usable { limits.streams.min(self.allowed).saturating_sub(self.streams.len()) } else { 0 }
+impl Connection {
+    fn available_streams(&self, limits: &PoolLimits) -> usize {
+        let usable = self.state == State::Open && !self.suspect;
+        if usable {
+            limits.max_streams.min(self.peer_max_streams).saturating_sub(self.streams.len())
+        } else {
+            0
+        }
     }
 
     fn is_live(&self) -> bool {
-        matches!(self.state, State::Dialling | State::Open)
+        matches!(self.state, State::Connecting | State::Open)
     }
 }
 
-/// The connections to one gateway.
+/// The connection pool of one gateway.
 pub struct Pool {
-    limits: Limits,
-    lines: BTreeMap<LineId, Line>,
+    limits: PoolLimits,
+    connections: BTreeMap<ConnectionId, Connection>,
     waiting: VecDeque<ClaimId>,
-    /// Where each claim with a stream has it.
-    places: BTreeMap<ClaimId, LineId>,
-    /// When a connection last did not come up.
-    refused: Option<Instant>,
-    next: u64,
+    /// The connection that carries the stream of each claim.
+    assignments: BTreeMap<ClaimId, ConnectionId>,
+    /// When a connection attempt last failed.
+    last_failure: Option<Instant>,
+    next_id: u64,
 }
 
 impl Pool {
-    pub fn new(limits: Limits) -> Self {
-        let (lines, places) = (BTreeMap::new(), BTreeMap::new());
-        Pool { limits, lines, waiting: VecDeque::new(), places, refused: None, next: 0 }
+    pub fn new(limits: PoolLimits) -> Self {
+        let (connections, assignments) = (BTreeMap::new(), BTreeMap::new());
+        Pool { limits, connections, waiting: VecDeque::new(), assignments, last_failure: None, next_id: 0 }
     }
 
-    /// Takes up other limits. What is over them ends by itself.
-    pub fn settle(&mut self, limits: Limits) {
+    /// Replaces the limits. Connections and streams above the new limits end normally.
+    pub fn set_limits(&mut self, limits: PoolLimits) {
         self.limits = limits;
     }
 
-    pub fn limits(&self) -> Limits {
+    pub fn limits(&self) -> PoolLimits {
         self.limits
     }
 
-    /// Whether there is nothing left to look after.
+    /// Whether the pool has neither connections nor waiting claims.
     pub fn is_empty(&self) -> bool {
-        self.lines.is_empty() && self.waiting.is_empty()
+        self.connections.is_empty() && self.waiting.is_empty()
     }
 
-    /// A claim wants a stream; it is granted or denied one sooner or later, unless it leaves before.
-    pub fn want(&mut self, now: Instant, orders: &mut Vec<Order>) -> ClaimId {
-        self.next += 1;
-        let claim = ClaimId(self.next);
+    /// Requests a stream. The claim is granted or denied one eventually, unless it is released first.
+    pub fn request_stream(&mut self, now: Instant, actions: &mut Vec<Action>) -> ClaimId {
+        self.next_id += 1;
+        let claim = ClaimId(self.next_id);
         self.waiting.push_back(claim);
-        self.serve(now, orders);
+        self.dispatch(now, actions);
         claim
     }
 
-    /// A claim has no more use of its stream, or of its wait for one.
-    pub fn leave(&mut self, now: Instant, claim: ClaimId, how: Left, orders: &mut Vec<Order>) {
-        let Some(id) = self.places.remove(&claim) else {
+    /// Releases the stream of a claim, or cancels its wait for one.
+    pub fn release(&mut self, now: Instant, claim: ClaimId, result: ClaimResult, actions: &mut Vec<Action>) {
+        let Some(id) = self.assignments.remove(&claim) else {
             return self.waiting.retain(|c| *c != claim);
         };
-        let line = self.lines.get_mut(&id).expect("claims have streams on known lines");
-        let since = line.streams.remove(&claim);
-        line.idle = now;
-        match how {
-            Left::Heard => self.hear(now, id),
-            // Guards against a connection that has died without a word taking claim after claim with it.
-            Left::Unheard if since.is_some_and(|since| line.heard < since) && line.state == State::Open => {
-                line.doubted = true;
-                if line.pinged.is_none() {
-                    line.pinged = Some(now);
-                    orders.push(Order::Ping(id));
+        let connection = self.connections.get_mut(&id).expect("claims have streams on known connections");
+        let since = connection.streams.remove(&claim);
+        connection.idle_since = now;
+        match result {
+            ClaimResult::Responded => self.record_activity(now, id),
+            // Guards against a connection that died silently and fails one claim after another.
+            ClaimResult::NoResponse
+                if since.is_some_and(|since| connection.last_activity < since)
+                    && connection.state == State::Open =>
+            {
+                connection.suspect = true;
+                if connection.ping_sent.is_none() {
+                    connection.ping_sent = Some(now);
+                    actions.push(Action::Ping(id));
                 }
             }
-            Left::Unheard => {}
+            ClaimResult::NoResponse => {}
         }
-        self.end_if_done(id, orders);
-        self.serve(now, orders);
+        self.remove_if_drained(id, actions);
+        self.dispatch(now, actions);
     }
 
-    /// A connection is up; the gateway allows so many streams.
-    pub fn connected(&mut self, now: Instant, id: LineId, allowed: usize, orders: &mut Vec<Order>) {
-        match self.lines.get_mut(&id).filter(|line| line.state == State::Dialling) {
-            Some(line) => {
-                (line.state, line.allowed, line.heard, line.idle) = (State::Open, allowed, now, now);
-                self.serve(now, orders);
+    /// A connection is established; the gateway allows `max_streams` concurrent streams.
+    pub fn connected(
+        &mut self,
+        now: Instant,
+        id: ConnectionId,
+        max_streams: usize,
+        actions: &mut Vec<Action>,
+    ) {
+        match self.connections.get_mut(&id).filter(|connection| connection.state == State::Connecting) {
+            Some(connection) => {
+                (
+                    connection.state,
+                    connection.peer_max_streams,
+                    connection.last_activity,
+                    connection.idle_since,
+                ) = (State::Open, max_streams, now, now);
+                self.dispatch(now, actions);
             }
-            // Withdrawn meanwhile.
-            None => orders.push(Order::Close(id)),
+            // The gateway was removed meanwhile.
+            None => actions.push(Action::Close(id)),
         }
     }
 
-    /// A connection did not come up. Where no other is up or on its way, nobody waits in vain.
-    pub fn failed(&mut self, now: Instant, id: LineId, orders: &mut Vec<Order>) {
-        if self.lines.get(&id).is_some_and(|line| line.state == State::Dialling) {
-            self.lines.remove(&id);
+    /// A connection attempt failed. Unless another connection is open, denies the waiting claims that the remaining
+    /// connection attempts could not serve.
+    pub fn connect_failed(&mut self, now: Instant, id: ConnectionId, actions: &mut Vec<Action>) {
+        if self.connections.get(&id).is_some_and(|connection| connection.state == State::Connecting) {
+            self.connections.remove(&id);
         }
-        self.refused = Some(now);
-        if !self.lines.values().any(|line| line.state == State::Open) {
-            // Those that it was for: the others have another on its way.
-            let lost = self.waiting.len().saturating_sub(self.awaited());
-            orders.extend(self.waiting.drain(..lost).map(|claim| Order::Deny(claim, Denial::Unconnected)));
+        self.last_failure = Some(now);
+        if !self.connections.values().any(|connection| connection.state == State::Open) {
+            // The remaining connection attempts are enough for the other claims.
+            let unserved = self.waiting.len().saturating_sub(self.pending_capacity());
+            actions.extend(
+                self.waiting.drain(..unserved).map(|claim| Action::Deny(claim, Denial::NoConnection)),
+            );
         }
-        self.serve(now, orders);
+        self.dispatch(now, actions);
     }
 
-    /// Streams that the connections on their way are good for.
-    fn awaited(&self) -> usize {
-        let dialling = self.lines.values().filter(|l| l.state == State::Dialling).count();
-        dialling.saturating_mul(self.limits.streams.max(1))
+    /// Streams that the connections being established will provide.
+    fn pending_capacity(&self) -> usize {
+        let connecting = self.connections.values().filter(|c| c.state == State::Connecting).count();
+        connecting.saturating_mul(self.limits.max_streams.max(1))
     }
 
-    /// The gateway allows so many streams now; none at all is possible.
-    pub fn allows(&mut self, now: Instant, id: LineId, allowed: usize, orders: &mut Vec<Order>) {
-        if let Some(line) = self.lines.get_mut(&id).filter(|line| line.allowed != allowed) {
-            line.allowed = allowed;
-            self.serve(now, orders);
+    /// The gateway changed its limit of concurrent streams; 0 is valid.
+    pub fn set_peer_max_streams(
+        &mut self,
+        now: Instant,
+        id: ConnectionId,
+        max_streams: usize,
+        actions: &mut Vec<Action>,
+    ) {
+        if let Some(connection) =
+            self.connections.get_mut(&id).filter(|connection| connection.peer_max_streams != max_streams)
+        {
+            connection.peer_max_streams = max_streams;
+            self.dispatch(now, actions);
         }
     }
 
-    /// A ping was answered, or something else came.
-    pub fn heard(&mut self, now: Instant, id: LineId, orders: &mut Vec<Order>) {
-        self.hear(now, id);
-        self.serve(now, orders);
+    /// A PING was acknowledged, or anything else was received.
+    pub fn activity(&mut self, now: Instant, id: ConnectionId, actions: &mut Vec<Action>) {
+        self.record_activity(now, id);
+        self.dispatch(now, actions);
     }
 
-    fn hear(&mut self, now: Instant, id: LineId) {
-        if let Some(line) = self.lines.get_mut(&id) {
-            (line.heard, line.pinged, line.doubted) = (now, None, false);
+    fn record_activity(&mut self, now: Instant, id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            (connection.last_activity, connection.ping_sent, connection.suspect) = (now, None, false);
         }
     }
 
-    /// The gateway takes nothing more on this connection (GOAWAY, or an answer that says so). What is open goes on.
-    pub fn going_away(&mut self, now: Instant, id: LineId, orders: &mut Vec<Order>) {
-        if let Some(line) = self.lines.get_mut(&id).filter(|line| line.state == State::Open) {
-            line.state = State::Leaving;
-            self.end_if_done(id, orders);
-            self.serve(now, orders);
+    /// The gateway accepts no more streams on this connection (GOAWAY, or a response to that effect). Open streams continue.
+    pub fn going_away(&mut self, now: Instant, id: ConnectionId, actions: &mut Vec<Action>) {
+        if let Some(connection) =
+            self.connections.get_mut(&id).filter(|connection| connection.state == State::Open)
+        {
+            connection.state = State::Draining;
+            self.remove_if_drained(id, actions);
+            self.dispatch(now, actions);
         }
     }
 
-    /// The connection has ended.
-    pub fn closed(&mut self, now: Instant, id: LineId, orders: &mut Vec<Order>) {
-        if let Some(line) = self.lines.get_mut(&id) {
-            line.state = State::Ended;
-            self.end_if_done(id, orders);
-            self.serve(now, orders);
+    /// A connection has ended.
+    pub fn closed(&mut self, now: Instant, id: ConnectionId, actions: &mut Vec<Action>) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.state = State::Closed;
+            self.remove_if_drained(id, actions);
+            self.dispatch(now, actions);
         }
     }
 
-    /// The gateway is listed no more, or elsewhere: nothing new, and what is idle is closed.
-    pub fn withdraw(&mut self, orders: &mut Vec<Order>) {
-        orders.extend(self.waiting.drain(..).map(|claim| Order::Deny(claim, Denial::Withdrawn)));
-        self.lines.retain(|_, line| line.state != State::Dialling);
-        for id in self.lines.keys().copied().collect::<Vec<_>>() {
-            let line = self.lines.get_mut(&id).expect("just seen");
-            line.state = if line.state == State::Open { State::Leaving } else { line.state };
-            self.end_if_done(id, orders);
+    /// The gateway was removed from the list or its address changed: denies waiting claims, drops connection attempts,
+    /// drains open connections and closes idle ones.
+    pub fn remove_gateway(&mut self, actions: &mut Vec<Action>) {
+        actions.extend(self.waiting.drain(..).map(|claim| Action::Deny(claim, Denial::GatewayRemoved)));
+        self.connections.retain(|_, connection| connection.state != State::Connecting);
+        for id in self.connections.keys().copied().collect::<Vec<_>>() {
+            let connection = self.connections.get_mut(&id).expect("just seen");
+            connection.state =
+                if connection.state == State::Open { State::Draining } else { connection.state };
+            self.remove_if_drained(id, actions);
         }
     }
 
-    /// Closes what has no streams.
-    pub fn close_idle(&mut self, now: Instant, orders: &mut Vec<Order>) {
-        self.close_if(orders, |_| true);
-        // Claims may wait although there was one: the gateway allowed no stream on it.
-        self.serve(now, orders);
+    /// Closes all connections without streams.
+    pub fn close_idle(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        self.close_if(actions, |_| true);
+        // Claims may be waiting despite an idle connection: the gateway may have allowed no streams on it.
+        self.dispatch(now, actions);
     }
 
-    /// Time has passed: idle connections are closed, quiet ones pinged, silent ones broken off.
-    pub fn tick(&mut self, now: Instant, orders: &mut Vec<Order>) {
-        let Limits { quiet, pong, idle, .. } = self.limits;
-        self.close_if(orders, |line| now >= line.idle + idle);
+    /// Runs the time-based checks: closes idle connections, pings quiet ones and aborts those that do not answer a PING.
+    pub fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        let PoolLimits { ping_after, pong_timeout, idle_timeout, .. } = self.limits;
+        self.close_if(actions, |connection| now >= connection.idle_since + idle_timeout);
         let mut silent = Vec::new();
-        for (id, line) in &mut self.lines {
-            if !matches!(line.state, State::Open | State::Leaving) {
+        for (id, connection) in &mut self.connections {
+            if !matches!(connection.state, State::Open | State::Draining) {
                 continue;
             }
-            match line.pinged {
-                Some(since) if now >= since + pong => silent.push(*id),
-                None if !line.streams.is_empty() && now >= line.heard + quiet => {
-                    line.pinged = Some(now);
-                    orders.push(Order::Ping(*id));
+            match connection.ping_sent {
+                Some(since) if now >= since + pong_timeout => silent.push(*id),
+                None if !connection.streams.is_empty() && now >= connection.last_activity + ping_after => {
+                    connection.ping_sent = Some(now);
+                    actions.push(Action::Ping(*id));
                 }
                 _ => {}
             }
         }
         for id in silent {
-            orders.push(Order::Break(id));
-            self.closed(now, id, orders);
+            actions.push(Action::Abort(id));
+            self.closed(now, id, actions);
         }
-        self.serve(now, orders);
+        self.dispatch(now, actions);
     }
 
-    fn close_if(&mut self, orders: &mut Vec<Order>, unwanted: impl Fn(&Line) -> bool) {
-        self.lines.retain(|id, line| {
-            let close = line.state == State::Open && line.streams.is_empty() && unwanted(line);
-            orders.extend(close.then_some(Order::Close(*id)));
+    fn close_if(&mut self, actions: &mut Vec<Action>, should_close: impl Fn(&Connection) -> bool) {
+        self.connections.retain(|id, connection| {
+            let close =
+                connection.state == State::Open && connection.streams.is_empty() && should_close(connection);
+            actions.extend(close.then_some(Action::Close(*id)));
             !close
         });
     }
 
-    fn end_if_done(&mut self, id: LineId, orders: &mut Vec<Order>) {
-        let done =
-            |line: &Line| line.streams.is_empty() && matches!(line.state, State::Leaving | State::Ended);
-        if self.lines.get(&id).is_some_and(done) {
-            let line = self.lines.remove(&id).expect("just seen");
-            orders.extend((line.state == State::Leaving).then_some(Order::Close(id)));
+    fn remove_if_drained(&mut self, id: ConnectionId, actions: &mut Vec<Action>) {
+        let done = |connection: &Connection| {
+            connection.streams.is_empty() && matches!(connection.state, State::Draining | State::Closed)
+        };
+        if self.connections.get(&id).is_some_and(done) {
+            let connection = self.connections.remove(&id).expect("just seen");
+            actions.extend((connection.state == State::Draining).then_some(Action::Close(id)));
         }
     }
 
-    /// Grants streams, oldest claim first, and dials where there are more claims than room.
-    fn serve(&mut self, now: Instant, orders: &mut Vec<Order>) {
+    /// Grants streams to waiting claims in FIFO order, and opens connections while claims outnumber available streams.
+    fn dispatch(&mut self, now: Instant, actions: &mut Vec<Action>) {
         while let Some(claim) = self.waiting.front().copied()
-            && let Some(id) = self.pick()
+            && let Some(id) = self.select_connection()
         {
             self.waiting.pop_front();
-            self.lines.get_mut(&id).expect("picked").streams.insert(claim, now);
-            self.places.insert(claim, id);
-            orders.push(Order::Grant(claim, id));
+            self.connections.get_mut(&id).expect("just selected").streams.insert(claim, now);
+            self.assignments.insert(claim, id);
+            actions.push(Action::Grant(claim, id));
         }
         loop {
-            let live = self.lines.values().filter(|l| l.is_live()).count();
-            if self.awaited() >= self.waiting.len() || live >= self.limits.connections.max(1) {
+            let live = self.connections.values().filter(|c| c.is_live()).count();
+            if self.pending_capacity() >= self.waiting.len() || live >= self.limits.max_connections.max(1) {
                 return;
             }
-            // Guards against dialling on and on at a gateway that allows no further connection.
-            let open = self.lines.values().any(|line| line.state == State::Open);
-            if open && self.refused.is_some_and(|at| now < at + self.limits.dial) {
+            // Guards against repeated connection attempts to a gateway that allows no further connection.
+            let open = self.connections.values().any(|connection| connection.state == State::Open);
+            if open && self.last_failure.is_some_and(|at| now < at + self.limits.connect_timeout) {
                 return;
             }
-            self.next += 1;
-            let (id, streams) = (LineId(self.next), BTreeMap::new());
-            let line = Line {
-                state: State::Dialling,
-                allowed: 0,
+            self.next_id += 1;
+            let (id, streams) = (ConnectionId(self.next_id), BTreeMap::new());
+            let connection = Connection {
+                state: State::Connecting,
+                peer_max_streams: 0,
                 streams,
-                heard: now,
-                pinged: None,
-                doubted: false,
-                idle: now,
+                last_activity: now,
+                ping_sent: None,
+                suspect: false,
+                idle_since: now,
             };
-            self.lines.insert(id, line);
-            orders.push(Order::Dial(id));
+            self.connections.insert(id, connection);
+            actions.push(Action::Dial(id));
         }
     }
 
-    /// The connection for the next stream: the oldest that is less than half full, so that the others come to stand idle
-    /// and are closed, else the one with the most room.
-    fn pick(&self) -> Option<LineId> {
-        let mut open = self.lines.iter().map(|(id, line)| (line.room(&self.limits), line.streams.len(), *id));
-        let spacious = open.clone().find(|(room, used, _)| room > used);
+    /// Selects the connection for the next stream: the oldest one that is less than half full, so that load concentrates
+    /// and the others become idle and are closed; otherwise the one with the most available streams.
+    fn select_connection(&self) -> Option<ConnectionId> {
+        let mut open = self.connections.iter().map(|(id, connection)| {
+            (connection.available_streams(&self.limits), connection.streams.len(), *id)
+        });
+        let under_half = open.clone().find(|(free, used, _)| free > used);
         let best =
-            spacious.or_else(|| open.by_ref().max_by_key(|(room, _, id)| (*room, std::cmp::Reverse(*id))));
-        best.filter(|(room, _, _)| *room > 0).map(|(_, _, id)| id)
+            under_half.or_else(|| open.by_ref().max_by_key(|(free, _, id)| (*free, std::cmp::Reverse(*id))));
+        best.filter(|(free, _, _)| *free > 0).map(|(_, _, id)| id)
     }
 }
 
--- a/relay/tests/command_line.rs
+++ b/relay/tests/command_line.rs
@@ -34,7 +34,7 @@
     let faulty = run(&["check", file.to_str().expect("text")]);
     assert_eq!(faulty.status.code(), Some(2));
     assert!(
-        text(&faulty.stderr).contains("admin: 'here' is no address and port"),
+        text(&faulty.stderr).contains("admin: 'here' is not an address with a port"),
         "{}",
         text(&faulty.stderr)
     );
