--- a/relay/src/hook.rs
+++ b/relay/src/hook.rs
@@ -1,36 +1,37 @@
-//! Plug-ins: a script in rhai with a hook at admission and one at each outcome.
+//! Hook scripts in Rhai: one hook is called at admission and one after each claim's outcome.
 //!
-//! A script may refuse a job, shorten its time and label it. It cannot send, lengthen or repeat: what it says
-//! is a [`HookDecision`], which the core keeps within the rules. It runs inside fixed bounds, sees no files and no
-//! network, and keeps nothing from one call to the next. When it fails, that is logged and the job goes on.
+//! A script may refuse a job, shorten its deadline and label it. It cannot send, extend or repeat a job: it returns a
+//! [`HookDecision`], which the core applies within its own rules. A script runs with fixed resource limits, has no access
+//! to files or the network, and keeps no state between calls. If it fails, the failure is logged and the job proceeds.
 use rhai::{AST, Dynamic, Engine, EvalAltResult, Map, Scope};
 use std::time::Duration;
 
 use crate::config::HookTable;
 use crate::job::{Job, Outcome, told_wait};
 
-/// What a script says of a job.
+/// The decision of a script about a job.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HookDecision {
     pub refuse: bool,
-    /// With a refusal: when to come again.
+    /// With a refusal: the time after which the submitter may retry.
     pub retry_after: Option<Duration>,
-    /// The job has no more time than this from now on.
+    /// Upper bound of the time that the job has from now on.
     pub time_left: Option<Duration>,
     pub label: Option<String>,
 }
 
+/// A compiled script with its engine.
 pub struct Hooks {
     engine: Engine,
     script: AST,
 }
 
-/// Longest text that a script may build, and longest label.
-const LONGEST_TEXT: usize = 4096;
-const LONGEST_LABEL: usize = 64;
+/// Maximum size of a string in a script, and maximum length of a label.
+const MAX_STRING_BYTES: usize = 4096;
+const MAX_LABEL_CHARS: usize = 64;
 
 impl Hooks {
-    /// Reads a script; a fault names its place in the file.
+    /// Reads and compiles a script; an error names its position in the file.
     pub fn load(table: &HookTable) -> Result<Hooks, String> {
         let name = table.script.display();
         let text = std::fs::read_to_string(&table.script).map_err(|e| format!("hook.script: {name}: {e}"))?;
@@ -45,27 +46,28 @@
             .set_max_expr_depths(32, 32)
             .set_max_functions(64)
             .set_max_variables(64)
-            .set_max_string_size(LONGEST_TEXT)
+            .set_max_string_size(MAX_STRING_BYTES)
             .set_max_array_size(256)
             .set_max_map_size(64)
             .disable_symbol("eval")
             .on_print(|text| tracing::debug!("script: {text}"))
             .on_debug(|text, _, _| tracing::debug!("script: {text}"));
         let script = engine.compile(text).map_err(|e| e.to_string())?;
-        let known = [("admit", 1), ("outcome", 2)];
-        let hooks = script.iter_functions().filter(|f| known.contains(&(f.name, f.params.len()))).count();
+        let known_hooks = [("admit", 1), ("outcome", 2)];
+        let hooks =
+            script.iter_functions().filter(|f| known_hooks.contains(&(f.name, f.params.len()))).count();
         if hooks == 0 {
-            return Err("it has neither admit(job) nor outcome(job, outcome)".into());
+            return Err("the script defines neither admit(job) nor outcome(job, outcome)".into());
         }
         Ok(Hooks { engine, script })
     }
 
-    /// Asked before the module sees a new job.
+    /// Calls the `admit` hook, before the decision module sees a new job.
     pub fn admit(&self, job: &Job, left: Duration) -> HookDecision {
-        self.ask("admit", job, (describe(job, left),))
+        self.call("admit", job, (job_map(job, left),))
     }
 
-    /// Asked after each outcome that does not end the job.
+    /// Calls the `outcome` hook, after each outcome that does not end the job.
     pub fn outcome(
         &self,
         job: &Job,
@@ -74,32 +76,32 @@
         tries: u32,
         node: &str,
     ) -> HookDecision {
-        let mut told = Map::new();
-        told.insert("kind".into(), kind(outcome).into());
-        told.insert("may_have_run".into(), (!outcome.never_ran()).into());
-        told.insert("tries".into(), i64::from(tries).into());
-        told.insert("node".into(), node.into());
-        self.ask("outcome", job, (describe(job, left), told))
+        let mut details = Map::new();
+        details.insert("kind".into(), outcome_kind(outcome).into());
+        details.insert("may_have_run".into(), (!outcome.never_ran()).into());
+        details.insert("tries".into(), i64::from(tries).into());
+        details.insert("node".into(), node.into());
+        self.call("outcome", job, (job_map(job, left), details))
     }
 
-    fn ask(&self, hook: &str, job: &Job, arguments: impl rhai::FuncArgs) -> HookDecision {
-        let said = self.engine.call_fn::<Dynamic>(&mut Scope::new(), &self.script, hook, arguments);
-        let ruling = match said {
-            Ok(said) => read(said),
-            // A script may leave a hook out.
+    fn call(&self, hook: &str, job: &Job, arguments: impl rhai::FuncArgs) -> HookDecision {
+        let returned = self.engine.call_fn::<Dynamic>(&mut Scope::new(), &self.script, hook, arguments);
+        let decision = match returned {
+            Ok(value) => parse_decision(value),
+            // A script need not define both hooks.
             Err(e) if matches!(&*e, EvalAltResult::ErrorFunctionNotFound(name, _) if name.starts_with(hook)) => {
                 Ok(HookDecision::default())
             }
             Err(e) => Err(e.to_string()),
         };
-        ruling.unwrap_or_else(|fault| {
-            tracing::warn!(id = job.id, hook, fault, "script failed; the job goes on without it");
+        decision.unwrap_or_else(|fault| {
+            tracing::warn!(id = job.id, hook, fault, "script failed; the job proceeds without its decision");
             HookDecision::default()
         })
     }
 }
 
-fn describe(job: &Job, left: Duration) -> Map {
+fn job_map(job: &Job, left: Duration) -> Map {
     let mut map = Map::new();
     map.insert("id".into(), job.id.as_str().into());
     map.insert("class".into(), job.class.as_str().into());
@@ -110,7 +112,7 @@
     map
 }
 
-fn kind(outcome: Outcome) -> &'static str {
+fn outcome_kind(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Delivered => "delivered",
         Outcome::Rejected(_) => "rejected",
@@ -121,18 +123,18 @@
         Outcome::Reset => "reset",
         Outcome::Unconnected => "unconnected",
         Outcome::Cancelled => "cancelled",
-        // To a plug-in it was not sent, whoever is to blame.
+        // For a script both mean that nothing was sent, whatever the cause.
         Outcome::NotSent | Outcome::LocalFault => "not-sent",
     }
 }
 
-/// Decodes what a hook returned: nothing, or a map with known keys.
-fn read(said: Dynamic) -> Result<HookDecision, String> {
-    let mut ruling = HookDecision::default();
-    if said.is_unit() {
-        return Ok(ruling);
+/// Decodes the return value of a hook: nothing, or a map with known keys.
+fn parse_decision(returned: Dynamic) -> Result<HookDecision, String> {
+    let mut decision = HookDecision::default();
+    if returned.is_unit() {
+        return Ok(decision);
     }
-    let map = said.try_cast::<Map>().ok_or("a hook must return nothing or a map")?;
+    let map = returned.try_cast::<Map>().ok_or("a hook must return nothing or a map")?;
     let millis = |key: &str, value: &Dynamic| {
         let value = value.as_int().ok().and_then(|ms| u64::try_from(ms).ok());
         value
@@ -141,17 +143,17 @@
     };
     for (key, value) in &map {
         match key.as_str() {
-            "refuse" => ruling.refuse = value.as_bool().map_err(|_| "refuse must be true or false")?,
-            "after_ms" => ruling.retry_after = Some(millis("after_ms", value)?),
-            "left_ms" => ruling.time_left = Some(millis("left_ms", value)?),
+            "refuse" => decision.refuse = value.as_bool().map_err(|_| "refuse must be true or false")?,
+            "after_ms" => decision.retry_after = Some(millis("after_ms", value)?),
+            "left_ms" => decision.time_left = Some(millis("left_ms", value)?),
             "label" => {
                 let label = value.clone().into_string().map_err(|_| "label must be a string")?;
-                ruling.label = Some(label.chars().take(LONGEST_LABEL).collect());
+                decision.label = Some(label.chars().take(MAX_LABEL_CHARS).collect());
             }
-            other => return Err(format!("a hook returned '{other}', which means nothing")),
+            other => return Err(format!("a hook returned the unknown key '{other}'")),
         }
     }
-    Ok(ruling)
+    Ok(decision)
 }
 
 #[cfg(test)]
--- a/relay/src/hook/tests.rs
+++ b/relay/src/hook/tests.rs
@@ -16,27 +16,28 @@
 }
 
 fn admit(body: &str) -> HookDecision {
-    let hooks = Hooks::new(&format!("fn admit(job) {{ {body} }}"), 20_000).expect("it compiles");
+    let hooks = Hooks::new(&format!("fn admit(job) {{ {body} }}"), 20_000).expect("a valid script");
     hooks.admit(&job(), Duration::from_secs(2))
 }
 
 #[test]
-fn a_hook_refuses_shortens_and_labels() {
-    let said = admit(r##"if job.size == 10 && job.left_ms == 2000 { #{ left_ms: 500, label: job.class } }"##);
-    let wanted = HookDecision {
+fn hook_can_refuse_shorten_and_label_a_job() {
+    let decision =
+        admit(r##"if job.size == 10 && job.left_ms == 2000 { #{ left_ms: 500, label: job.class } }"##);
+    let expected = HookDecision {
         time_left: Some(Duration::from_millis(500)),
         label: Some("order".into()),
         ..HookDecision::default()
     };
-    assert_eq!(said, wanted);
+    assert_eq!(decision, expected);
     assert!(admit("#{ refuse: true }").refuse);
     assert_eq!(admit(""), HookDecision::default());
 }
 
 #[test]
-fn a_failing_or_greedy_hook_rules_nothing() {
-    let began = Instant::now();
-    let faulty = [
+fn failing_or_resource_hungry_hook_has_no_effect() {
+    let start = Instant::now();
+    let failing_bodies = [
         "throw \"no\"",
         "job.nothing.size",
         "#{ send: true }",
@@ -48,14 +49,14 @@
         "let m = #{}; for i in 0..100000 { m[`${i}`] = i; }",
         "admit(job)",
     ];
-    for body in faulty {
+    for body in failing_bodies {
         assert_eq!(admit(body), HookDecision::default(), "{body}");
     }
-    assert!(began.elapsed() < Duration::from_secs(5));
+    assert!(start.elapsed() < Duration::from_secs(5));
 }
 
 #[test]
-fn a_script_without_hooks_or_with_eval_is_no_plug_in() {
+fn script_without_hooks_or_with_eval_is_rejected() {
     for text in ["fn other() {}", "fn admit(job) { eval(\"1\") }", "fn admit(job) {"] {
         assert!(Hooks::new(text, 1000).is_err(), "{text}");
     }
--- a/relay/src/import.rs
+++ b/relay/src/import.rs
@@ -1,7 +1,7 @@
-//! Takes nginx `upstream` and `location` blocks over into the relay's own file.
+//! Converts nginx `upstream` and `location` blocks to the relay's own configuration file.
 //!
-//! What has no counterpart is not guessed at: each such directive is told with its line. So are the defaults
-//! that stand where nginx says nothing, and input that is broken.
+//! Directives without an equivalent are not approximated: each is reported with its line. Defaults that are used because
+//! nginx has no such setting are reported too, and so is invalid input.
 use std::fmt;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,7 +12,7 @@
     UpstreamTable,
 };
 
-/// A directive: its words, and the directives in its block if it has one.
+/// An nginx directive: its name and arguments, and the directives in its block if it has one.
 #[derive(Debug, PartialEq)]
 struct Directive {
     line: usize,
@@ -20,7 +20,7 @@
     block: Option<Vec<Directive>>,
 }
 
-/// A fault in the input, or something that was not carried over. Line 0 stands for the file as a whole.
+/// An error in the input, or something that was not imported. Line 0 stands for the whole file.
 #[derive(Debug, PartialEq)]
 pub struct Diagnostic {
     pub line: usize,
@@ -36,35 +36,35 @@
     }
 }
 
-fn remark<T: Into<String>>(line: usize, what: T) -> Diagnostic {
-    Diagnostic { line, message: what.into() }
+fn diagnostic<T: Into<String>>(line: usize, message: T) -> Diagnostic {
+    Diagnostic { line, message: message.into() }
 }
 
-/// Reads a file; gives the text of ours and what was not carried over.
+/// Converts an nginx file. Returns the text of the relay's file, and diagnostics about what was not imported.
 pub fn import_file(path: &Path) -> Result<(String, Vec<Diagnostic>), String> {
     let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let text = String::from_utf8(text).map_err(|_| format!("{}: it is not UTF-8", path.display()))?;
-    import_text(&text).map_err(|fault| format!("{}: {fault}", path.display()))
+    let text = String::from_utf8(text).map_err(|_| format!("{}: the file is not UTF-8", path.display()))?;
+    import_text(&text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-/// The same from the file's text.
+/// Converts the text of an nginx file.
 pub fn import_text(text: &str) -> Result<(String, Vec<Diagnostic>), Diagnostic> {
-    let directives = block(&mut tokens(text)?.into_iter(), None, 0)?;
-    let mut import = Import::default();
-    import.level(&directives);
-    import.finish()
+    let directives = parse_block(&mut tokenize(text)?.into_iter(), None, 0)?;
+    let mut importer = Importer::default();
+    importer.import_block(&directives);
+    importer.finish()
 }
 
 #[derive(Debug, PartialEq)]
 enum Token {
     Word(String),
-    Open,
-    Close,
-    End,
+    BlockStart,
+    BlockEnd,
+    Semicolon,
 }
 
-/// Splits into words and punctuation, by nginx's rules for blanks, quotes, escapes and comments.
-fn tokens(text: &str) -> Result<Vec<(usize, Token)>, Diagnostic> {
+/// Splits the text into words and punctuation by nginx's rules for whitespace, quotes, escapes and comments.
+fn tokenize(text: &str) -> Result<Vec<(usize, Token)>, Diagnostic> {
     let mut tokens = Vec::new();
     let mut line = 1;
     let mut chars = text.chars().peekable();
@@ -73,14 +73,14 @@
             '\n' => line += 1,
             c if c.is_whitespace() => {}
             '#' => while chars.next_if(|c| *c != '\n').is_some() {},
-            '{' => tokens.push((line, Token::Open)),
-            '}' => tokens.push((line, Token::Close)),
-            ';' => tokens.push((line, Token::End)),
+            '{' => tokens.push((line, Token::BlockStart)),
+            '}' => tokens.push((line, Token::BlockEnd)),
+            ';' => tokens.push((line, Token::Semicolon)),
             quote @ ('"' | '\'') => {
                 let (start, mut word) = (line, String::new());
                 loop {
                     match chars.next() {
-                        None => return Err(remark(start, "a quote is not closed")),
+                        None => return Err(diagnostic(start, "unterminated quote")),
                         Some(c) if c == quote => break,
                         Some('\\') => word.extend(chars.next()),
                         Some(c) => word.push(c),
@@ -95,7 +95,7 @@
                 while let Some(c) = next {
                     match c {
                         '\\' => word.extend(chars.next()),
-                        // A variable's braces belong to the word.
+                        // The braces of `${variable}` belong to the word.
                         '$' if chars.peek() == Some(&'{') => {
                             word.push('$');
                             while let Some(c) = chars.next_if(|c| !c.is_whitespace()) {
@@ -116,13 +116,13 @@
     Ok(tokens)
 }
 
-/// Deeper nesting is no configuration, and reading it must not use the stack up.
-const DEEPEST: usize = 32;
+/// Maximum nesting of blocks. Real configurations are not nested deeper, and parsing must not exhaust the stack.
+const MAX_DEPTH: usize = 32;
 
-/// Reads directives up to the end of the block that was opened on a line, or of the file.
-fn block(
+/// Parses directives up to the end of the block that was opened on line `opened_at`, or of the file if it is `None`.
+fn parse_block(
     tokens: &mut std::vec::IntoIter<(usize, Token)>,
-    opened: Option<usize>,
+    opened_at: Option<usize>,
     depth: usize,
 ) -> Result<Vec<Directive>, Diagnostic> {
     let mut directives = Vec::new();
@@ -134,186 +134,196 @@
                 start = if words.is_empty() { line } else { start };
                 words.push(word);
             }
-            Token::End | Token::Open if words.is_empty() => {
-                return Err(remark(line, "a directive has no name"));
+            Token::Semicolon | Token::BlockStart if words.is_empty() => {
+                return Err(diagnostic(line, "directive without a name"));
             }
-            Token::Open if depth == DEEPEST => return Err(remark(line, "blocks are nested too deep")),
-            Token::End => {
+            Token::BlockStart if depth == MAX_DEPTH => {
+                return Err(diagnostic(line, "blocks are nested too deeply"));
+            }
+            Token::Semicolon => {
                 directives.push(Directive { line: start, words: std::mem::take(&mut words), block: None });
             }
-            Token::Open => {
-                let inner = block(tokens, Some(line), depth + 1)?;
+            Token::BlockStart => {
+                let inner = parse_block(tokens, Some(line), depth + 1)?;
                 directives.push(Directive {
                     line: start,
                     words: std::mem::take(&mut words),
                     block: Some(inner),
                 });
             }
-            Token::Close if !words.is_empty() => return Err(remark(start, "a directive has no ';'")),
-            Token::Close if opened.is_none() => return Err(remark(line, "a '}' closes nothing")),
-            Token::Close => return Ok(directives),
+            Token::BlockEnd if !words.is_empty() => {
+                return Err(diagnostic(start, "directive is not terminated by ';'"));
+            }
+            Token::BlockEnd if opened_at.is_none() => return Err(diagnostic(line, "unmatched '}'")),
+            Token::BlockEnd => return Ok(directives),
         }
     }
-    match opened {
-        _ if !words.is_empty() => Err(remark(start, "a directive has no ';'")),
-        Some(line) => Err(remark(line, "a '{' is not closed")),
+    match opened_at {
+        _ if !words.is_empty() => Err(diagnostic(start, "directive is not terminated by ';'")),
+        Some(line) => Err(diagnostic(line, "unclosed '{'")),
         None => Ok(directives),
     }
 }
 
-/// What stands where nginx has no counterpart.
-const CLASS: &str = "message";
-const LISTEN: &str = "127.0.0.1:8480";
-const NOTICES: &str = "127.0.0.1:8481";
-const STATE: &str = "state/push";
+/// Defaults of settings that nginx does not have.
+const DEFAULT_CLASS: &str = "message";
+const DEFAULT_LISTEN: &str = "127.0.0.1:8480";
+const DEFAULT_NOTICES: &str = "127.0.0.1:8481";
+const DEFAULT_STATE: &str = "state/push";
 
 #[derive(Default)]
-struct Import {
+struct Importer {
     listen: Option<String>,
     body_limit: Option<usize>,
     dial_timeout: Option<Duration>,
     upstreams: Vec<UpstreamTable>,
     locations: Vec<LocationTable>,
-    remarks: Vec<Diagnostic>,
+    diagnostics: Vec<Diagnostic>,
 }
 
-impl Import {
-    fn note(&mut self, line: usize, what: impl Into<String>) {
-        self.remarks.push(remark(line, what));
+impl Importer {
+    fn report(&mut self, line: usize, message: impl Into<String>) {
+        self.diagnostics.push(diagnostic(line, message));
     }
 
-    fn not_carried(&mut self, directive: &Directive, why: &str) {
-        self.note(directive.line, format!("'{}' is not carried over: {why}", directive.words.join(" ")));
+    fn not_imported(&mut self, directive: &Directive, reason: &str) {
+        self.report(directive.line, format!("'{}' is not imported: {reason}", directive.words.join(" ")));
     }
 
-    /// The directives of the file, of `http` or of a `server`.
-    fn level(&mut self, directives: &[Directive]) {
+    /// Imports the directives at the top level, in `http` or in a `server` block.
+    fn import_block(&mut self, directives: &[Directive]) {
         for directive in directives {
             let words: Vec<&str> = directive.words.iter().map(String::as_str).collect();
             match (&words[..], &directive.block) {
-                (["http"] | ["server"], Some(inner)) => self.level(inner),
-                (["upstream", name], Some(inner)) => self.upstream(directive.line, name, inner),
-                (["location", place @ ..], Some(inner)) => self.location(directive, place, inner),
-                (["listen", address, options @ ..], None) => self.listen(directive, address, options),
-                _ => self.shared(directive),
+                (["http"] | ["server"], Some(inner)) => self.import_block(inner),
+                (["upstream", name], Some(inner)) => self.import_upstream(directive.line, name, inner),
+                (["location", pattern @ ..], Some(inner)) => self.import_location(directive, pattern, inner),
+                (["listen", address, options @ ..], None) => self.import_listen(directive, address, options),
+                _ => self.import_common(directive),
             }
         }
     }
 
-    /// What may stand at any level.
-    fn shared(&mut self, directive: &Directive) {
+    /// Imports or reports a directive that may occur at any level.
+    fn import_common(&mut self, directive: &Directive) {
         let words: Vec<&str> = directive.words.iter().map(String::as_str).collect();
         match &words[..] {
-            ["client_max_body_size", size] => match bytes(size) {
+            ["client_max_body_size", size] => match parse_size(size) {
                 Some(size) => self.body_limit = self.body_limit.max(Some(size)),
-                None => self.not_carried(directive, "it is no size, or no limit at all"),
+                None => self.not_imported(directive, "not a size, or unlimited"),
             },
-            ["proxy_connect_timeout" | "grpc_connect_timeout", time] => match span(time) {
+            ["proxy_connect_timeout" | "grpc_connect_timeout", time] => match parse_duration(time) {
                 Some(time) => self.dial_timeout = self.dial_timeout.max(Some(time)),
-                None => self.not_carried(directive, "it is no time"),
+                None => self.not_imported(directive, "not a time"),
             },
             ["include", ..] => {
-                self.not_carried(directive, "included files are not read; import them by themselves")
+                self.not_imported(directive, "included files are not read; import them separately")
             }
             ["proxy_next_upstream" | "proxy_next_upstream_tries" | "proxy_next_upstream_timeout", ..] => {
-                self.not_carried(
+                self.not_imported(
                     directive,
-                    "the decision module and a class's 'repeat' say what is tried again",
+                    "the decision module and the 'repeat' of a class determine what is retried",
                 );
             }
             ["proxy_read_timeout" | "proxy_send_timeout" | "grpc_read_timeout" | "grpc_send_timeout", ..] => {
-                self.not_carried(directive, "the decision module says how long a call may take");
+                self.not_imported(directive, "the decision module determines the timeouts of calls");
             }
-            _ => self.not_carried(directive, "it has no counterpart"),
+            _ => self.not_imported(directive, "there is no equivalent"),
         }
     }
 
-    fn listen(&mut self, directive: &Directive, address: &str, options: &[&str]) {
+    fn import_listen(&mut self, directive: &Directive, address: &str, options: &[&str]) {
         let address = match address.parse::<u16>() {
             Ok(port) => format!("0.0.0.0:{port}"),
             Err(_) => address.replacen("*:", "0.0.0.0:", 1),
         };
         for option in options.iter().filter(|o| **o != "http2") {
-            self.note(
+            self.report(
                 directive.line,
-                format!("'{option}' of listen is not carried over: it has no counterpart"),
+                format!("'{option}' of listen is not imported: there is no equivalent"),
             );
         }
         if address.parse::<SocketAddr>().is_err() {
-            self.not_carried(directive, "an address with its port is needed");
+            self.not_imported(directive, "an address with a port is needed");
         } else if self.listen.as_ref().is_some_and(|listen| *listen != address) {
-            self.not_carried(directive, "the front listens on one address, the first");
+            self.not_imported(directive, "the push front listens only on the first address");
         } else {
             self.listen = Some(address);
         }
     }
 
-    fn upstream(&mut self, line: usize, name: &str, directives: &[Directive]) {
+    fn import_upstream(&mut self, line: usize, name: &str, directives: &[Directive]) {
         let mut servers = Vec::new();
         for directive in directives {
             let words: Vec<&str> = directive.words.iter().map(String::as_str).collect();
             match &words[..] {
                 ["server", address, ..] if address.starts_with("unix:") => {
-                    self.not_carried(directive, "only TCP is spoken");
+                    self.not_imported(directive, "only TCP is supported");
                 }
                 ["server", _, options @ ..] if options.contains(&"backup") => {
-                    self.not_carried(directive, "there are no backup servers; it is left out");
+                    self.not_imported(directive, "backup servers are not supported; the server is omitted");
                 }
                 ["server", address, options @ ..] => {
                     for option in options.iter().filter(|o| **o != "down") {
-                        let what =
-                            format!("'{option}' of server is not carried over: the decision module judges");
-                        self.note(directive.line, what);
+                        let message = format!(
+                            "'{option}' of server is not imported: the decision module assesses servers itself"
+                        );
+                        self.report(directive.line, message);
                     }
                     servers.push(ServerTable {
                         address: with_port(address),
                         draining: options.contains(&"down"),
                     });
                 }
-                _ => self.not_carried(directive, "the decision module chooses, and keeps connections itself"),
+                _ => self.not_imported(
+                    directive,
+                    "the decision module selects servers, and connections are pooled by the relay",
+                ),
             }
         }
         if self.upstreams.iter().any(|u| u.name == name) {
-            self.note(line, format!("upstream '{name}' is left out: there is one of that name"));
+            self.report(line, format!("upstream '{name}' is omitted: the name is already in use"));
         } else if servers.is_empty() {
-            self.note(line, format!("upstream '{name}' is left out: it has no server"));
+            self.report(line, format!("upstream '{name}' is omitted: it has no servers"));
         } else {
             self.upstreams.push(UpstreamTable { name: name.into(), rate: None, tls: None, servers });
         }
     }
 
-    fn location(&mut self, directive: &Directive, place: &[&str], directives: &[Directive]) {
-        let (path, exact) = match place {
+    fn import_location(&mut self, directive: &Directive, pattern: &[&str], directives: &[Directive]) {
+        let (path, exact) = match pattern {
             ["=", path] => (*path, true),
             ["^~", path] | [path] => (*path, false),
             _ => ("", false),
         };
-        let mut pass = None;
+        let mut proxy_pass = None;
         for inner in directives {
             let words: Vec<&str> = inner.words.iter().map(String::as_str).collect();
             match (&words[..], &inner.block) {
-                (["location", place @ ..], Some(deeper)) => self.location(inner, place, deeper),
-                (["proxy_pass" | "grpc_pass", url], None) => pass = Some((inner, url.to_string())),
-                _ => self.shared(inner),
+                (["location", pattern @ ..], Some(nested)) => self.import_location(inner, pattern, nested),
+                (["proxy_pass" | "grpc_pass", url], None) => proxy_pass = Some((inner, url.to_string())),
+                _ => self.import_common(inner),
             }
         }
         if !path.starts_with('/') {
-            return self.not_carried(directive, "only paths are, whole or by their beginning");
+            return self.not_imported(directive, "only exact paths and path prefixes are supported");
         }
-        let Some((inner, url)) = pass else {
-            return self.not_carried(directive, "it passes nothing on");
+        let Some((inner, url)) = proxy_pass else {
+            return self.not_imported(directive, "it has no proxy_pass or grpc_pass");
         };
         let host = url.strip_prefix("http://").or_else(|| url.strip_prefix("grpc://"));
         let Some(host) = host.filter(|h| !h.contains('$') && !h.starts_with("unix:")) else {
-            return self
-                .not_carried(inner, "only plain http:// to a fixed host is; its location is left out");
+            return self.not_imported(
+                inner,
+                "only http:// or grpc:// to a fixed host is supported; the location is omitted",
+            );
         };
         let (upstream, target) = match host.find('/') {
             Some(at) => (&host[..at], Some(host[at..].to_owned())),
             None => (host, None),
         };
         if self.locations.iter().any(|l| (l.path.as_str(), l.exact) == (path, exact)) {
-            return self.not_carried(directive, "there is one with this path");
+            return self.not_imported(directive, "another location has the same path");
         }
         let upstream = upstream.to_owned();
         self.locations.push(LocationTable {
@@ -321,17 +331,17 @@
             exact,
             target,
             upstream,
-            class: CLASS.into(),
+            class: DEFAULT_CLASS.into(),
             urgency: std::collections::BTreeMap::new(),
         });
     }
 
-    /// Puts the file together, once all upstreams are known.
+    /// Generates the file, after all upstreams have been read.
     fn finish(mut self) -> Result<(String, Vec<Diagnostic>), Diagnostic> {
         for location in &self.locations {
             let host = &location.upstream;
             if !self.upstreams.iter().any(|u| u.name == *host) {
-                // nginx, too, takes a host that names no upstream for an address.
+                // Like nginx, treats a host that names no upstream as an address.
                 let server = ServerTable { address: with_port(host), draining: false };
                 self.upstreams.push(UpstreamTable {
                     name: host.clone(),
@@ -342,19 +352,19 @@
             }
         }
         if self.locations.is_empty() {
-            return Err(remark(0, "no location can be carried over"));
+            return Err(diagnostic(0, "there is no location that can be imported"));
         }
         if self.listen.is_none() {
-            self.note(0, format!("push.listen is {LISTEN}: no 'listen' says otherwise"));
+            self.report(0, format!("push.listen is set to {DEFAULT_LISTEN}: there is no 'listen'"));
         }
-        self.note(
+        self.report(
             0,
-            format!("push.notices is {NOTICES} and push.state is '{STATE}': nginx has no counterpart"),
+            format!("push.notices is set to {DEFAULT_NOTICES} and push.state to '{DEFAULT_STATE}': nginx has no equivalent"),
         );
-        self.note(
+        self.report(
             0,
             format!(
-                "every location is of class '{CLASS}', never repeated once it may have run: see 'repeat'"
+                "every location has class '{DEFAULT_CLASS}', whose messages are never repeated once they may have run: see 'repeat'"
             ),
         );
         let limits = LimitsTable::default();
@@ -364,11 +374,11 @@
             backlog: None,
             admin: None,
             push: Some(PushTable {
-                listen: self.listen.unwrap_or(LISTEN.into()),
-                notices: NOTICES.into(),
-                state: STATE.into(),
+                listen: self.listen.unwrap_or(DEFAULT_LISTEN.into()),
+                notices: DEFAULT_NOTICES.into(),
+                state: DEFAULT_STATE.into(),
                 disk_mb: 64.0,
-                // nginx's own default.
+                // The default of nginx.
                 body_limit: self.body_limit.unwrap_or(1024 * 1024),
                 connections: 256,
                 tls: None,
@@ -379,7 +389,7 @@
             limits: LimitsTable { dial_timeout_ms, ..limits },
             gateways: GatewaysTable::default(),
             classes: vec![ClassTable {
-                name: CLASS.into(),
+                name: DEFAULT_CLASS.into(),
                 aim_ms: 4000,
                 give_up_ms: 28_000,
                 repeat: Repeat::Never,
@@ -389,12 +399,12 @@
             upstreams: self.upstreams,
             locations: self.locations,
         };
-        let text = toml::to_string(&file).map_err(|e| remark(0, e.to_string()))?;
-        // What the importer writes, the front must be able to run; a name may resolve elsewhere only.
-        if let Err(fault) = crate::config::parse_relay_config(&text) {
-            self.remarks.push(remark(0, format!("on this machine the file cannot be run: {fault}")));
+        let text = toml::to_string(&file).map_err(|e| diagnostic(0, e.to_string()))?;
+        // The generated file must be valid. It may still fail here if a host name resolves only on another machine.
+        if let Err(error) = crate::config::parse_relay_config(&text) {
+            self.diagnostics.push(diagnostic(0, format!("the file is not valid on this machine: {error}")));
         }
-        Ok((text, self.remarks))
+        Ok((text, self.diagnostics))
     }
 }
 
@@ -403,8 +413,8 @@
     if has_port { host.into() } else { format!("{host}:80") }
 }
 
-/// A size as nginx writes it; `None` for 0, which means any.
-fn bytes(text: &str) -> Option<usize> {
+/// Parses a size in nginx notation; `None` if it is invalid or 0, which means unlimited.
+fn parse_size(text: &str) -> Option<usize> {
     let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
     let factor = match &text[digits.len()..] {
         "" => 1,
@@ -416,8 +426,8 @@
     digits.parse::<usize>().ok()?.checked_mul(factor).filter(|size| *size > 0)
 }
 
-/// A time as nginx writes it: one number with its unit, seconds if there is none.
-fn span(text: &str) -> Option<Duration> {
+/// Parses a time in nginx notation: one number with a unit, by default seconds.
+fn parse_duration(text: &str) -> Option<Duration> {
     let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
     let number: u64 = digits.parse().ok()?;
     let millis = match &text[digits.len()..] {
--- a/relay/src/import/tests.rs
+++ b/relay/src/import/tests.rs
@@ -26,9 +26,9 @@
 "#;
 
 #[test]
-fn upstreams_and_locations_are_carried_over_and_run() {
-    let (text, remarks) = import_text(NGINX).expect("it is sound");
-    let push = crate::config::parse_relay_config(&text).expect("it runs").push.expect("a push front");
+fn upstreams_and_locations_are_imported_into_a_valid_file() {
+    let (text, diagnostics) = import_text(NGINX).expect("valid input");
+    let push = crate::config::parse_relay_config(&text).expect("a valid file").push.expect("a push front");
     assert_eq!(push.listen, "127.0.0.1:8090".parse().expect("an address"));
     assert_eq!(push.body_limit, 8192);
     assert_eq!(push.rules.dial_timeout(), Duration::from_millis(700));
@@ -42,13 +42,13 @@
         nodes,
         [("127.0.0.1:9001", Serving), ("127.0.0.1:9002", Draining), ("127.0.0.1:9100", Serving)]
     );
-    // Every directive that was not, with its line; then what stands for the file as a whole.
-    let lines: Vec<_> = remarks.iter().map(|r| r.line).collect();
+    // One diagnostic per directive that was not imported, with its line; then those about the whole file.
+    let lines: Vec<_> = diagnostics.iter().map(|r| r.line).collect();
     assert_eq!(lines, [2, 6, 7, 9, 16, 19, 20, 21, 0, 0]);
 }
 
 #[test]
-fn broken_input_is_told_with_its_line() {
+fn invalid_input_is_rejected_with_its_line() {
     let cases = [
         ("http {\nupstream a {\nserver b;\n}", 1),
         ("a b\n}", 1),
@@ -66,12 +66,12 @@
 }
 
 #[test]
-fn sizes_times_and_ports_are_read_as_nginx_writes_them() {
+fn sizes_times_and_ports_follow_nginx_notation() {
     assert_eq!(
-        [bytes("10"), bytes("2k"), bytes("1M"), bytes("0"), bytes("x")],
+        [parse_size("10"), parse_size("2k"), parse_size("1M"), parse_size("0"), parse_size("x")],
         [Some(10), Some(2048), Some(1 << 20), None, None]
     );
-    assert_eq!(span("90"), Some(Duration::from_secs(90)));
-    assert_eq!(span("2m"), Some(Duration::from_secs(120)));
+    assert_eq!(parse_duration("90"), Some(Duration::from_secs(90)));
+    assert_eq!(parse_duration("2m"), Some(Duration::from_secs(120)));
     assert_eq!([with_port("a"), with_port("a:81"), with_port("[::1]")], ["a:80", "a:81", "[::1]:80"]);
 }
--- a/relay/src/json.rs
+++ b/relay/src/json.rs
@@ -1,7 +1,7 @@
-//! JSON as others write it: a fault says where.
+//! Decodes JSON from outside the relay, with errors that name the key.
 use serde::Deserialize;
 
-/// Decodes JSON; a fault names the path of the key.
+/// Decodes JSON; an error names the path of the key at fault.
 pub fn decode<'a, T: Deserialize<'a>>(text: &'a [u8]) -> Result<T, String> {
     serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(text)).map_err(|e| {
         let path = e.path().to_string();
--- a/relay/src/tls.rs
+++ b/relay/src/tls.rs
@@ -1,7 +1,7 @@
-//! TLS for the second front, with rustls: what it presents, whom it trusts, and the authority for trying it out.
+//! TLS for the push front, with rustls: the server and client configurations, and a certificate authority for tests.
 //!
-//! Certificates and keys are files in PEM. They are read at the start and with SIGHUP; a connection keeps what it was
-//! opened with, so that nothing is dropped when they change.
+//! Certificates and keys are PEM files. They are read at startup and on SIGHUP. Open connections keep the configuration
+//! that they were opened with, so that none is dropped when the files change.
 use rcgen::{
     BasicConstraints, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair,
     KeyUsagePurpose,
@@ -16,30 +16,30 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The protocol that is agreed on; no other is spoken here.
-const H2: &[u8] = b"h2";
+/// The ALPN protocol id of HTTP/2, the only protocol that the push front supports.
+const ALPN_H2: &[u8] = b"h2";
 
-/// What the front presents to submitters.
+/// TLS settings for submitters' connections.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServerTlsTable {
-    /// Its certificate, with those between it and the authority's.
+    /// The certificate chain of the push front.
     pub certificate: PathBuf,
     pub key: PathBuf,
-    /// Authorities of submitters; where it is given, each must present a certificate of theirs.
+    /// Certificate authorities of submitters. If set, every submitter must present a certificate issued by one of them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub clients: Option<PathBuf>,
     #[serde(rename = "least", default)]
     pub min_version: MinTlsVersion,
 }
 
-/// What is asked of gateways that are reached by TLS, and presented to them.
+/// TLS settings for connections to gateways.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ClientTlsTable {
-    /// Authorities that are trusted.
+    /// The trusted certificate authorities.
     pub trust: PathBuf,
-    /// What is presented to gateways that ask for it.
+    /// The client certificate chain, for gateways that request one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub certificate: Option<PathBuf>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -48,7 +48,7 @@
     pub min_version: MinTlsVersion,
 }
 
-/// The least version that is spoken.
+/// The minimum TLS version.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub enum MinTlsVersion {
     #[default]
@@ -71,12 +71,12 @@
     Arc::new(rustls::crypto::ring::default_provider())
 }
 
-/// Reads the certificates of a file; `key` names where it was given.
+/// Reads the certificates in a file; `key` is the settings key for error messages.
 fn certificates(key: &str, path: &Path) -> Result<Vec<CertificateDer<'static>>, String> {
-    let fault = |e: rustls::pki_types::pem::Error| format!("{key}: {}: {e}", path.display());
+    let error = |e: rustls::pki_types::pem::Error| format!("{key}: {}: {e}", path.display());
     let all: Vec<_> =
-        CertificateDer::pem_file_iter(path).map_err(fault)?.collect::<Result<_, _>>().map_err(fault)?;
-    if all.is_empty() { Err(format!("{key}: {} has no certificate", path.display())) } else { Ok(all) }
+        CertificateDer::pem_file_iter(path).map_err(error)?.collect::<Result<_, _>>().map_err(error)?;
+    if all.is_empty() { Err(format!("{key}: {} contains no certificate", path.display())) } else { Ok(all) }
 }
 
 fn private_key(key: &str, path: &Path) -> Result<PrivateKeyDer<'static>, String> {
@@ -91,7 +91,7 @@
     Ok(Arc::new(roots))
 }
 
-/// Reads what the front presents. Every fault names its key.
+/// Builds the configuration for submitters' connections. Every error names its key.
 pub fn server_config(table: &ServerTlsTable) -> Result<Arc<ServerConfig>, String> {
     let versions =
         ServerConfig::builder_with_provider(provider()).with_protocol_versions(&table.min_version.versions());
@@ -107,12 +107,13 @@
     let chain = certificates("push.tls.certificate", &table.certificate)?;
     let key = private_key("push.tls.key", &table.key)?;
     let config = builder.with_single_cert(chain, key);
-    let mut config = config.map_err(|e| format!("push.tls.key: it does not fit the certificate: {e}"))?;
-    config.alpn_protocols = vec![H2.to_vec()];
+    let mut config =
+        config.map_err(|e| format!("push.tls.key: the key does not match the certificate: {e}"))?;
+    config.alpn_protocols = vec![ALPN_H2.to_vec()];
     Ok(Arc::new(config))
 }
 
-/// Reads what gateways are held to. Every fault names its key.
+/// Builds the configuration for connections to gateways. Every error names its key.
 pub fn client_config(table: &ClientTlsTable) -> Result<Arc<ClientConfig>, String> {
     let versions =
         ClientConfig::builder_with_provider(provider()).with_protocol_versions(&table.min_version.versions());
@@ -124,30 +125,41 @@
             let chain = certificates("gateways.tls.certificate", certificate)?;
             let key = private_key("gateways.tls.key", key)?;
             let config = builder.with_client_auth_cert(chain, key);
-            config.map_err(|e| format!("gateways.tls.key: it does not fit the certificate: {e}"))?
+            config.map_err(|e| format!("gateways.tls.key: the key does not match the certificate: {e}"))?
+        }
+        (Some(_), None) => {
+            return Err(
+                "gateways.tls.key: the key is missing although gateways.tls.certificate is set".into()
+            );
+        }
+        (None, Some(_)) => {
+            return Err(
+                "gateways.tls.certificate: the certificate is missing although gateways.tls.key is set"
+                    .into(),
+            );
         }
-        (Some(_), None) => return Err("gateways.tls.key: it is missing beside the certificate".into()),
-        (None, Some(_)) => return Err("gateways.tls.certificate: it is missing beside the key".into()),
     };
-    config.alpn_protocols = vec![H2.to_vec()];
+    config.alpn_protocols = vec![ALPN_H2.to_vec()];
     Ok(Arc::new(config))
 }
 
-/// Whether a handshake ended with HTTP/2; peers that name no protocol do not speak it by prior agreement here.
-pub fn negotiated_h2(agreed: Option<&[u8]>) -> bool {
-    agreed == Some(H2)
+/// Whether the handshake negotiated HTTP/2. A peer without ALPN is not assumed to use HTTP/2 by prior knowledge.
+pub fn negotiated_h2(alpn: Option<&[u8]>) -> bool {
+    alpn == Some(ALPN_H2)
 }
 
-/// Makes an authority for trying things out, and a certificate of it for each name, for 127.0.0.1 and for submitters,
-/// as files in a folder. Keys are made anew each time.
+/// Generates a certificate authority for tests, a server certificate for `names`, localhost and 127.0.0.1, and a client
+/// certificate for submitters, as files in a folder. All keys are new on each call.
 pub fn generate_certificates(folder: &Path, names: &[String]) -> Result<Vec<PathBuf>, String> {
-    let fault = |what: &str, e: rcgen::Error| format!("{what}: {e}");
+    let error = |context: &str, e: rcgen::Error| format!("{context}: {e}");
     let mut params = CertificateParams::default();
-    params.distinguished_name.push(DnType::CommonName, "onyxglade's authority for trying things out");
+    params.distinguished_name.push(DnType::CommonName, "onyxglade test authority");
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
-    let authority_key = KeyPair::generate().map_err(|e| fault("a key", e))?;
-    let authority = params.self_signed(&authority_key).map_err(|e| fault("the authority", e))?;
+    let authority_key = KeyPair::generate().map_err(|e| error("cannot generate a key", e))?;
+    let authority = params
+        .self_signed(&authority_key)
+        .map_err(|e| error("cannot create the authority certificate", e))?;
     let issuer = Issuer::new(params, authority_key);
     fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let mut written = Vec::new();
@@ -158,18 +170,19 @@
         Ok(())
     };
     write("authority.pem".into(), authority.pem())?;
-    let ends =
+    let roles =
         [("server", ExtendedKeyUsagePurpose::ServerAuth), ("client", ExtendedKeyUsagePurpose::ClientAuth)];
-    for (end, usage) in ends {
-        let alternatives: Vec<String> =
+    for (role, usage) in roles {
+        let subject_names: Vec<String> =
             names.iter().cloned().chain(["localhost".into(), "127.0.0.1".into()]).collect();
-        let mut params = CertificateParams::new(alternatives).map_err(|e| fault("names", e))?;
-        params.distinguished_name.push(DnType::CommonName, end);
+        let mut params = CertificateParams::new(subject_names).map_err(|e| error("invalid names", e))?;
+        params.distinguished_name.push(DnType::CommonName, role);
         params.extended_key_usages = vec![usage];
-        let key = KeyPair::generate().map_err(|e| fault("a key", e))?;
-        let certificate = params.signed_by(&key, &issuer).map_err(|e| fault("a certificate", e))?;
-        write(format!("{end}.pem"), certificate.pem())?;
-        write(format!("{end}.key"), key.serialize_pem())?;
+        let key = KeyPair::generate().map_err(|e| error("cannot generate a key", e))?;
+        let certificate =
+            params.signed_by(&key, &issuer).map_err(|e| error("cannot create a certificate", e))?;
+        write(format!("{role}.pem"), certificate.pem())?;
+        write(format!("{role}.key"), key.serialize_pem())?;
     }
     Ok(written)
 }
--- a/relay/src/tls/tests.rs
+++ b/relay/src/tls/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn made() -> (tempfile::TempDir, ServerTlsTable, ClientTlsTable) {
+fn generated() -> (tempfile::TempDir, ServerTlsTable, ClientTlsTable) {
     let folder = tempfile::tempdir().expect("a folder");
     generate_certificates(folder.path(), &["gateway.test".into()]).expect("certificates");
     let at = |name: &str| folder.path().join(name);
@@ -20,20 +20,20 @@
 }
 
 #[test]
-fn what_was_made_is_read_and_faults_name_their_key() {
-    let (folder, sound, client_sound) = made();
-    assert!(server_config(&sound).is_ok() && client_config(&client_sound).is_ok());
-    let other = folder.path().join("client.key");
-    let wrong = |table: ServerTlsTable| server_config(&table).err().unwrap_or_default();
+fn generated_files_are_accepted_and_errors_name_their_key() {
+    let (folder, server_table, client_table) = generated();
+    assert!(server_config(&server_table).is_ok() && client_config(&client_table).is_ok());
+    let other_key = folder.path().join("client.key");
+    let error = |table: ServerTlsTable| server_config(&table).err().unwrap_or_default();
     let missing = folder.path().join("none");
-    assert!(wrong(ServerTlsTable { key: other, ..sound.clone() }).contains("push.tls.key"));
+    assert!(error(ServerTlsTable { key: other_key, ..server_table.clone() }).contains("push.tls.key"));
     assert!(
-        wrong(ServerTlsTable { certificate: missing.clone(), ..sound.clone() })
+        error(ServerTlsTable { certificate: missing.clone(), ..server_table.clone() })
             .contains("push.tls.certificate")
     );
-    let no_certificate = Some(sound.key.clone());
-    assert!(wrong(ServerTlsTable { clients: no_certificate, ..sound }).contains("push.tls.clients"));
-    let wrong = |table: ClientTlsTable| client_config(&table).err().unwrap_or_default();
-    assert!(wrong(ClientTlsTable { trust: missing, ..client_sound.clone() }).contains("gateways.tls.trust"));
-    assert!(wrong(ClientTlsTable { key: None, ..client_sound }).contains("gateways.tls.key"));
+    let no_certificate = Some(server_table.key.clone());
+    assert!(error(ServerTlsTable { clients: no_certificate, ..server_table }).contains("push.tls.clients"));
+    let error = |table: ClientTlsTable| client_config(&table).err().unwrap_or_default();
+    assert!(error(ClientTlsTable { trust: missing, ..client_table.clone() }).contains("gateways.tls.trust"));
+    assert!(error(ClientTlsTable { key: None, ..client_table }).contains("gateways.tls.key"));
 }
