--- a/relay/src/instances/link.rs
+++ b/relay/src/instances/link.rs
@@ -1,5 +1,6 @@
-//! Links between instances: a frame asks, a frame answers, and the link ends; or the first frame says that it is to stand. One bad
-//! peer costs its own connection and no more: each has its time, its length and its place among few.
+//! Links (TCP connections) between instances. A link carries one request frame and one response frame; or its first frame
+//! turns it into a persistent link. A misbehaving peer affects only its own connection: time, frame size and the number of
+//! links are limited.
 use onyxglade_instances::{LONGEST_FRAME, View, Word};
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -13,37 +14,38 @@
 
 use super::Instances;
 
-/// Links that others have open here at once; one more is closed unread.
-const LINKS: usize = 16;
-/// Links that others have standing here at once. As many as hear the list from one in a start, when few are known.
-const STANDING: usize = 256;
-/// A link has done all within this time.
-const WHOLE: Duration = Duration::from_secs(3);
-/// Longest question, in bytes: only answers are long.
-const LONGEST_ASK: usize = 256;
+/// Maximum number of open links from other instances, before they become persistent; further ones are closed unread.
+const MAX_LINKS: usize = 16;
+/// Maximum number of persistent links from other instances. Enough for a startup, when few instances are known and many
+/// receive the list from the same one.
+const MAX_PERSISTENT_LINKS: usize = 256;
+/// Time allowed for a request and its response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum size of a request frame in bytes; only responses are long.
+const MAX_REQUEST_BYTES: usize = 256;
 
-/// Takes links, and answers what is asked.
+/// Accepts links and serves their requests.
 pub(super) async fn accept(instances: Rc<Instances>, listener: TcpListener) {
-    let places = Arc::new(Semaphore::new(LINKS));
-    let standing = Arc::new(Semaphore::new(STANDING));
+    let link_permits = Arc::new(Semaphore::new(MAX_LINKS));
+    let persistent_permits = Arc::new(Semaphore::new(MAX_PERSISTENT_LINKS));
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
-                let Ok(place) = places.clone().try_acquire_owned() else { continue };
-                let (instances, standing) = (instances.clone(), standing.clone());
+                let Ok(permit) = link_permits.clone().try_acquire_owned() else { continue };
+                let (instances, persistent_permits) = (instances.clone(), persistent_permits.clone());
                 actix_rt::spawn(async move {
-                    let answered = timeout(WHOLE, answer(&instances, stream)).await;
-                    drop(place);
-                    match answered {
+                    let result = timeout(REQUEST_TIMEOUT, serve_request(&instances, stream)).await;
+                    drop(permit);
+                    match result {
                         Ok(Ok(None)) => {}
                         Ok(Ok(Some(stream))) => {
-                            if let (Some(shared), Ok(_place)) =
-                                (&instances.shared, standing.try_acquire_owned())
+                            if let (Some(shared_lists), Ok(_permit)) =
+                                (&instances.shared_lists, persistent_permits.try_acquire_owned())
                             {
-                                shared.stand(&instances, stream, None).await;
+                                shared_lists.run_link(&instances, stream, None).await;
                             }
                         }
-                        _ => tracing::debug!(%from, "instances: a link ended with nothing said"),
+                        _ => tracing::debug!(%from, "instances: link closed without a valid request"),
                     }
                 });
             }
@@ -52,56 +54,63 @@
     }
 }
 
-/// Answers the first frame; gives the link back if it is to stand.
-async fn answer(instances: &Instances, mut stream: TcpStream) -> io::Result<Option<TcpStream>> {
-    let frame = read(&mut stream, LONGEST_ASK).await?;
-    match (instances.open(&frame), instances.known()) {
+/// Serves the request in the first frame. Returns the stream if the link becomes persistent.
+async fn serve_request(instances: &Instances, mut stream: TcpStream) -> io::Result<Option<TcpStream>> {
+    let frame = read_frame(&mut stream, MAX_REQUEST_BYTES).await?;
+    match (instances.open(&frame), instances.membership_view()) {
         (Some(Word::Ask), Some(view)) => {
-            write(&mut stream, &instances.seal(&Word::View(view))).await?;
+            write_frame(&mut stream, &instances.seal(&Word::View(view))).await?;
             Ok(None)
         }
-        (Some(Word::Follow), _) if instances.shared.is_some() => Ok(Some(stream)),
+        (Some(Word::Follow), _) if instances.shared_lists.is_some() => Ok(Some(stream)),
         _ => Err(io::ErrorKind::InvalidData.into()),
     }
 }
 
-/// A link to another.
-pub(super) async fn connect(instances: &Instances, at: SocketAddr) -> io::Result<TcpStream> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // From the address that others know, so that it can be told by it who asks.
-    if let (SocketAddr::V4(mine), true) = (instances.told.listen, at.is_ipv4()) {
-        socket.bind(SocketAddrV4::new(*mine.ip(), 0).into())?;
+/// Opens a link to another instance.
+pub(super) async fn connect(instances: &Instances, address: SocketAddr) -> io::Result<TcpStream> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    // Binds to the address that other instances know, so that they can tell by it which instance connects.
+    if let (SocketAddr::V4(own), true) = (instances.settings.listen, address.is_ipv4()) {
+        socket.bind(SocketAddrV4::new(*own.ip(), 0).into())?;
     }
-    socket.connect(at).await
+    socket.connect(address).await
 }
 
-/// Asks another for its view.
-pub(super) async fn ask(instances: &Instances, at: SocketAddr) -> io::Result<View> {
+/// Requests the membership view of another instance.
+pub(super) async fn request_view(instances: &Instances, address: SocketAddr) -> io::Result<View> {
     let call = async {
-        let mut stream = connect(instances, at).await?;
-        write(&mut stream, &instances.seal(&Word::Ask)).await?;
-        let frame = read(&mut stream, LONGEST_FRAME).await?;
+        let mut stream = connect(instances, address).await?;
+        write_frame(&mut stream, &instances.seal(&Word::Ask)).await?;
+        let frame = read_frame(&mut stream, LONGEST_FRAME).await?;
         match instances.open(&frame) {
             Some(Word::View(view)) => Ok(view),
             _ => Err(io::ErrorKind::InvalidData.into()),
         }
     };
-    timeout(WHOLE, call).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    timeout(REQUEST_TIMEOUT, call).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
-/// Reads a frame that is not longer than it may be.
-pub(super) async fn read(stream: &mut (impl AsyncRead + Unpin), longest: usize) -> io::Result<Vec<u8>> {
+/// Reads a frame of at most `max_bytes`.
+pub(super) async fn read_frame(
+    stream: &mut (impl AsyncRead + Unpin),
+    max_bytes: usize,
+) -> io::Result<Vec<u8>> {
     let length = stream.read_u32().await? as usize;
-    if length > longest {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, format!("a frame of {length} bytes")));
+    if length > max_bytes {
+        return Err(io::Error::new(
+            io::ErrorKind::InvalidData,
+            format!("frame of {length} bytes is too large"),
+        ));
     }
-    // What is told is not believed before it comes: room grows with what is there.
+    // The declared length is not trusted: the buffer grows only with the data that arrives.
     let mut frame = Vec::new();
     stream.take(length as u64).read_to_end(&mut frame).await?;
     if frame.len() < length { Err(io::ErrorKind::UnexpectedEof.into()) } else { Ok(frame) }
 }
 
-pub(super) async fn write(stream: &mut (impl AsyncWrite + Unpin), frame: &[u8]) -> io::Result<()> {
+/// Writes a frame with its length.
+pub(super) async fn write_frame(stream: &mut (impl AsyncWrite + Unpin), frame: &[u8]) -> io::Result<()> {
     let mut bytes = (frame.len() as u32).to_be_bytes().to_vec();
     bytes.extend_from_slice(frame);
     stream.write_all(&bytes).await
--- a/relay/src/instances/lists.rs
+++ b/relay/src/instances/lists.rs
@@ -1,5 +1,5 @@
-//! Lists between instances: the sockets and clocks round [`onyxglade_instances::Lists`]. Decides nothing. Without `lists` in
-//! `[instances]` nothing here runs, and no link stands.
+//! Passes lists of execute nodes between instances: the I/O for the state machine [`onyxglade_instances::Lists`], which
+//! makes all decisions. Nothing here runs, and there are no persistent links, unless `lists` in `[instances]` is set.
 use onyxglade_instances::{Heard, LONGEST_FRAME, Lists, ListsConfig, Todo, Word};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -17,258 +17,266 @@
 use crate::core::{Carrier, Core};
 use crate::list::{NodeEntry, NodeList};
 
-/// Words that wait on a link: one whose far side does not take them is given up.
-const WAITING: usize = 64;
-/// A link comes up within this time, and takes a word within it.
-const TAKES: Duration = Duration::from_secs(2);
-/// An instance that cannot listen for so long (the process before it still does) asks the list service by itself.
-const LISTENS: Duration = Duration::from_secs(1);
-/// A list of an earlier process's is used only if nothing better has come by then: its addresses may be others' by now. One that is alone
-/// still serves within its first second.
-const KNOWN_AFTER: Duration = Duration::from_millis(900);
+/// Maximum number of messages queued on a link. A link whose peer does not read them is closed.
+const MAX_QUEUED_MESSAGES: usize = 64;
+/// Time allowed for opening a link, and for writing a message to it.
+const LINK_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after which an instance that cannot listen yet, because its predecessor process still does, calls the list service
+/// on its own.
+const LISTEN_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before the list of an earlier process is used, if no newer one has arrived by then: its addresses may belong to
+/// other machines by now. The delay still lets an instance without peers serve within its first second.
+const KNOWN_LIST_DELAY: Duration = Duration::from_millis(900);
 
-/// What the lists of this instance are told beforehand.
+/// Limits of the shared lists.
 #[derive(Clone, Copy, Debug)]
 pub struct ListSharingLimits {
-    /// The list is to be no older than this.
+    /// The list must be confirmed at least this often.
     pub max_age: Duration,
-    /// The longest list that is taken, in bytes.
+    /// Maximum size of an accepted list, in bytes.
     pub max_bytes: usize,
 }
 
-/// A link that stands.
-struct Way {
-    words: mpsc::Sender<Word>,
-    ended: CancellationToken,
+/// An open persistent link.
+struct OpenLink {
+    outgoing: mpsc::Sender<Word>,
+    cancelled: CancellationToken,
 }
 
-/// Lists, as this instance has them from the list service or from others.
-pub struct Shared {
-    told: ListSharingLimits,
-    begun: Instant,
+/// The list of execute nodes, as received from the list service or from other instances.
+pub struct SharedLists {
+    limits: ListSharingLimits,
+    started_at: Instant,
     lists: RefCell<Option<Lists>>,
-    turn: watch::Sender<bool>,
-    began: Notify,
+    polling: watch::Sender<bool>,
+    started: Notify,
     changed: Notify,
-    ways: RefCell<HashMap<u64, Way>>,
-    last_way: Cell<u64>,
+    links: RefCell<HashMap<u64, OpenLink>>,
+    last_link: Cell<u64>,
 }
 
-impl Shared {
-    pub(super) fn new(told: ListSharingLimits, begun: Instant) -> Rc<Self> {
-        Rc::new(Shared {
-            told,
-            begun,
+impl SharedLists {
+    pub(super) fn new(limits: ListSharingLimits, started_at: Instant) -> Rc<Self> {
+        Rc::new(SharedLists {
+            limits,
+            started_at,
             lists: RefCell::default(),
-            turn: watch::Sender::new(false),
-            began: Notify::new(),
+            polling: watch::Sender::new(false),
+            started: Notify::new(),
             changed: Notify::new(),
-            ways: RefCell::default(),
-            last_way: Cell::new(0),
+            links: RefCell::default(),
+            last_link: Cell::new(0),
         })
     }
 
-    /// The instance listens at an address from now on.
-    pub(super) fn begin(self: &Rc<Self>, instances: &Rc<Instances>, me: SocketAddr, seed: u64) {
+    /// Starts sharing, once the instance listens at `address`.
+    pub(super) fn start(self: &Rc<Self>, instances: &Rc<Instances>, address: SocketAddr, seed: u64) {
         let config = ListsConfig {
-            me,
-            seeds: instances.told.seeds.clone(),
-            expected: instances.told.expected,
-            must_ask_in: self.told.max_age,
-            longest: self.told.max_bytes,
+            me: address,
+            seeds: instances.settings.seeds.clone(),
+            expected: instances.settings.expected,
+            must_ask_in: self.limits.max_age,
+            longest: self.limits.max_bytes,
         };
-        *self.lists.borrow_mut() = Some(Lists::new(config, seed, self.begun.elapsed()));
-        self.began.notify_waiters();
+        *self.lists.borrow_mut() = Some(Lists::new(config, seed, self.started_at.elapsed()));
+        self.started.notify_waiters();
         let (shared, instances) = (self.clone(), instances.clone());
         actix_rt::spawn(async move {
             loop {
                 shared.handle(&instances, Heard::Time);
                 let due = shared.lists.borrow().as_ref().map(Lists::due).unwrap_or_default();
-                sleep_until((shared.begun + due).into()).await;
+                sleep_until((shared.started_at + due).into()).await;
             }
         });
     }
 
-    pub(super) fn handle(self: &Rc<Self>, instances: &Rc<Instances>, heard: Heard) {
-        let now = self.begun.elapsed();
-        let todo = match &mut *self.lists.borrow_mut() {
-            Some(lists) => lists.handle(now, heard),
+    pub(super) fn handle(self: &Rc<Self>, instances: &Rc<Instances>, event: Heard) {
+        let now = self.started_at.elapsed();
+        let actions = match &mut *self.lists.borrow_mut() {
+            Some(lists) => lists.handle(now, event),
             None => return,
         };
-        for what in todo {
-            match what {
-                Todo::Open(to) => self.open(instances, to),
-                Todo::Close(number) => self.end(number),
-                Todo::Say(number, word) => {
-                    // One that does not take what is said is as good as gone; its task tells that it has ended.
-                    if let Some(way) = self.ways.borrow().get(&number)
-                        && way.words.try_send(word).is_err()
+        for action in actions {
+            match action {
+                Todo::Open(to) => self.open_link(instances, to),
+                Todo::Close(number) => self.close_link(number),
+                Todo::Say(number, message) => {
+                    // A link whose queue is full is treated as dead; its task reports that it has closed.
+                    if let Some(link) = self.links.borrow().get(&number)
+                        && link.outgoing.try_send(message).is_err()
                     {
-                        way.ended.cancel();
+                        link.cancelled.cancel();
                     }
                 }
-                Todo::Turn(turn) => drop(self.turn.send_replace(turn)),
+                Todo::Turn(polling) => drop(self.polling.send_replace(polling)),
                 Todo::Changed => self.changed.notify_one(),
             }
         }
     }
 
-    /// Ends a link that is known to have ended here.
-    fn end(&self, number: u64) {
-        if let Some(way) = self.ways.borrow_mut().remove(&number) {
-            way.ended.cancel();
+    /// Closes a link without reporting `Closed` to the state machine, which has requested it.
+    fn close_link(&self, number: u64) {
+        if let Some(link) = self.links.borrow_mut().remove(&number) {
+            link.cancelled.cancel();
         }
     }
 
-    fn open(self: &Rc<Self>, instances: &Rc<Instances>, to: SocketAddr) {
+    fn open_link(self: &Rc<Self>, instances: &Rc<Instances>, to: SocketAddr) {
         let (shared, instances) = (self.clone(), instances.clone());
         actix_rt::spawn(async move {
-            match timeout(TAKES, link::connect(&instances, to)).await {
-                Ok(Ok(stream)) => shared.stand(&instances, stream, Some(to)).await,
+            match timeout(LINK_TIMEOUT, link::connect(&instances, to)).await {
+                Ok(Ok(stream)) => shared.run_link(&instances, stream, Some(to)).await,
                 _ => shared.handle(&instances, Heard::Unopened(to)),
             }
         });
     }
 
-    /// A link's whole life, once it is up: what is said on it is heard, and what is to be said is sent, until either side ends it.
-    pub(super) async fn stand(
+    /// Runs an open link: handles received messages and sends queued ones until either side closes it.
+    pub(super) async fn run_link(
         self: &Rc<Self>,
         instances: &Rc<Instances>,
         stream: TcpStream,
         to: Option<SocketAddr>,
     ) {
         let _ = stream.set_nodelay(true);
-        let Some(mut sealed) = instances.sealed() else { return };
-        let number = self.last_way.get() + 1;
-        self.last_way.set(number);
-        let (words, mut said) = mpsc::channel::<Word>(WAITING);
-        let ended = CancellationToken::new();
-        self.ways.borrow_mut().insert(number, Way { words, ended: ended.clone() });
+        let Some(mut sealer) = instances.link_sealer() else { return };
+        let number = self.last_link.get() + 1;
+        self.last_link.set(number);
+        let (outgoing, mut queued) = mpsc::channel::<Word>(MAX_QUEUED_MESSAGES);
+        let cancelled = CancellationToken::new();
+        self.links.borrow_mut().insert(number, OpenLink { outgoing, cancelled: cancelled.clone() });
         self.handle(instances, Heard::Opened { link: number, to });
-        let (mut from, mut out) = split(stream);
-        let say = async {
-            while let Some(word) = said.recv().await {
-                let frame = sealed.seal(&word.encode(), super::unix());
-                let Ok(Ok(())) = timeout(TAKES, link::write(&mut out, &frame)).await else { break };
+        let (mut reader, mut writer) = split(stream);
+        let write = async {
+            while let Some(message) = queued.recv().await {
+                let frame = sealer.seal(&message.encode(), super::unix_time());
+                let Ok(Ok(())) = timeout(LINK_TIMEOUT, link::write_frame(&mut writer, &frame)).await else {
+                    break;
+                };
             }
-            let _ = timeout(TAKES, out.shutdown()).await;
+            let _ = timeout(LINK_TIMEOUT, writer.shutdown()).await;
         };
-        let hear = async {
-            while let Ok(frame) = link::read(&mut from, LONGEST_FRAME).await {
-                let Some(word) = instances.open(&frame) else { break };
-                self.handle(instances, Heard::Said(number, word));
+        let read = async {
+            while let Ok(frame) = link::read_frame(&mut reader, LONGEST_FRAME).await {
+                let Some(message) = instances.open(&frame) else { break };
+                self.handle(instances, Heard::Said(number, message));
             }
         };
         tokio::select! {
-            () = say => {}
-            () = hear => {}
-            () = ended.cancelled() => {}
+            () = write => {}
+            () = read => {}
+            () = cancelled.cancelled() => {}
         }
-        if self.ways.borrow_mut().remove(&number).is_some() {
+        if self.links.borrow_mut().remove(&number).is_some() {
             self.handle(instances, Heard::Closed(number));
         }
     }
 
-    /// For the view of those who run the relay.
+    /// The state of list sharing for the admin API.
     pub(super) fn view(&self) -> Value {
         let lists = self.lists.borrow();
         let Some(lists) = &*lists else { return Value::Null };
-        let (heard, hearers) = lists.links();
-        let now = self.begun.elapsed();
-        let held = lists.held().map(|held| {
-            json!({"generation": held.edition.generation, "memory": held.memory, "origin": held.origin.to_string(), "hops": held.hops,
-                "age_ms": now.saturating_sub(held.from).as_millis() as u64})
+        let (followed, followers) = lists.links();
+        let now = self.started_at.elapsed();
+        let current = lists.held().map(|current| {
+            json!({"generation": current.edition.generation, "memory": current.memory, "origin": current.origin.to_string(), "hops": current.hops,
+                "age_ms": now.saturating_sub(current.from).as_millis() as u64})
         });
-        json!({"asks": *self.turn.borrow(), "held": held, "hears": heard, "heard_by": hearers})
+        json!({"asks": *self.polling.borrow(), "held": current, "hears": followed, "heard_by": followers})
     }
 }
 
-/// The way in which this instance asks the list service where lists are shared.
+/// Coordinates this instance's calls to the list service when lists are shared.
 #[derive(Clone)]
 pub struct ListSharing {
     pub(super) instances: Rc<Instances>,
-    pub(super) shared: Rc<Shared>,
+    pub(super) shared: Rc<SharedLists>,
 }
 
 impl ListSharing {
-    /// Done when the list service is to be called by this instance.
+    /// Waits until this instance is to call the list service.
     pub async fn wait_until_poller(&self) {
         let shared = &self.shared;
         if shared.lists.borrow().is_none() {
-            let _ = timeout(LISTENS, shared.began.notified()).await;
+            let _ = timeout(LISTEN_TIMEOUT, shared.started.notified()).await;
         }
         if shared.lists.borrow().is_some() {
-            // Its sender is held here.
-            let _ = shared.turn.subscribe().wait_for(|turn| *turn).await;
+            // Never fails: `shared` owns the sender.
+            let _ = shared.polling.subscribe().wait_for(|polling| *polling).await;
         }
     }
 
-    /// Done when it no longer is.
+    /// Waits until this instance is no longer to call the list service.
     pub async fn wait_while_poller(&self) {
         let shared = &self.shared;
         if shared.lists.borrow().is_none() {
-            shared.began.notified().await;
+            shared.started.notified().await;
         }
-        let _ = shared.turn.subscribe().wait_for(|turn| !*turn).await;
+        let _ = shared.polling.subscribe().wait_for(|polling| !*polling).await;
     }
 
-    /// The service is called: from which generation on, or for all of the list. None while this instance does not listen yet, and asks
-    /// as one that is alone.
+    /// Reports the start of a call. Returns the generation from which on changes are to be requested, or `Some(None)` for the
+    /// whole list; `None` while this instance does not listen yet and calls the service on its own.
     pub fn call_started(&self) -> Option<Option<u64>> {
         let index = self.shared.lists.borrow().as_ref().map(Lists::index)?;
         self.shared.handle(&self.instances, Heard::Asked);
         Some(index)
     }
 
-    /// It answered a call that began at a time.
+    /// Reports the response to a call that began at `began`.
     pub fn call_answered(&self, began: Instant, list: &NodeList) {
-        let began = began.saturating_duration_since(self.shared.begun);
+        let began = began.saturating_duration_since(self.shared.started_at);
         let (generation, whole, entries) = (list.generation, list.reset, list.texts());
         self.shared.handle(&self.instances, Heard::Answered { began, generation, whole, entries });
     }
 
-    /// It did not.
+    /// Reports that a call failed; `torn` if its response broke off.
     pub fn call_failed(&self, torn: bool) {
         self.shared.handle(&self.instances, Heard::Failed { torn });
     }
 }
 
-/// Takes in what is held, whenever that is another list; for want of any, what was known before the start.
+/// Applies each new shared list to the core. Uses the list known before startup if no other arrives in time.
 pub async fn apply_lists<C: Carrier>(core: Rc<Core<C>>, sharing: ListSharing, known: NodeList) {
     let shared = sharing.shared;
-    let mut taken = None;
+    let mut applied = None;
     let mut known = (!known.is_empty()).then_some(known);
-    let known_at = Instant::now() + KNOWN_AFTER;
+    let use_known_at = Instant::now() + KNOWN_LIST_DELAY;
     loop {
         tokio::select! {
             biased;
             () = shared.changed.notified() => known = None,
-            () = sleep_until(known_at.into()), if known.is_some() => {
+            () = sleep_until(use_known_at.into()), if known.is_some() => {
                 let known = known.take().unwrap_or_default();
                 let (generation, nodes) = (known.generation, known.len());
-                tracing::info!(generation, nodes, "the list that was known before the start is used");
+                tracing::info!(generation, nodes, "no list received yet; using the nodes known before startup");
                 core.take_list(&known).await;
                 continue;
             }
         }
-        let told = shared.lists.borrow().as_ref().and_then(|lists| Some((lists.held()?, lists.since(taken))));
-        let Some((held, difference)) = told else { continue };
-        let read = |(name, text): (String, Option<String>)| match text {
+        let update =
+            shared.lists.borrow().as_ref().and_then(|lists| Some((lists.held()?, lists.since(applied))));
+        let Some((current, difference)) = update else { continue };
+        let decode_entry = |(name, text): (String, Option<String>)| match text {
             None => Some(NodeEntry::gone(name)),
             Some(text) => {
-                let read = NodeEntry::read(&text);
-                read.map_err(|fault| tracing::warn!(name, fault, "an entry of the list; left out")).ok()
+                let entry = NodeEntry::read(&text);
+                entry
+                    .map_err(|fault| {
+                        tracing::warn!(name, fault, "invalid entry in the node list; skipping it")
+                    })
+                    .ok()
             }
         };
         let whole = difference.base.is_none();
-        let entries: Vec<_> = difference.entries.into_iter().filter_map(read).collect();
-        let (generation, changes, origin) = (difference.edition.generation, entries.len(), held.origin);
-        if taken.is_none() {
-            tracing::info!(generation, nodes = changes, %origin, hops = held.hops, "list of execute nodes");
+        let entries: Vec<_> = difference.entries.into_iter().filter_map(decode_entry).collect();
+        let (generation, changes, origin) = (difference.edition.generation, entries.len(), current.origin);
+        if applied.is_none() {
+            tracing::info!(generation, nodes = changes, %origin, hops = current.hops, "list of execute nodes");
         } else {
-            tracing::info!(generation, changes, whole, %origin, hops = held.hops, "list of execute nodes changed");
+            tracing::info!(generation, changes, whole, %origin, hops = current.hops, "list of execute nodes changed");
         }
-        taken = Some(difference.edition);
+        applied = Some(difference.edition);
         core.take_list(&NodeList::made(generation, whole, entries)).await;
     }
 }
--- a/relay/src/instances/mod.rs
+++ b/relay/src/instances/mod.rs
@@ -1,6 +1,6 @@
-//! The other instances: the sockets (datagrams here, links in [`link`], lists on them in [`lists`]) round [`onyxglade_instances`],
-//! and what those who run the relay see of the view. Decides
-//! nothing. Without `[instances]` in the relay's own file there is no socket and nothing here runs.
+//! Membership of the relay's instances: the I/O for the state machines in [`onyxglade_instances`] (datagrams here, links in
+//! [`link`], shared lists in [`lists`]), and the membership view for operators. All decisions are made in the state
+//! machines. Without `[instances]` in the relay's own file no socket is opened and nothing here runs.
 mod link;
 mod lists;
 mod shares;
@@ -18,78 +18,79 @@
 
 use crate::admin_client;
 use crate::config;
-use lists::Shared;
+use lists::SharedLists;
 pub use lists::{ListSharing, ListSharingLimits, apply_lists};
 pub use shares::divide_limits;
 
-/// Largest datagram that is read; a longer one is none of ours.
-const LARGEST: usize = 2048;
-/// How often it is tried to listen, where the process before still does or the network is not there yet.
-const LISTEN_AGAIN: Duration = Duration::from_millis(200);
-/// Others that come and go together, as in a start, are told together.
-const TOGETHER: Duration = Duration::from_millis(100);
-/// The others, as this instance sees them.
+/// Size of the receive buffer. Longer datagrams are not from an instance.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+/// Interval between attempts to listen while a predecessor process still does or the network is not up yet.
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Membership changes within this time, as at startup, are published together.
+const MEMBERSHIP_DEBOUNCE: Duration = Duration::from_millis(100);
+
+/// The other instances, as this instance sees them.
 pub struct Instances {
-    told: config::InstancesConfig,
-    begun: Instant,
+    settings: config::InstancesConfig,
+    started_at: Instant,
     swim: RefCell<Option<Swim>>,
-    /// Another's view is being asked for.
-    comparing: Cell<bool>,
+    /// Whether another instance's view is being fetched.
+    fetching_view: Cell<bool>,
     leaving: Cell<bool>,
     left: Notify,
-    leave: Notify,
-    /// Where the others are that are there, and whether it is about to be told that this has changed.
+    leave_requested: Notify,
+    /// The addresses of the other live instances, and whether publishing a change of them is pending.
     members: watch::Sender<Vec<SocketAddr>>,
-    telling: Cell<bool>,
-    /// How many limits are divided by, where they are divided among those that are there.
-    counted: Cell<Option<u32>>,
-    /// Lists pass between instances.
-    shared: Option<Rc<Shared>>,
+    update_pending: Cell<bool>,
+    /// The number by which limits are divided, if they are divided among live instances.
+    limit_divisor: Cell<Option<u32>>,
+    /// List sharing, if it is enabled.
+    shared_lists: Option<Rc<SharedLists>>,
 }
 
 impl Instances {
-    /// Talks to the others from now on. The relay does not wait for it.
+    /// Starts the communication with other instances in the background; the relay does not wait for it.
     pub fn start(
-        told: config::InstancesConfig,
+        settings: config::InstancesConfig,
         name: Option<String>,
         lists: Option<ListSharingLimits>,
     ) -> Rc<Self> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let instances = Rc::new(Instances {
-            told,
-            begun,
+            settings,
+            started_at,
             members: watch::Sender::default(),
-            telling: Cell::new(false),
-            counted: Cell::default(),
-            shared: lists.map(|told| Shared::new(told, begun)),
+            update_pending: Cell::new(false),
+            limit_divisor: Cell::default(),
+            shared_lists: lists.map(|limits| SharedLists::new(limits, started_at)),
             swim: RefCell::default(),
-            comparing: Cell::new(false),
+            fetching_view: Cell::new(false),
             leaving: Cell::new(false),
             left: Notify::new(),
-            leave: Notify::new(),
+            leave_requested: Notify::new(),
         });
         actix_rt::spawn(instances.clone().run(name));
         instances
     }
 
-    /// Both sockets, or neither: the process before may still have them.
+    /// Binds both sockets, retrying until it succeeds: a predecessor process may still have them.
     async fn listen(&self) -> (UdpSocket, TcpListener) {
-        let mut told = false;
+        let mut warned = false;
         loop {
-            let both = async {
-                let socket = UdpSocket::bind(self.told.listen).await?;
-                // The port that the system gave, where none was told.
+            let bind = async {
+                let socket = UdpSocket::bind(self.settings.listen).await?;
+                // With port 0, the system has chosen the port.
                 let listener = TcpListener::bind(socket.local_addr()?).await?;
                 Ok::<_, io::Error>((socket, listener))
             };
-            match both.await {
-                Ok(both) => return both,
+            match bind.await {
+                Ok(sockets) => return sockets,
                 Err(fault) => {
-                    if !std::mem::replace(&mut told, true) {
-                        let listen = self.told.listen;
-                        tracing::warn!(%fault, %listen, "instances: cannot listen yet; trying on");
+                    if !std::mem::replace(&mut warned, true) {
+                        let listen = self.settings.listen;
+                        tracing::warn!(%fault, %listen, "instances: cannot listen yet; retrying");
                     }
-                    sleep(LISTEN_AGAIN).await;
+                    sleep(LISTEN_RETRY_INTERVAL).await;
                 }
             }
         }
@@ -97,178 +98,176 @@
 
     async fn run(self: Rc<Self>, name: Option<String>) {
         let (socket, listener) = self.listen().await;
-        let told = &self.told;
-        let address = told.advertise.or(socket.local_addr().ok()).unwrap_or(told.listen);
-        let unix = unix();
+        let settings = &self.settings;
+        let address = settings.advertise.or(socket.local_addr().ok()).unwrap_or(settings.listen);
+        let now = unix_time();
         let me = Member {
-            life: unix.as_millis() as u64,
-            name: told.name.clone().or(name).unwrap_or_else(|| address.to_string()),
-            zone: told.zone.clone(),
-            region: told.region.clone(),
+            life: now.as_millis() as u64,
+            name: settings.name.clone().or(name).unwrap_or_else(|| address.to_string()),
+            zone: settings.zone.clone(),
+            region: settings.region.clone(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
-            capacity: told.capacity,
+            capacity: settings.capacity,
             ..Member::at(address)
         };
-        tracing::info!(name = me.name, listen = %address, seeds = told.seeds.len(), "instances: listening");
-        let config = Config { seeds: told.seeds.clone(), size: told.expected };
-        // Another for each process, also for those that start in the same moment.
+        tracing::info!(name = me.name, listen = %address, seeds = settings.seeds.len(), "instances: listening");
+        let config = Config { seeds: settings.seeds.clone(), size: settings.expected };
+        // Differs between processes, even if they start at the same moment.
         let seed =
-            (unix.as_nanos() as u64) ^ (u64::from(std::process::id()) << 32) ^ u64::from(address.port());
-        *self.swim.borrow_mut() = Some(Swim::new(me, config, told.key.clone(), seed, self.begun.elapsed()));
-        if let Some(shared) = &self.shared {
-            shared.begin(&self, address, seed.rotate_left(17));
+            (now.as_nanos() as u64) ^ (u64::from(std::process::id()) << 32) ^ u64::from(address.port());
+        *self.swim.borrow_mut() =
+            Some(Swim::new(me, config, settings.key.clone(), seed, self.started_at.elapsed()));
+        if let Some(shared) = &self.shared_lists {
+            shared.start(&self, address, seed.rotate_left(17));
         }
         self.members_changed();
-        let (views, mut viewed) = mpsc::channel(1);
+        let (views, mut fetched_views) = mpsc::channel(1);
         let links = actix_rt::spawn(link::accept(self.clone(), listener));
-        let mut buffer = [0; LARGEST];
-        let mut leaving = std::pin::pin!(self.leave.notified());
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        let mut leaving = std::pin::pin!(self.leave_requested.notified());
         loop {
             let due = self.swim.borrow().as_ref().and_then(Swim::due);
-            let due = self.begun + due.unwrap_or(Duration::from_secs(3600));
+            let due = self.started_at + due.unwrap_or(Duration::from_secs(3600));
             let outputs = tokio::select! {
                 biased;
                 () = &mut leaving => {
                     let outputs = self.handle(Input::Leave);
-                    self.carry_out(&socket, &views, outputs).await;
+                    self.execute(&socket, &views, outputs).await;
                     links.abort();
                     return self.left.notify_one();
                 }
-                Some(view) = viewed.recv() => self.handle(Input::View(&view)),
-                // What has come is heard before it is judged what has not.
-                got = socket.recv_from(&mut buffer) => match got {
+                Some(view) = fetched_views.recv() => self.handle(Input::View(&view)),
+                // Received datagrams are handled before timeouts.
+                received = socket.recv_from(&mut buffer) => match received {
                     Ok((length, _)) => self.handle(Input::Datagram(&buffer[..length])),
-                    // A datagram of ours met nobody, as the system tells; that nobody answers shows by itself.
+                    // The system reports that a sent datagram was not delivered. The protocol detects missing responses itself.
                     Err(_) => Vec::new(),
                 },
                 () = sleep_until(due.into()) => self.handle(Input::Time),
             };
-            self.carry_out(&socket, &views, outputs).await;
+            self.execute(&socket, &views, outputs).await;
         }
     }
 
-    /// Asks another for its view, unless one is being asked already.
-    fn compare(self: &Rc<Self>, with: SocketAddr, views: mpsc::Sender<View>) {
-        if self.comparing.replace(true) {
+    /// Fetches the view of another instance, unless a view is already being fetched.
+    fn fetch_view_of(self: &Rc<Self>, address: SocketAddr, views: mpsc::Sender<View>) {
+        if self.fetching_view.replace(true) {
             return;
         }
         let instances = self.clone();
         actix_rt::spawn(async move {
-            match link::ask(&instances, with).await {
+            match link::request_view(&instances, address).await {
                 Ok(view) => drop(views.send(view).await),
-                Err(fault) => tracing::debug!(%with, %fault, "instances: another's view cannot be had"),
+                Err(fault) => {
+                    tracing::debug!(with = %address, %fault, "instances: cannot fetch the view of another instance")
+                }
             }
-            instances.comparing.set(false);
+            instances.fetching_view.set(false);
         });
     }
 
-    /// Whether its file says that lists pass between instances.
+    /// Whether `instances.lists` is set.
     pub fn shares_lists(&self) -> bool {
-        self.told.lists
+        self.settings.lists
     }
 
-    /// How lists are had, where they pass between instances.
+    /// List sharing, if it is enabled.
     pub fn list_sharing(self: &Rc<Self>) -> Option<ListSharing> {
-        Some(ListSharing { instances: self.clone(), shared: self.shared.clone()? })
+        Some(ListSharing { instances: self.clone(), shared: self.shared_lists.clone()? })
     }
 
-    /// Whether its file says that limits are divided among those that are there.
+    /// Whether `instances.shares` is set.
     pub fn shares_limits(&self) -> bool {
-        self.told.shares
+        self.settings.shares
     }
 
-    /// Others have come or gone.
+    /// Publishes a membership change, after the debounce time.
     fn members_changed(self: &Rc<Self>) {
-        if self.telling.replace(true) {
+        if self.update_pending.replace(true) {
             return;
         }
         let instances = self.clone();
         actix_rt::spawn(async move {
-            sleep(TOGETHER).await;
-            instances.telling.set(false);
-            let members = instances.addresses();
+            sleep(MEMBERSHIP_DEBOUNCE).await;
+            instances.update_pending.set(false);
+            let members = instances.member_addresses();
             instances.members.send_replace(members.clone());
-            if let Some(shared) = &instances.shared {
+            if let Some(shared) = &instances.shared_lists {
                 shared.handle(&instances, Heard::Members(members));
             }
         });
     }
 
-    /// Where the others are that are there.
-    fn addresses(&self) -> Vec<SocketAddr> {
+    /// The addresses of the other live instances.
+    fn member_addresses(&self) -> Vec<SocketAddr> {
         let swim = self.swim.borrow();
         swim.as_ref()
             .map_or(Vec::new(), |swim| swim.members().iter().map(|seen| seen.member.address).collect())
     }
 
-    /// Frames of a link that stands.
-    fn sealed(&self) -> Option<Sealed> {
+    /// Seals the frames of a persistent link.
+    fn link_sealer(&self) -> Option<Sealed> {
         self.swim.borrow_mut().as_mut().map(Swim::sealed)
     }
 
-    /// A frame for a link.
-    fn seal(&self, word: &Word) -> Vec<u8> {
-        self.swim.borrow_mut().as_mut().map_or(Vec::new(), |swim| swim.seal(word, unix()))
+    /// Seals a message as a frame for a link.
+    fn seal(&self, message: &Word) -> Vec<u8> {
+        self.swim.borrow_mut().as_mut().map_or(Vec::new(), |swim| swim.seal(message, unix_time()))
     }
 
-    /// What a frame from a link says.
+    /// Opens a frame from a link; `None` if it is invalid.
     fn open(&self, frame: &[u8]) -> Option<Word> {
-        self.swim.borrow_mut().as_mut()?.open(frame, self.begun.elapsed(), unix())
+        self.swim.borrow_mut().as_mut()?.open(frame, self.started_at.elapsed(), unix_time())
     }
 
-    /// All that is known of members.
-    fn known(&self) -> Option<View> {
+    /// The membership view to send to another instance.
+    fn membership_view(&self) -> Option<View> {
         self.swim.borrow().as_ref().map(Swim::view)
     }
 
     fn handle(&self, input: Input) -> Vec<Output> {
-        let now = self.begun.elapsed();
-        self.swim.borrow_mut().as_mut().map_or(Vec::new(), |swim| swim.handle(now, unix(), input))
+        let now = self.started_at.elapsed();
+        self.swim.borrow_mut().as_mut().map_or(Vec::new(), |swim| swim.handle(now, unix_time(), input))
     }
 
-    async fn carry_out(
-        self: &Rc<Self>,
-        socket: &UdpSocket,
-        views: &mpsc::Sender<View>,
-        outputs: Vec<Output>,
-    ) {
+    async fn execute(self: &Rc<Self>, socket: &UdpSocket, views: &mpsc::Sender<View>, outputs: Vec<Output>) {
         if outputs.iter().any(|output| matches!(output, Output::Changed(_))) {
             self.members_changed();
         }
         for output in outputs {
             match output {
-                // Datagrams may be lost anyway: what the system refuses is not sent again.
+                // Send errors are ignored: the protocol tolerates lost datagrams.
                 Output::Send { to, bytes } => drop(socket.send_to(&bytes, to).await),
-                Output::Compare(with) => self.compare(with, views.clone()),
+                Output::Compare(address) => self.fetch_view_of(address, views.clone()),
                 Output::Changed(Change::Up(m)) => {
-                    tracing::info!(name = m.name, address = %m.address, zone = m.zone, "instances: one is there");
+                    tracing::info!(name = m.name, address = %m.address, zone = m.zone, "instances: member is up");
                 }
                 Output::Changed(Change::Down(m)) => {
-                    tracing::info!(name = m.name, address = %m.address, zone = m.zone, "instances: one is gone");
+                    tracing::info!(name = m.name, address = %m.address, zone = m.zone, "instances: member is down");
                 }
                 Output::Changed(Change::Again(m)) => {
-                    tracing::info!(name = m.name, address = %m.address, zone = m.zone, "instances: one is there anew");
+                    tracing::info!(name = m.name, address = %m.address, zone = m.zone, "instances: member is up again (restarted or changed)");
                 }
                 Output::Changed(Change::Refuted(life)) => {
                     tracing::warn!(
                         life,
-                        "instances: others took this one for gone; it says that it is there"
+                        "instances: other members considered this one down; it has refuted that"
                     );
                 }
             }
         }
     }
 
-    /// Tells the others that this instance goes, so that nobody has to find out.
+    /// Announces that this instance leaves, so that the others need not detect it.
     pub async fn leave(&self) {
         if self.swim.borrow().is_some() && !self.leaving.replace(true) {
-            self.leave.notify_one();
-            // One turn of the task that talks to them.
+            self.leave_requested.notify_one();
+            // Gives the communication task time to send the announcement.
             let _ = timeout(Duration::from_millis(50), self.left.notified()).await;
         }
     }
 
-    /// The view, for those who run the relay.
+    /// The membership view for the admin API.
     pub fn view(&self) -> Value {
         let swim = self.swim.borrow();
         let Some(swim) = &*swim else {
@@ -290,23 +289,23 @@
             "instances": others.collect::<Vec<_>>(),
             "counts": {"sent": counts.sent, "sent_bytes": counts.sent_bytes, "taken": counts.taken,
                 "strange": counts.strange, "unfit": counts.unfit, "slept": counts.slept},
-            "counted": self.counted.get(),
-            "list": self.shared.as_ref().map(|shared| shared.view()),
+            "counted": self.limit_divisor.get(),
+            "list": self.shared_lists.as_ref().map(|shared| shared.view()),
         })
     }
 }
 
-fn unix() -> Duration {
+fn unix_time() -> Duration {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default()
 }
 
-/// Asks a running relay for its view.
+/// Fetches the membership view of a running relay from its admin API.
 pub async fn fetch_view(address: SocketAddr) -> Result<Value, String> {
     let body = admin_client::get(address, "/-/instances").await?;
-    serde_json::from_slice(&body).map_err(|e| format!("its answer cannot be read: {e}"))
+    serde_json::from_slice(&body).map_err(|e| format!("cannot decode the response: {e}"))
 }
 
-/// The view as a table.
+/// Formats the view as a table.
 pub fn format_view(view: &Value) -> String {
     let text = |v: &Value| v.as_str().map_or(v.to_string(), str::to_owned);
     let others = view["instances"].as_array().map_or(&[][..], Vec::as_slice);
@@ -319,7 +318,7 @@
     };
     match view["me"].is_object() {
         true => row(&view["me"], "asked"),
-        false => return "it does not listen yet\n".to_owned(),
+        false => return "the relay does not listen for other instances yet\n".to_owned(),
     }
     others.iter().for_each(|m| row(m, &text(&m["state"])));
     table
--- a/relay/src/instances/shares.rs
+++ b/relay/src/instances/shares.rs
@@ -1,4 +1,4 @@
-//! Limits that a front divides among the instances that are there. How many are counted is [`Count`]'s decision.
+//! Divides the limits of a front among the live instances. [`Count`] decides by how many they are divided.
 use onyxglade_instances::Count;
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,28 +7,28 @@
 use super::Instances;
 use crate::core::{Carrier, Core};
 
-/// When nobody is counted who is not there.
-const FAR_OFF: Duration = Duration::from_secs(3600);
+/// Sleep time while [`Count`] has no pending change.
+const IDLE_SLEEP: Duration = Duration::from_secs(3600);
 
-/// Divides what a front sends among those that are there, as they come and go. At first as many are counted as the settings tell.
+/// Divides the limits of a front among the live instances, as they come and go. Starts with the number in the settings.
 pub async fn divide_limits<C: Carrier>(core: Rc<Core<C>>, instances: Rc<Instances>) {
     let mut members = instances.members.subscribe();
-    let told = core.rules().settings.couriers.unwrap_or(1);
-    let mut count = Count::new(told, instances.begun.elapsed());
-    let mut before = 0;
+    let expected = core.rules().settings.couriers.unwrap_or(1);
+    let mut count = Count::new(expected, instances.started_at.elapsed());
+    let mut previous = 0;
     loop {
-        let there = members.borrow_and_update().len() + 1;
-        let now = instances.begun.elapsed();
-        count.there(now, u32::try_from(there).unwrap_or(u32::MAX));
+        let live = members.borrow_and_update().len() + 1;
+        let now = instances.started_at.elapsed();
+        count.there(now, u32::try_from(live).unwrap_or(u32::MAX));
         let counted = count.counted(now);
-        if std::mem::replace(&mut before, counted) != counted {
-            tracing::info!(there, counted, "instances: limits are divided");
-            instances.counted.set(Some(counted));
+        if std::mem::replace(&mut previous, counted) != counted {
+            tracing::info!(there = live, counted, "instances: dividing the limits of the front");
+            instances.limit_divisor.set(Some(counted));
             core.divide_limits(counted);
         }
-        let due = instances.begun + count.due().unwrap_or(now + FAR_OFF);
+        let due = instances.started_at + count.due().unwrap_or(now + IDLE_SLEEP);
         tokio::select! {
-            // Its sender is held by the instances.
+            // Never fails: `instances` owns the sender.
             _ = members.changed() => {}
             () = sleep_until(due.into()) => {}
         }
--- a/rig/src/fleet.rs
+++ b/rig/src/fleet.rs
@@ -187,10 +187,10 @@
         if line.contains("platform front is ready") {
             life.ready.set(true);
             self.tell(What::Ready);
-        } else if let Some(word) = line.split("instances: one is ").nth(1) {
+        } else if let Some(word) = line.split("instances: member is ").nth(1) {
             let name = word.split("name=\"n").nth(1).and_then(|name| name.split('"').next());
             let Some(other) = name.and_then(|name| name.parse().ok()) else { return };
-            self.tell(if word.starts_with("gone") { What::Misses(other) } else { What::Sees(other) });
+            self.tell(if word.starts_with("down") { What::Misses(other) } else { What::Sees(other) });
         } else if line.contains("list of execute nodes") {
             let generation = line.split("generation=").nth(1).and_then(|g| g.split_whitespace().next());
             self.tell(What::Listed(generation.and_then(|g| g.parse().ok()).unwrap_or(0)));
