--- a/relay/src/config/rules.rs
+++ b/relay/src/config/rules.rs
@@ -32,7 +32,7 @@
     }
 
     /// The index of the class with this name.
-    pub fn class(&self, name: &str) -> Option<usize> {
+    pub fn class_index(&self, name: &str) -> Option<usize> {
         self.names.classes.iter().position(|n| n == name)
     }
 }
--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -277,7 +277,7 @@
             job.label = ruling.label;
         }
         let rules = self.rules();
-        let Some(class) = rules.class(&job.class) else {
+        let Some(class) = rules.class_index(&job.class) else {
             self.tell_backlog(&backlog, Event::SpillDropped { lane, count: 1 });
             return self.answer_placed(&job.id, answer, Decision::Refused(Refusal::Failed));
         };
--- a/relay/src/core/life.rs
+++ b/relay/src/core/life.rs
@@ -95,7 +95,7 @@
             // A process before may have told just that without a record.
             return self.finish(&job, &course, Some(job.failed(None))).await;
         }
-        let known = self.rules().class(&job.class);
+        let known = self.rules().class_index(&job.class);
         let Some(class) = known else {
             // Only a journal from before a change of the settings can hold such a job.
             tracing::warn!(id = job.id, class = job.class, "class is no longer known; the job fails");
--- a/relay/src/platform/server.rs
+++ b/relay/src/platform/server.rs
@@ -108,7 +108,7 @@
         let id = text("x-request-id")?.filter(|id| !id.is_empty()).ok_or(bad("X-Request-ID is missing"))?;
         let first = request.path().split('/').nth(1).unwrap_or("").to_owned();
         let class = text("x-priority-class")?.unwrap_or(first);
-        self.core.rules().class(&class).ok_or(bad("unknown class"))?;
+        self.core.rules().class_index(&class).ok_or(bad("unknown class"))?;
         let left = text("x-timeout-ms")?.and_then(|v| digits(&v)).map(Duration::from_millis);
         let left =
             left.filter(|l| *l <= LONGEST_TIME).ok_or(bad("X-Timeout-Ms is no time in milliseconds"))?;
--- a/relay/src/push/server.rs
+++ b/relay/src/push/server.rs
@@ -169,7 +169,7 @@
         };
         check_topic(request.headers())?;
         let rules = self.core.rules();
-        let class_index = rules.class(&class).ok_or(RequestError::not_found())?;
+        let class_index = rules.class_index(&class).ok_or(RequestError::not_found())?;
         let ttl = request.headers().get(TTL).ok_or(RequestError::bad(TTL, "missing"))?;
         let ttl: u64 = ttl
             .to_str()
