--- a/relay/src/hook.rs
+++ b/relay/src/hook.rs
@@ -1,4 +1,4 @@
-//! Hook scripts in Rhai: one hook is called at admission and one after each claim's outcome.
+//! Hook scripts in Rhai: one hook is called at admission, and one after each outcome that does not end the job.
 //!
 //! A script may refuse a job, shorten its deadline and label it. It cannot send, extend or repeat a job: it returns a
 //! [`HookDecision`], which the core applies within its own rules. A script runs with fixed resource limits, has no access
--- a/relay/src/instances/lists.rs
+++ b/relay/src/instances/lists.rs
@@ -48,8 +48,11 @@
     limits: ListSharingLimits,
     started_at: Instant,
     lists: RefCell<Option<Lists>>,
+    /// Whether this instance is to call the list service.
     polling: watch::Sender<bool>,
+    /// Notified when sharing starts.
     started: Notify,
+    /// Notified when the shared list has changed.
     changed: Notify,
     links: RefCell<HashMap<u64, OpenLink>>,
     last_link: Cell<u64>,
--- a/relay/src/push/pool.rs
+++ b/relay/src/push/pool.rs
@@ -56,7 +56,7 @@
 enum State {
     Connecting,
     Open,
-    /// It gets no new streams.
+    /// The connection gets no new streams.
     Draining,
     /// The connection has ended, but not all claims on it have been released yet.
     Closed,
@@ -72,7 +72,7 @@
     last_activity: Instant,
     /// When the PING that is still unacknowledged was sent.
     ping_sent: Option<Instant>,
-    /// A claim on it ended without any response.
+    /// A claim on it ended without any response. It gets no new streams until something is received.
     suspect: bool,
     /// When a stream on it last ended.
     idle_since: Instant,
--- a/relay/src/push/server.rs
+++ b/relay/src/push/server.rs
@@ -87,6 +87,7 @@
         *self.locations.borrow_mut() = locations;
     }
 
+    /// Accepts submitters' connections and serves their requests.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, places: Rc<Places>) {
         let tls_server = self.clone();
         let service = HttpService::build()
