--- a/relay/src/backlog.rs
+++ b/relay/src/backlog.rs
@@ -79,7 +79,7 @@
     /// # Errors
     /// Errors of the store; [`StoreError::InUse`] only if another process still has the folder after some seconds.
     pub async fn open(
-        settings: &config::Backlog,
+        settings: &config::BacklogConfig,
         owner: &str,
         classes: &[BacklogClass],
         max_in_memory: Option<u32>,
@@ -97,7 +97,7 @@
     /// Errors of the store.
     pub async fn with_worker(
         worker: Worker,
-        settings: &config::Backlog,
+        settings: &config::BacklogConfig,
         classes: &[BacklogClass],
         max_in_memory: Option<u32>,
         journaled: &[OpenJob],
@@ -415,7 +415,7 @@
     operation?.await?
 }
 
-async fn open_worker(settings: &config::Backlog, owner: &str) -> Result<Worker, StoreError> {
+async fn open_worker(settings: &config::BacklogConfig, owner: &str) -> Result<Worker, StoreError> {
     let config = Config {
         folder: settings.folder.clone(),
         owner: owner.to_owned(),
@@ -440,12 +440,12 @@
     }
 }
 
-fn store_memory(settings: &config::Backlog) -> u64 {
+fn store_memory(settings: &config::BacklogConfig) -> u64 {
     (settings.memory_bytes / STORE_MEMORY_DIVISOR).max(LEAST_MEMORY_BYTES)
 }
 
 fn planner_settings(
-    settings: &config::Backlog,
+    settings: &config::BacklogConfig,
     max_in_memory: Option<u32>,
     class_worth: Vec<f64>,
 ) -> Settings {
--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -281,14 +281,14 @@
             let ruling = hooks.admit(&job, job.time_left());
             if ruling.refuse {
                 self.handle_backlog_event(&backlog, Event::SpillDropped { lane, count: 1 });
-                let refusal = Refusal::Refused { after: ruling.after };
+                let refusal = Refusal::Refused { after: ruling.retry_after };
                 return self.answer_and_release(&job.id, answer, Decision::Refused(refusal));
             }
-            job.deadline = ruling.left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
+            job.deadline = ruling.time_left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
             job.label = ruling.label;
         }
         let rules = self.rules();
-        let Some(class) = rules.class(&job.class) else {
+        let Some(class) = rules.class_index(&job.class) else {
             self.handle_backlog_event(&backlog, Event::SpillDropped { lane, count: 1 });
             return self.answer_and_release(&job.id, answer, Decision::Refused(Refusal::Failed));
         };
--- a/relay/src/core/job_task.rs
+++ b/relay/src/core/job_task.rs
@@ -111,7 +111,7 @@
             // An earlier process may have reported the same end already, without recording it.
             return self.finish(&job, &progress, Some(job.failed(None))).await;
         }
-        let known = self.rules().class(&job.class);
+        let known = self.rules().class_index(&job.class);
         let Some(class) = known else {
             // Possible only for a job that was journaled before a change of the settings.
             tracing::warn!(id = job.id, class = job.class, "class is no longer configured; the job fails");
@@ -123,9 +123,9 @@
         if let (Some(hooks), Some(_)) = (&self.hooks, &answer) {
             let ruling = hooks.admit(&job, job.time_left());
             if ruling.refuse {
-                return self.refuse_job(&job, answer, Refusal::Refused { after: ruling.after });
+                return self.refuse_job(&job, answer, Refusal::Refused { after: ruling.retry_after });
             }
-            job.deadline = ruling.left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
+            job.deadline = ruling.time_left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
             job.label = ruling.label;
         }
         let mut registration = self.register(&job, &progress);
@@ -236,10 +236,10 @@
                             &node.name,
                         );
                         job.label = ruling.label.or(job.label);
-                        let time_left = if ruling.refuse { Some(Duration::ZERO) } else { ruling.left };
+                        let time_left = if ruling.refuse { Some(Duration::ZERO) } else { ruling.time_left };
                         let deadline = time_left.map(|left| Instant::now() + left);
                         progress.hook_deadline = progress.hook_deadline.into_iter().chain(deadline).min();
-                        progress.hook_retry_after = ruling.after.or(progress.hook_retry_after);
+                        progress.hook_retry_after = ruling.retry_after.or(progress.hook_retry_after);
                     }
                 }
             }
--- a/relay/src/core/list_confirmation.rs
+++ b/relay/src/core/list_confirmation.rs
@@ -82,7 +82,7 @@
         first_start: bool,
     ) {
         let now = self.module_time(Instant::now());
-        let mut lease = ListLease::for_polled_list(nanos(self.rules().must_ask_in()));
+        let mut lease = ListLease::for_polled_list(nanos(self.rules().list_max_age()));
         match before {
             Some(before) => lease.restore(now.saturating_sub(nanos(before.age))),
             None if first_start => lease.restore(now),
@@ -117,7 +117,7 @@
     /// The configuration has been reloaded.
     pub(super) fn list_reloaded(&self) {
         let now = self.module_time(Instant::now());
-        let must_ask_in = nanos(self.rules().must_ask_in());
+        let must_ask_in = nanos(self.rules().list_max_age());
         self.lease_clock.update(|lease| {
             lease.set_poll_interval(must_ask_in);
             lease.configuration_reloaded(now);
--- a/relay/src/discovery.rs
+++ b/relay/src/discovery.rs
@@ -10,8 +10,8 @@
 use tokio::task::spawn_blocking;
 use tokio::time::{sleep, timeout};
 
-use crate::core::{AnswerTimes, Core, Transport};
-use crate::instances::Sharing;
+use crate::core::{Core, AnswerTimes, Transport};
+use crate::instances::ListSharing;
 use crate::list::{ListText, NodeList};
 use crate::metrics::DiscoveryResult;
 
@@ -53,7 +53,7 @@
     core: Rc<Core<C>>,
     mut server: watch::Receiver<DiscoveryServer>,
     mut known_generation: Option<u64>,
-    sharing: Option<Sharing>,
+    sharing: Option<ListSharing>,
 ) {
     // Where lists are pushed, their source is on this machine and has no queue: the module does not request them.
     let mut pushed = !core.rules().settings.list_on_request;
@@ -70,7 +70,7 @@
             doubtful_failures = 0;
         }
         if let Some(sharing) = &sharing {
-            sharing.turn().await;
+            sharing.wait_until_poller().await;
         }
         let current = server.borrow_and_update().clone();
         tokio::select! {
@@ -96,7 +96,7 @@
                     "discovery cannot be followed; the decision module schedules a retry"
                 );
                 if let Some(sharing) = &sharing {
-                    sharing.failed(kind == ListScope::Truncated);
+                    sharing.call_failed(kind == ListScope::Truncated);
                 }
                 core.list_unavailable(kind);
             }
@@ -104,9 +104,9 @@
     }
 }
 
-async fn turn_ended(sharing: &Option<Sharing>) {
+async fn turn_ended(sharing: &Option<ListSharing>) {
     match sharing {
-        Some(sharing) => sharing.over().await,
+        Some(sharing) => sharing.wait_while_poller().await,
         None => std::future::pending().await,
     }
 }
@@ -161,16 +161,16 @@
     server: &DiscoveryServer,
     known_generation: &mut Option<u64>,
     doubtful_failures: &mut u32,
-    sharing: Option<&Sharing>,
+    sharing: Option<&ListSharing>,
 ) -> CallError {
     let mut first = true;
     // Whether the last response was to a watch, which the next call renews.
     let mut renewal = false;
     loop {
-        let shared = sharing.and_then(|sharing| Some((sharing, sharing.asks()?)));
+        let shared = sharing.and_then(|sharing| Some((sharing, sharing.call_started()?)));
         let index = shared.as_ref().map_or(*known_generation, |(_, index)| *index);
         let max_wait =
-            core.rules().must_ask_in() / if shared.is_some() { SHARED_WATCH_DIVISOR } else { WATCH_DIVISOR };
+            core.rules().list_max_age() / if shared.is_some() { SHARED_WATCH_DIVISOR } else { WATCH_DIVISOR };
         let max_wait = max_wait.min(MAX_WATCH);
         let wait = if renewal || shared.is_some() { max_wait } else { FIRST_WATCH };
         let time_limit =
@@ -196,7 +196,7 @@
         tracing::debug!(generation, changes, whole, ?waited, "discovery answered");
         if let Some((sharing, _)) = shared {
             *known_generation = Some(generation);
-            sharing.answered(begun, &list);
+            sharing.call_answered(begun, &list);
             if std::mem::take(&mut first) {
                 // Only tells the module that the list is available; its entries are applied from the shared list.
                 apply(core, NodeList::new(generation, false, Vec::new()), answered);
--- a/relay/src/main.rs
+++ b/relay/src/main.rs
@@ -129,9 +129,9 @@
 }
 
 fn instances(address: SocketAddr, json: bool) -> ExitCode {
-    match actix_rt::System::new().block_on(onyxglade::instances::ask(address)) {
+    match actix_rt::System::new().block_on(onyxglade::instances::fetch_view(address)) {
         Ok(view) => {
-            print!("{}", if json { format!("{view}\n") } else { onyxglade::instances::table(&view) });
+            print!("{}", if json { format!("{view}\n") } else { onyxglade::instances::format_view(&view) });
             ExitCode::SUCCESS
         }
         Err(error) => {
@@ -159,7 +159,7 @@
 }
 
 fn make_certificates(folder: &Path, names: &[String]) -> ExitCode {
-    match tls::make(folder, names) {
+    match tls::generate_certificates(folder, names) {
         Ok(written) => {
             written.iter().for_each(|path| println!("{}", path.display()));
             ExitCode::SUCCESS
@@ -186,7 +186,7 @@
 
 /// Prints the converted file to standard output, and what was not converted to standard error.
 fn import_nginx(file: &Path) -> ExitCode {
-    match import::file(file) {
+    match import::import_file(file) {
         Ok((text, remarks)) => {
             remarks.iter().for_each(|remark| eprintln!("{}: {remark}", file.display()));
             match std::io::stdout().write_all(text.as_bytes()) {
--- a/relay/src/platform/server.rs
+++ b/relay/src/platform/server.rs
@@ -119,7 +119,7 @@
             .ok_or(bad_request("X-Request-ID is missing"))?;
         let path_class = request.path().split('/').nth(1).unwrap_or("").to_owned();
         let class = text("x-priority-class")?.unwrap_or(path_class);
-        self.core.rules().class(&class).ok_or(bad_request("unknown class"))?;
+        self.core.rules().class_index(&class).ok_or(bad_request("unknown class"))?;
         let left = text("x-timeout-ms")?.and_then(|v| parse_digits(&v)).map(Duration::from_millis);
         let left = left
             .filter(|l| *l <= MAX_TIME_LIMIT)
--- a/relay/src/run.rs
+++ b/relay/src/run.rs
@@ -12,19 +12,19 @@
 use crate::availability::{Availability, AvailabilityEvent};
 use crate::backlog::{Backlog, BacklogClass};
 use crate::clock;
-use crate::config::{self, Idle, Limits, Rules};
-use crate::connection_limiter::ConnectionLimiter;
+use crate::config::{self, IdleConfig, MachineLimits, Rules};
 use crate::core::{Core, SetDisabledError, Transport};
-use crate::disabled::DisabledNodes;
 use crate::handover::{self, HandoverListener};
 use crate::hook::Hooks;
-use crate::instances::{self, Instances, Sharing};
+use crate::instances::{self, Instances, ListSharing};
 use crate::journal::{Journal, OpenJob, is_transient};
 use crate::lease_record::LeaseRecord;
 use crate::list::NodeList;
 use crate::listener::listen;
-use crate::metrics::{BacklogMetrics, GaugeValues, Metrics};
 use crate::platform::refusing::refuse_all;
+use crate::connection_limiter::ConnectionLimiter;
+use crate::disabled::DisabledNodes;
+use crate::metrics::{BacklogMetrics, GaugeValues, Metrics};
 
 /// First stage of the shutdown: everything continues, since new connections arrive for up to 0.4 s after SIGTERM.
 const SHUTDOWN_SERVING_TIME: Duration = Duration::from_millis(600);
@@ -69,12 +69,12 @@
 pub async fn run(file: Option<PathBuf>) -> Result<(), Error> {
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let mut reload = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
-    let platform = config::platform().map_err(Error::Configuration)?;
+    let platform = config::load_platform_config().map_err(Error::Configuration)?;
     if let Some(platform) = &platform {
         // Before the clock is used for anything else.
         clock::restore_epoch(&platform.state);
     }
-    let own = file.as_deref().map(config::own).transpose().map_err(Error::Configuration)?;
+    let own = file.as_deref().map(config::load_relay_config).transpose().map_err(Error::Configuration)?;
     let own = own.unwrap_or_default();
     if platform.is_none() && own.push.is_none() {
         let message =
@@ -84,7 +84,7 @@
     // Each frontend loads the script for itself.
     let hooks = || own.hook.as_ref().map(Hooks::load).transpose().map_err(Error::Configuration);
     let platform_admin = platform.as_ref().and_then(|platform| platform.admin);
-    let admin_address = config::admin().map_err(Error::Configuration)?.or(platform_admin).or(own.admin);
+    let admin_address = config::admin_address_from_env().map_err(Error::Configuration)?.or(platform_admin).or(own.admin);
     let rules = platform.as_ref().map(|p| &p.rules).into_iter().chain(own.push.as_ref().map(|p| &p.rules));
     let figures = Metrics::new(rules.flat_map(|rules| &rules.names.classes));
     let process = Rc::new(ProcessAvailability::default());
@@ -96,20 +96,20 @@
     }
     let name = platform.as_ref().map(|platform| platform.name.clone());
     // Instances share the lists of the platform frontend only: the gateways of the push frontend are in the file.
-    let lists = platform.as_ref().map(|platform| instances::Told {
-        must_ask_in: platform.rules.must_ask_in(),
-        longest: own.idle.list_limit,
+    let lists = platform.as_ref().map(|platform| instances::ListSharingLimits {
+        max_age: platform.rules.list_max_age(),
+        max_bytes: own.idle.list_limit,
     });
     let instances = own.instances.map(|settings| {
         let lists = lists.filter(|_| settings.lists);
         Instances::start(settings, name, lists)
     });
-    if lists.is_none() && instances.as_ref().is_some_and(|instances| instances.wants_lists()) {
+    if lists.is_none() && instances.as_ref().is_some_and(|instances| instances.shares_lists()) {
         tracing::warn!(
             "instances.lists has no effect: there is no list to share without the platform frontend"
         );
     }
-    let sharing = instances.as_ref().and_then(Instances::sharing);
+    let sharing = instances.as_ref().and_then(Instances::list_sharing);
     admin.set_instances(instances.clone());
     let platform = match platform {
         Some(platform) => {
@@ -138,12 +138,12 @@
         Some(push) => Some(start_push(push, hooks()?, &figures).await?),
         None => None,
     };
-    if let Some(instances) = instances.as_ref().filter(|instances| instances.wants_shares()) {
+    if let Some(instances) = instances.as_ref().filter(|instances| instances.shares_limits()) {
         if let Some(platform) = &platform {
-            actix_rt::spawn(instances::divide(platform.core.clone(), instances.clone()));
+            actix_rt::spawn(instances::divide_limits(platform.core.clone(), instances.clone()));
         }
         if let Some(push) = &push {
-            actix_rt::spawn(instances::divide(push.core.clone(), instances.clone()));
+            actix_rt::spawn(instances::divide_limits(push.core.clone(), instances.clone()));
         }
     }
     figures.config_loaded(true);
@@ -350,15 +350,15 @@
 
 #[allow(clippy::too_many_arguments)]
 async fn start_platform(
-    mut config: config::Platform,
-    idle: &Idle,
+    mut config: config::PlatformConfig,
+    idle: &IdleConfig,
     hooks: Option<Hooks>,
     figures: &Rc<Metrics>,
     process: &ProcessAvailability,
     admin: &Admin,
     upgrades: bool,
-    sharing: Option<Sharing>,
-    backlog: Option<&config::Backlog>,
+    sharing: Option<ListSharing>,
+    backlog: Option<&config::BacklogConfig>,
 ) -> Result<PlatformFrontend, String> {
     let (lock, predecessor) = match upgrades {
         true => {
@@ -372,7 +372,7 @@
     };
     idle.apply(&mut config.rules);
     config.rules.settings.list_shared = sharing.is_some();
-    let Limits { disk, sockets } = config.limits;
+    let MachineLimits { disk_bytes, sockets } = config.limits;
     let budget =
         Rc::new(DescriptorBudget { sockets: Cell::new(sockets), shared: Cell::new(predecessor.is_some()) });
     let node_client =
@@ -381,13 +381,13 @@
     let discovery = node_client.discovery_server();
     let first_start = !Journal::exists(&config.state) && !LeaseRecord::exists(&config.state);
     let mut listener = None;
-    let opened = match Journal::open(&config.state, disk) {
+    let opened = match Journal::open(&config.state, disk_bytes) {
         Ok(opened) => Ok(opened),
         Err(error) if !is_transient(&error) => Err(format!("journal in {}: {error}", config.state.display())),
         Err(_) => {
             let listener = listener.insert(listen_for_submitters(config.listen).await?);
             tokio::select! {
-                opened = open_journal(&config.state, disk) => opened,
+                opened = open_journal(&config.state, disk_bytes) => opened,
                 () = refuse_all(listener, budget.submitter_connections()) => Err("no connections can be accepted".into()),
             }
         }
@@ -422,9 +422,9 @@
             // Where instances share lists, the configured list is used only if no newer one arrives in time; an empty list lets the first
             // decision round run without it.
             let empty = NodeList::default();
-            core.apply_list(if sharing.is_some() { &empty } else { &config.known }).await;
+            core.apply_list(if sharing.is_some() { &empty } else { &config.known_nodes }).await;
             known_generation =
-                known_generation.or((!config.known.is_empty()).then_some(config.known.generation));
+                known_generation.or((!config.known_nodes.is_empty()).then_some(config.known_nodes.generation));
         }
     }
     if core.rules().settings.list_on_request && sharing.is_none() {
@@ -432,7 +432,7 @@
     }
     start_tasks(&core, "platform");
     if let Some(sharing) = &sharing {
-        actix_rt::spawn(instances::take(core.clone(), sharing.clone(), config.known));
+        actix_rt::spawn(instances::apply_lists(core.clone(), sharing.clone(), config.known_nodes));
     }
     let discovery_task =
         actix_rt::spawn(crate::discovery::follow(core.clone(), discovery, known_generation, sharing));
@@ -472,7 +472,7 @@
 /// Opens the backlog on disk and attaches it to the core.
 async fn attach_backlog<C: Transport>(
     core: &Rc<Core<C>>,
-    settings: &config::Backlog,
+    settings: &config::BacklogConfig,
     owner: &str,
     journaled: &[OpenJob],
 ) -> Result<(), String> {
@@ -507,7 +507,7 @@
     }
 
     /// How many connections to nodes may be open: as configured, else what the submitters' connections leave.
-    fn node_connections(&self, idle: &Idle) -> usize {
+    fn node_connections(&self, idle: &IdleConfig) -> usize {
         let left =
             self.available().saturating_sub(self.submitter_connections() + RESERVED_DESCRIPTORS).max(1);
         idle.connections.map_or(left, |limit| if self.shared.get() { limit.min(left) } else { limit })
@@ -545,8 +545,9 @@
 
     /// Reloads the configuration without dropping a job or a connection. Returns false if it is invalid.
     fn reload(&self, file: Option<&Path>) -> bool {
-        let own = file.map(config::own).transpose();
-        let read = own.and_then(|own| Ok((config::platform()?, own.map_or(Idle::default(), |own| own.idle))));
+        let own = file.map(config::load_relay_config).transpose();
+        let read = own.and_then(|own| { Ok((config::load_platform_config()?, own.map_or(IdleConfig::default(), |own| own.idle)))
+        });
         let (config, idle) = match read {
             Ok((Some(mut config), idle)) => {
                 idle.apply(&mut config.rules);
@@ -565,7 +566,7 @@
         self.core.transport.reconfigure(&config.rules, config.discovery, idle.list_limit);
         self.budget.sockets.set(config.limits.sockets);
         self.core.transport.set_max_connections(self.budget.node_connections(&idle));
-        self.core.apply_rules(config.rules, config.limits.disk);
+        self.core.apply_rules(config.rules, config.limits.disk_bytes);
         self.limiter.set_limit(self.budget.submitter_connections());
         tracing::info!(discovery = %config.discovery, "SIGHUP: configuration read anew");
         true
@@ -573,23 +574,23 @@
 }
 
 async fn start_push(
-    config: config::Push,
+    config: config::PushConfig,
     hooks: Option<Hooks>,
     figures: &Rc<Metrics>,
 ) -> Result<PushFrontend, String> {
     // This frontend is given no seed: it uses a new one for each start.
     let seed = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
-    let gateways = crate::push::gateways::Gateways::new(config.pool, config.notices);
-    gateways.secure(config.trust.clone());
+    let gateways = crate::push::gateways::Gateways::new(config.pool_limits, config.notices);
+    gateways.set_tls(config.gateway_tls.clone());
     let rules = config.rules.clone();
-    let opened = open_journal(&config.state, config.disk).await;
+    let opened = open_journal(&config.state, config.disk_bytes).await;
     let (journal, open) = opened.map_err(|e| format!("push.state: {e}"))?;
     tracing::info!(recovered = open.len(), "journal read");
     let core = new_core(gateways, rules, hooks, seed, &config.state, journal, figures);
     open.into_iter().for_each(|open| core.recover(open));
     start_tasks(&core, "push");
     core.apply_list(&config.gateways).await;
-    actix_rt::spawn(crate::push::gateways::tend(core.clone()));
+    actix_rt::spawn(crate::push::gateways::maintain_connections(core.clone()));
     let listener = listen("push.listen", config.listen)?;
     let address = listener.local_addr().unwrap_or(config.listen);
     let server = crate::push::server::Server::new(core.clone(), &config, seed);
@@ -602,16 +603,16 @@
 impl PushFrontend {
     /// Reloads the file without dropping a message or a connection. Returns false if it is invalid.
     async fn reload(&self, file: &Path) -> bool {
-        match config::own(file).and_then(|own| own.push.ok_or("push: the table is gone".into())) {
+        match config::load_relay_config(file).and_then(|own| own.push.ok_or("push: the table is gone".into())) {
             Ok(push) => {
                 if (push.listen, &push.state) != (self.listen, &self.state) {
                     tracing::warn!("SIGHUP: push.listen and push.state take effect at the next start");
                 }
-                self.core.transport.settle(push.pool, push.notices);
-                self.core.transport.secure(push.trust);
-                self.core.apply_rules(push.rules, push.disk);
+                self.core.transport.reconfigure(push.pool_limits, push.notices);
+                self.core.transport.set_tls(push.gateway_tls);
+                self.core.apply_rules(push.rules, push.disk_bytes);
                 self.core.apply_list(&push.gateways).await;
-                self.server.settle(push.locations, push.body_limit, push.secured);
+                self.server.reconfigure(push.locations, push.body_limit, push.server_tls);
                 self.limiter.set_limit(push.connections);
                 tracing::info!(gateways = push.gateways.len(), "SIGHUP: file read anew");
                 true
--- a/relay/src/tls/tests.rs
+++ b/relay/src/tls/tests.rs
@@ -1,38 +1,39 @@
 use super::*;
 
-fn made() -> (tempfile::TempDir, ServerTable, ClientTable) {
+fn generated() -> (tempfile::TempDir, ServerTlsTable, ClientTlsTable) {
     let folder = tempfile::tempdir().expect("a folder");
-    make(folder.path(), &["gateway.test".into()]).expect("certificates");
+    generate_certificates(folder.path(), &["gateway.test".into()]).expect("certificates");
     let at = |name: &str| folder.path().join(name);
-    let server = ServerTable {
+    let server = ServerTlsTable {
         certificate: at("server.pem"),
         key: at("server.key"),
         clients: Some(at("authority.pem")),
-        least: Least::Tls13,
+        min_version: MinTlsVersion::Tls13,
     };
-    let client = ClientTable {
+    let client = ClientTlsTable {
         trust: at("authority.pem"),
         certificate: Some(at("client.pem")),
         key: Some(at("client.key")),
-        least: Least::Tls12,
+        min_version: MinTlsVersion::Tls12,
     };
     (folder, server, client)
 }
 
 #[test]
-fn what_was_made_is_read_and_faults_name_their_key() {
-    let (folder, sound, client_sound) = made();
-    assert!(server(&sound).is_ok() && client(&client_sound).is_ok());
-    let other = folder.path().join("client.key");
-    let wrong = |table: ServerTable| server(&table).err().unwrap_or_default();
+fn generated_files_are_accepted_and_errors_name_their_key() {
+    let (folder, server_table, client_table) = generated();
+    assert!(server_config(&server_table).is_ok() && client_config(&client_table).is_ok());
+    let other_key = folder.path().join("client.key");
+    let error = |table: ServerTlsTable| server_config(&table).err().unwrap_or_default();
     let missing = folder.path().join("none");
-    assert!(wrong(ServerTable { key: other, ..sound.clone() }).contains("push.tls.key"));
+    assert!(error(ServerTlsTable { key: other_key, ..server_table.clone() }).contains("push.tls.key"));
     assert!(
-        wrong(ServerTable { certificate: missing.clone(), ..sound.clone() }).contains("push.tls.certificate")
+        error(ServerTlsTable { certificate: missing.clone(), ..server_table.clone() })
+            .contains("push.tls.certificate")
     );
-    let no_certificate = Some(sound.key.clone());
-    assert!(wrong(ServerTable { clients: no_certificate, ..sound }).contains("push.tls.clients"));
-    let wrong = |table: ClientTable| client(&table).err().unwrap_or_default();
-    assert!(wrong(ClientTable { trust: missing, ..client_sound.clone() }).contains("gateways.tls.trust"));
-    assert!(wrong(ClientTable { key: None, ..client_sound }).contains("gateways.tls.key"));
+    let no_certificate = Some(server_table.key.clone());
+    assert!(error(ServerTlsTable { clients: no_certificate, ..server_table }).contains("push.tls.clients"));
+    let error = |table: ClientTlsTable| client_config(&table).err().unwrap_or_default();
+    assert!(error(ClientTlsTable { trust: missing, ..client_table.clone() }).contains("gateways.tls.trust"));
+    assert!(error(ClientTlsTable { key: None, ..client_table }).contains("gateways.tls.key"));
 }
