--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -284,7 +284,8 @@
                 let refusal = Refusal::Refused { after: ruling.retry_after };
                 return self.answer_and_release(&job.id, answer, Decision::Refused(refusal));
             }
-            job.deadline = ruling.time_left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
+            job.deadline =
+                ruling.time_left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
             job.label = ruling.label;
         }
         let rules = self.rules();
--- a/relay/src/core/job_task.rs
+++ b/relay/src/core/job_task.rs
@@ -125,7 +125,8 @@
             if ruling.refuse {
                 return self.refuse_job(&job, answer, Refusal::Refused { after: ruling.retry_after });
             }
-            job.deadline = ruling.time_left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
+            job.deadline =
+                ruling.time_left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
             job.label = ruling.label;
         }
         let mut registration = self.register(&job, &progress);
--- a/relay/src/discovery.rs
+++ b/relay/src/discovery.rs
@@ -10,7 +10,7 @@
 use tokio::task::spawn_blocking;
 use tokio::time::{sleep, timeout};
 
-use crate::core::{Core, AnswerTimes, Transport};
+use crate::core::{AnswerTimes, Core, Transport};
 use crate::instances::ListSharing;
 use crate::list::{ListText, NodeList};
 use crate::metrics::DiscoveryResult;
--- a/relay/src/import/tests.rs
+++ b/relay/src/import/tests.rs
@@ -37,7 +37,7 @@
     assert_eq!(paths, [("/push/", "/p/", false), ("/one", "/one", true)]);
     let nodes = push.gateways.chunk(0);
     let nodes: Vec<_> = nodes.iter().map(|n| (&*n.host_port, n.lifecycle)).collect();
-use crate::list::Lifecycle::*;
+    use crate::list::Lifecycle::*;
     assert_eq!(
         nodes,
         [("127.0.0.1:9001", Serving), ("127.0.0.1:9002", Draining), ("127.0.0.1:9100", Serving)]
--- a/relay/src/push/gateways.rs
+++ b/relay/src/push/gateways.rs
@@ -22,11 +22,11 @@
 
 use super::pool::{Action, ClaimId, ClaimResult, ConnectionId, Denial, Pool};
 use super::{PATH, TOPIC, TTL};
-use crate::{clock, tls};
 use crate::config::{GatewayTls, PoolLimits, TlsTarget};
 use crate::core::{Core, Node, SendPermit, Transport};
 use crate::job::{Job, Outcome};
 use crate::journal::FinalNotice;
+use crate::{clock, tls};
 
 /// Reset streams that are remembered, so that a late response to a cancelled claim does not end the connection.
 const MAX_RESET_STREAMS: usize = 1024;
--- a/relay/src/push/server.rs
+++ b/relay/src/push/server.rs
@@ -19,11 +19,11 @@
 use tokio_util::either::Either;
 
 use super::{PATH, TOPIC, TTL};
-use crate::{clock, tls};
 use crate::config::{Location, PushConfig, Urgency};
-use crate::connection_limiter::{self, ConnectionPolicy, TrackedStream, ConnectionLimiter, EvictionPolicy};
+use crate::connection_limiter::{self, ConnectionLimiter, ConnectionPolicy, EvictionPolicy, TrackedStream};
 use crate::core::{Core, Transport};
 use crate::job::{Answer, Job};
+use crate::{clock, tls};
 
 /// Idle time after which a submitter's connection is pinged, and closed if it does not answer.
 const KEEP_ALIVE: Duration = Duration::from_secs(60);
@@ -31,8 +31,12 @@
 const READ_TIMEOUT: Duration = Duration::from_millis(2500);
 /// At the connection limit, connections without an open request may be closed for new ones. Other timeouts are left to
 /// HTTP/2 and its keep-alive pings.
-const CONNECTION_POLICY: ConnectionPolicy =
-    ConnectionPolicy { first_request_timeout: READ_TIMEOUT, request_timeout: None, idle_timeout: KEEP_ALIVE, eviction: EvictionPolicy::IdleOnly, };
+const CONNECTION_POLICY: ConnectionPolicy = ConnectionPolicy {
+    first_request_timeout: READ_TIMEOUT,
+    request_timeout: None,
+    idle_timeout: KEEP_ALIVE,
+    eviction: EvictionPolicy::IdleOnly,
+};
 /// Path prefix at which the state of an accepted message can be queried while it is open.
 const MESSAGE_PATH: &str = "/message/";
 /// Maximum total size of the header names and values of a job.
--- a/relay/src/run.rs
+++ b/relay/src/run.rs
@@ -13,7 +13,9 @@
 use crate::backlog::{Backlog, BacklogClass};
 use crate::clock;
 use crate::config::{self, IdleConfig, MachineLimits, Rules};
+use crate::connection_limiter::ConnectionLimiter;
 use crate::core::{Core, SetDisabledError, Transport};
+use crate::disabled::DisabledNodes;
 use crate::handover::{self, HandoverListener};
 use crate::hook::Hooks;
 use crate::instances::{self, Instances, ListSharing};
@@ -21,10 +23,8 @@
 use crate::lease_record::LeaseRecord;
 use crate::list::NodeList;
 use crate::listener::listen;
-use crate::platform::refusing::refuse_all;
-use crate::connection_limiter::ConnectionLimiter;
-use crate::disabled::DisabledNodes;
 use crate::metrics::{BacklogMetrics, GaugeValues, Metrics};
+use crate::platform::refusing::refuse_all;
 
 /// First stage of the shutdown: everything continues, since new connections arrive for up to 0.4 s after SIGTERM.
 const SHUTDOWN_SERVING_TIME: Duration = Duration::from_millis(600);
@@ -84,7 +84,8 @@
     // Each frontend loads the script for itself.
     let hooks = || own.hook.as_ref().map(Hooks::load).transpose().map_err(Error::Configuration);
     let platform_admin = platform.as_ref().and_then(|platform| platform.admin);
-    let admin_address = config::admin_address_from_env().map_err(Error::Configuration)?.or(platform_admin).or(own.admin);
+    let admin_address =
+        config::admin_address_from_env().map_err(Error::Configuration)?.or(platform_admin).or(own.admin);
     let rules = platform.as_ref().map(|p| &p.rules).into_iter().chain(own.push.as_ref().map(|p| &p.rules));
     let figures = Metrics::new(rules.flat_map(|rules| &rules.names.classes));
     let process = Rc::new(ProcessAvailability::default());
@@ -423,8 +424,8 @@
             // decision round run without it.
             let empty = NodeList::default();
             core.apply_list(if sharing.is_some() { &empty } else { &config.known_nodes }).await;
-            known_generation =
-                known_generation.or((!config.known_nodes.is_empty()).then_some(config.known_nodes.generation));
+            known_generation = known_generation
+                .or((!config.known_nodes.is_empty()).then_some(config.known_nodes.generation));
         }
     }
     if core.rules().settings.list_on_request && sharing.is_none() {
@@ -546,7 +547,8 @@
     /// Reloads the configuration without dropping a job or a connection. Returns false if it is invalid.
     fn reload(&self, file: Option<&Path>) -> bool {
         let own = file.map(config::load_relay_config).transpose();
-        let read = own.and_then(|own| { Ok((config::load_platform_config()?, own.map_or(IdleConfig::default(), |own| own.idle)))
+        let read = own.and_then(|own| {
+            Ok((config::load_platform_config()?, own.map_or(IdleConfig::default(), |own| own.idle)))
         });
         let (config, idle) = match read {
             Ok((Some(mut config), idle)) => {
@@ -603,7 +605,8 @@
 impl PushFrontend {
     /// Reloads the file without dropping a message or a connection. Returns false if it is invalid.
     async fn reload(&self, file: &Path) -> bool {
-        match config::load_relay_config(file).and_then(|own| own.push.ok_or("push: the table is gone".into())) {
+        match config::load_relay_config(file).and_then(|own| own.push.ok_or("push: the table is gone".into()))
+        {
             Ok(push) => {
                 if (push.listen, &push.state) != (self.listen, &self.state) {
                     tracing::warn!("SIGHUP: push.listen and push.state take effect at the next start");
