--- a/backlog/examples/stores/main.rs
+++ b/backlog/examples/stores/main.rs
@@ -15,7 +15,7 @@
 
 use bytes::Bytes;
 use onyxglade_backlog::lsm_store::{Config, LsmStore};
-use onyxglade_backlog::message::{ClassNumber, Lane, NewMessage, Place, UnixMillis};
+use onyxglade_backlog::message::{ClassNumber, Lane, NewMessage, Position, UnixMillis};
 use onyxglade_backlog::store::BacklogStore;
 use redb_store::RedbStore;
 
@@ -150,8 +150,8 @@
         if messages.is_empty() {
             continue;
         }
-        let places: Vec<Place> = messages.iter().map(|message| message.place).collect();
-        store.remove(&places).expect("to remove");
+        let positions: Vec<Position> = messages.iter().map(|message| message.position).collect();
+        store.remove(&positions).expect("to remove");
         drained += messages.len() as u64;
     }
     let fetched_cpu = (process::cpu_micros() - cpu) as f64 / drained as f64;
@@ -161,8 +161,8 @@
     let mut ended = 0;
     while ended < most {
         let messages = store.due(UnixMillis(u64::MAX - 1), 10 * BATCH as usize).expect("what is due");
-        let places: Vec<Place> = messages.iter().map(|message| message.place).collect();
-        store.remove(&places).expect("to remove");
+        let positions: Vec<Position> = messages.iter().map(|message| message.position).collect();
+        store.remove(&positions).expect("to remove");
         ended += messages.len() as u64;
     }
     let due_cpu = (process::cpu_micros() - cpu) as f64 / ended as f64;
--- a/backlog/examples/stores/redb_store.rs
+++ b/backlog/examples/stores/redb_store.rs
@@ -9,14 +9,14 @@
 use std::path::Path;
 
 use onyxglade_backlog::encoding::{
-    deadline_key, lane_key, message_value, place_key, read_deadline, read_lane, read_message, read_place,
-    read_u64,
+    deadline_key, lane_key, message_value, position_key, read_deadline, read_lane, read_message,
+    read_position, read_u64,
 };
 use onyxglade_backlog::lane_table::LaneTable;
 use onyxglade_backlog::message::{
-    ClassNumber, Lane, LaneSummary, NewMessage, Place, StoredMessage, UnixMillis, Usage,
+    ClassNumber, Lane, LaneSummary, NewMessage, Position, StoredMessage, UnixMillis, Usage,
 };
-use onyxglade_backlog::store::{BacklogStore, Damage, StoreError};
+use onyxglade_backlog::store::{BacklogStore, Corruption, StoreError};
 use redb::backends::FileBackend;
 use redb::{
     Builder, Database, ReadableDatabase, ReadableTable, StorageBackend, Table, TableDefinition,
@@ -133,84 +133,84 @@
 }
 
 fn insert(tables: &mut Tables, message: &StoredMessage) -> Result<(), StoreError> {
-    let place = place_key(message.place);
-    tables.messages.insert(&place[..], &message_value(message)[..]).map_err(failed)?;
-    tables.deadlines.insert(&deadline_key(message.deadline, message.place)[..], ()).map_err(failed)?;
-    tables.ids.insert(message.id.as_bytes(), &place[..]).map_err(failed)?;
+    let position = position_key(message.position);
+    tables.messages.insert(&position[..], &message_value(message)[..]).map_err(failed)?;
+    tables.deadlines.insert(&deadline_key(message.deadline, message.position)[..], ()).map_err(failed)?;
+    tables.ids.insert(message.id.as_bytes(), &position[..]).map_err(failed)?;
     Ok(())
 }
 
-fn decode(place: Place, value: &[u8]) -> StoredMessage {
-    read_message(place, &bytes::Bytes::copy_from_slice(value)).expect("a message")
+fn decode(position: Position, value: &[u8]) -> StoredMessage {
+    read_message(position, &bytes::Bytes::copy_from_slice(value)).expect("a message")
 }
 
 impl BacklogStore for RedbStore {
-    fn append(&mut self, messages: &[NewMessage]) -> Result<Vec<Place>, StoreError> {
-        let mut places = Vec::new();
+    fn append(&mut self, messages: &[NewMessage]) -> Result<Vec<Position>, StoreError> {
+        let mut positions = Vec::new();
         self.next_sequence = self.change(|tables| {
             for (sequence, message) in (self.next_sequence..).zip(messages) {
                 let message = message.stored_at(sequence);
                 insert(tables, &message)?;
                 self.lanes.borrow_mut().add(&message);
-                places.push(message.place);
+                positions.push(message.position);
             }
             Ok(self.next_sequence + messages.len() as u64)
         })?;
-        Ok(places)
+        Ok(positions)
     }
 
     fn put_back(&mut self, _messages: &[StoredMessage]) -> Result<(), StoreError> {
         Err(StoreError::TooLarge("messages that come back: the workload has none"))
     }
 
-    fn fetch(&self, lane: Lane, after: Option<u64>, most: usize) -> Result<Vec<StoredMessage>, StoreError> {
+    fn fetch(&self, lane: Lane, after: Option<u64>, limit: usize) -> Result<Vec<StoredMessage>, StoreError> {
         let Some(lowest) = self.lanes.borrow().first_sequence(lane) else { return Ok(Vec::new()) };
         let sequence = after.map_or(0, |after| after + 1).max(lowest);
         let (first, last) =
-            (place_key(Place { lane, sequence }), place_key(Place { lane, sequence: u64::MAX }));
+            (position_key(Position { lane, sequence }), position_key(Position { lane, sequence: u64::MAX }));
         let reading = self.database.begin_read().map_err(failed)?;
         let messages = reading.open_table(MESSAGES).map_err(failed)?;
         let mut found = Vec::new();
-        for entry in messages.range(&first[..]..=&last[..]).map_err(failed)?.take(most) {
+        for entry in messages.range(&first[..]..=&last[..]).map_err(failed)?.take(limit) {
             let (key, value) = entry.map_err(failed)?;
-            found.push(decode(read_place(key.value()).expect("a place"), value.value()));
+            found.push(decode(read_position(key.value()).expect("a position"), value.value()));
         }
         Ok(found)
     }
 
-    fn remove(&mut self, places: &[Place]) -> Result<(), StoreError> {
+    fn remove(&mut self, positions: &[Position]) -> Result<(), StoreError> {
         self.change(|tables| {
-            for place in BTreeSet::from_iter(places) {
-                let removed = tables.messages.remove(&place_key(*place)[..]).map_err(failed)?;
-                let Some(message) = removed.map(|value| decode(*place, value.value())) else { continue };
-                tables.deadlines.remove(&deadline_key(message.deadline, *place)[..]).map_err(failed)?;
+            for position in BTreeSet::from_iter(positions) {
+                let removed = tables.messages.remove(&position_key(*position)[..]).map_err(failed)?;
+                let Some(message) = removed.map(|value| decode(*position, value.value())) else { continue };
+                tables.deadlines.remove(&deadline_key(message.deadline, *position)[..]).map_err(failed)?;
                 tables.ids.remove(message.id.as_bytes()).map_err(failed)?;
-                self.lanes.borrow_mut().subtract(*place, Some(&message));
+                self.lanes.borrow_mut().subtract(*position, Some(&message));
             }
             Ok(self.next_sequence)
         })?;
         Ok(())
     }
 
-    fn due(&self, until: UnixMillis, most: usize) -> Result<Vec<StoredMessage>, StoreError> {
+    fn due(&self, until: UnixMillis, limit: usize) -> Result<Vec<StoredMessage>, StoreError> {
         let reading = self.database.begin_read().map_err(failed)?;
         let deadlines = reading.open_table(DEADLINES).map_err(failed)?;
         let messages = reading.open_table(MESSAGES).map_err(failed)?;
         let end = (until.0 + 1).to_be_bytes();
         let mut found = Vec::new();
-        for entry in deadlines.range(..&end[..]).map_err(failed)?.take(most) {
-            let (_, place) = read_deadline(entry.map_err(failed)?.0.value()).expect("a deadline");
-            let value = messages.get(&place_key(place)[..]).map_err(failed)?.expect("a message");
-            found.push(decode(place, value.value()));
+        for entry in deadlines.range(..&end[..]).map_err(failed)?.take(limit) {
+            let (_, position) = read_deadline(entry.map_err(failed)?.0.value()).expect("a deadline");
+            let value = messages.get(&position_key(position)[..]).map_err(failed)?.expect("a message");
+            found.push(decode(position, value.value()));
         }
         Ok(found)
     }
 
-    fn find(&self, id: &str) -> Result<Option<Place>, StoreError> {
+    fn find(&self, id: &str) -> Result<Option<Position>, StoreError> {
         let reading = self.database.begin_read().map_err(failed)?;
         let ids = reading.open_table(IDS).map_err(failed)?;
         let found = ids.get(id.as_bytes()).map_err(failed)?;
-        Ok(found.and_then(|place| read_place(place.value())))
+        Ok(found.and_then(|position| read_position(position.value())))
     }
 
     fn class(&mut self, _name: &str) -> Result<ClassNumber, StoreError> {
@@ -230,7 +230,7 @@
         Usage { disk_bytes, messages: self.lanes.borrow().messages() }
     }
 
-    fn damages(&self) -> Vec<Damage> {
+    fn corruptions(&self) -> Vec<Corruption> {
         Vec::new()
     }
 }
--- a/backlog/src/encoding.rs
+++ b/backlog/src/encoding.rs
@@ -1,14 +1,14 @@
 //! The bytes of keys and values on disk. Numbers in keys are big-endian, so that their order is that of the bytes.
 use bytes::Bytes;
 
-use crate::message::{ClassNumber, Lane, Place, StoredMessage, UnixMillis};
+use crate::message::{ClassNumber, Lane, Position, StoredMessage, UnixMillis};
 
 /// Bytes of a lane's key: destination (8), class (2).
 pub const LANE_KEY: usize = 10;
 /// Bytes of a place's key: lane (10), sequence (8).
-pub const PLACE_KEY: usize = LANE_KEY + 8;
+pub const POSITION_KEY: usize = LANE_KEY + 8;
 /// Bytes of a deadline's key: deadline (8), place (18).
-pub const DEADLINE_KEY: usize = 8 + PLACE_KEY;
+pub const DEADLINE_KEY: usize = 8 + POSITION_KEY;
 /// Bytes of a message's value before its id: CRC-32 (4), arrival (8), deadline (8), length of the id (2).
 const MESSAGE_HEADER: usize = 4 + 8 + 8 + 2;
 const CHECKSUM: usize = 4;
@@ -31,35 +31,35 @@
 }
 
 /// The key of a message.
-pub fn place_key(place: Place) -> [u8; PLACE_KEY] {
-    let mut key = [0; PLACE_KEY];
-    key[..LANE_KEY].copy_from_slice(&lane_key(place.lane));
-    key[LANE_KEY..].copy_from_slice(&place.sequence.to_be_bytes());
+pub fn position_key(position: Position) -> [u8; POSITION_KEY] {
+    let mut key = [0; POSITION_KEY];
+    key[..LANE_KEY].copy_from_slice(&lane_key(position.lane));
+    key[LANE_KEY..].copy_from_slice(&position.sequence.to_be_bytes());
     key
 }
 
-/// The place that a key of [`PLACE_KEY`] bytes tells.
-pub fn read_place(key: &[u8]) -> Option<Place> {
-    if key.len() != PLACE_KEY {
+/// The place that a key of [`POSITION_KEY`] bytes tells.
+pub fn read_position(key: &[u8]) -> Option<Position> {
+    if key.len() != POSITION_KEY {
         return None;
     }
-    Some(Place { lane: read_lane(&key[..LANE_KEY])?, sequence: read_u64(&key[LANE_KEY..])? })
+    Some(Position { lane: read_lane(&key[..LANE_KEY])?, sequence: read_u64(&key[LANE_KEY..])? })
 }
 
 /// The key of a message in the index of deadlines.
-pub fn deadline_key(deadline: UnixMillis, place: Place) -> [u8; DEADLINE_KEY] {
+pub fn deadline_key(deadline: UnixMillis, position: Position) -> [u8; DEADLINE_KEY] {
     let mut key = [0; DEADLINE_KEY];
     key[..8].copy_from_slice(&deadline.0.to_be_bytes());
-    key[8..].copy_from_slice(&place_key(place));
+    key[8..].copy_from_slice(&position_key(position));
     key
 }
 
 /// The deadline and place that a key of [`DEADLINE_KEY`] bytes tells.
-pub fn read_deadline(key: &[u8]) -> Option<(UnixMillis, Place)> {
+pub fn read_deadline(key: &[u8]) -> Option<(UnixMillis, Position)> {
     if key.len() != DEADLINE_KEY {
         return None;
     }
-    Some((UnixMillis(read_u64(key)?), read_place(&key[8..])?))
+    Some((UnixMillis(read_u64(key)?), read_position(&key[8..])?))
 }
 
 /// The value of a message: a CRC-32 of all that follows, arrival, deadline, length of the id, id, payload.
@@ -71,24 +71,24 @@
     value.extend_from_slice(&(message.id.len() as u16).to_be_bytes());
     value.extend_from_slice(message.id.as_bytes());
     value.extend_from_slice(&message.payload);
-    let checksum = checksum(message.place, &value[CHECKSUM..]);
+    let checksum = checksum(message.position, &value[CHECKSUM..]);
     value[..CHECKSUM].copy_from_slice(&checksum.to_be_bytes());
     value
 }
 
 /// The message that a value tells, or what is wrong with it. Its payload is a part of `value`, not a copy.
-pub fn read_message(place: Place, value: &Bytes) -> Result<StoredMessage, &'static str> {
+pub fn read_message(position: Position, value: &Bytes) -> Result<StoredMessage, &'static str> {
     if value.len() < MESSAGE_HEADER {
         return Err("the message is cut off");
     }
     let expected = u32::from_be_bytes([value[0], value[1], value[2], value[3]]);
-    if checksum(place, &value[CHECKSUM..]) != expected {
+    if checksum(position, &value[CHECKSUM..]) != expected {
         return Err("the message's checksum does not match");
     }
     let id_end = MESSAGE_HEADER + usize::from(u16::from_be_bytes([value[20], value[21]]));
     let id = value.get(MESSAGE_HEADER..id_end).and_then(|id| std::str::from_utf8(id).ok());
     Ok(StoredMessage {
-        place,
+        position,
         arrived: UnixMillis(read_u64(&value[4..]).ok_or("no arrival")?),
         deadline: UnixMillis(read_u64(&value[12..]).ok_or("no deadline")?),
         id: id.ok_or("the message's id is cut off")?.into(),
@@ -97,9 +97,9 @@
 }
 
 /// Covers the key, too: a value found at another place than its own is damage.
-fn checksum(place: Place, content: &[u8]) -> u32 {
+fn checksum(position: Position, content: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&place_key(place));
+    hasher.update(&position_key(position));
     hasher.update(content);
     hasher.finalize()
 }
--- a/backlog/src/folder.rs
+++ b/backlog/src/folder.rs
@@ -63,5 +63,5 @@
 }
 
 fn damaged(cause: &str) -> StoreError {
-    StoreError::Damaged { location: FORMAT_FILE.to_owned(), cause: cause.to_owned() }
+    StoreError::Corrupt { location: FORMAT_FILE.to_owned(), cause: cause.to_owned() }
 }
--- a/backlog/src/lane_table.rs
+++ b/backlog/src/lane_table.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 use crate::encoding::read_u64;
-use crate::message::{Lane, LaneSummary, Place, StoredMessage, UnixMillis};
+use crate::message::{Lane, LaneSummary, Position, StoredMessage, UnixMillis};
 
 /// Bytes of a lane's counters on disk: messages, bytes, first sequence, arrival, 8 each.
 pub const COUNTERS: usize = 32;
@@ -13,7 +13,7 @@
     messages: u64,
     bytes: u64,
     first_sequence: u64,
-    arrived_from: UnixMillis,
+    oldest_arrival: UnixMillis,
 }
 
 /// The counters of all lanes, and which of them changed since they were last written.
@@ -31,7 +31,7 @@
             messages: read_u64(value)?,
             bytes: read_u64(value.get(8..)?)?,
             first_sequence: read_u64(value.get(16..)?)?,
-            arrived_from: UnixMillis(read_u64(value.get(24..)?)?),
+            oldest_arrival: UnixMillis(read_u64(value.get(24..)?)?),
         };
         self.messages += counters.messages;
         self.lanes.insert(lane, counters);
@@ -40,46 +40,46 @@
 
     /// A message came to stand in its lane.
     pub fn add(&mut self, message: &StoredMessage) {
-        let place = message.place;
-        let counters = self.lanes.entry(place.lane).or_insert(Counters {
+        let position = message.position;
+        let counters = self.lanes.entry(position.lane).or_insert(Counters {
             messages: 0,
             bytes: 0,
-            first_sequence: place.sequence,
-            arrived_from: message.arrived,
+            first_sequence: position.sequence,
+            oldest_arrival: message.arrived,
         });
         counters.messages += 1;
         counters.bytes += message.counted_bytes();
-        if place.sequence < counters.first_sequence {
-            counters.first_sequence = place.sequence;
-            counters.arrived_from = message.arrived;
+        if position.sequence < counters.first_sequence {
+            counters.first_sequence = position.sequence;
+            counters.oldest_arrival = message.arrived;
         }
         self.messages += 1;
-        self.changed.insert(place.lane);
+        self.changed.insert(position.lane);
     }
 
     /// A message left its lane; `message` is none where it could not be read.
-    pub fn subtract(&mut self, place: Place, message: Option<&StoredMessage>) {
-        let Some(counters) = self.lanes.get_mut(&place.lane) else { return };
+    pub fn subtract(&mut self, position: Position, message: Option<&StoredMessage>) {
+        let Some(counters) = self.lanes.get_mut(&position.lane) else { return };
         counters.messages -= 1;
         counters.bytes = counters.bytes.saturating_sub(message.map_or(0, StoredMessage::counted_bytes));
-        if place.sequence == counters.first_sequence {
+        if position.sequence == counters.first_sequence {
             counters.first_sequence += 1;
-            counters.arrived_from = message.map_or(counters.arrived_from, |message| message.arrived);
+            counters.oldest_arrival = message.map_or(counters.oldest_arrival, |message| message.arrived);
         }
         if counters.messages == 0 {
-            self.lanes.remove(&place.lane);
+            self.lanes.remove(&position.lane);
         }
         self.messages -= 1;
-        self.changed.insert(place.lane);
+        self.changed.insert(position.lane);
     }
 
     /// The first message of a lane was seen: nothing stands before it.
     pub fn saw_first(&mut self, first: &StoredMessage) {
-        if let Some(counters) = self.lanes.get_mut(&first.place.lane)
-            && counters.first_sequence < first.place.sequence
+        if let Some(counters) = self.lanes.get_mut(&first.position.lane)
+            && counters.first_sequence < first.position.sequence
         {
-            counters.first_sequence = first.place.sequence;
-            counters.arrived_from = first.arrived;
+            counters.first_sequence = first.position.sequence;
+            counters.oldest_arrival = first.arrived;
         }
     }
 
@@ -106,7 +106,7 @@
             messages: counters.messages,
             bytes: counters.bytes,
             first_sequence: counters.first_sequence,
-            arrived_from: counters.arrived_from,
+            oldest_arrival: counters.oldest_arrival,
         };
         let mut summaries: Vec<LaneSummary> = self.lanes.iter().map(summary).collect();
         summaries.sort_unstable_by_key(|summary| summary.lane);
@@ -116,7 +116,7 @@
 
 impl Counters {
     fn value(&self) -> [u8; COUNTERS] {
-        let numbers = [self.messages, self.bytes, self.first_sequence, self.arrived_from.0];
+        let numbers = [self.messages, self.bytes, self.first_sequence, self.oldest_arrival.0];
         let mut value = [0; COUNTERS];
         for (part, number) in value.chunks_exact_mut(8).zip(numbers) {
             part.copy_from_slice(&number.to_be_bytes());
--- a/backlog/src/lsm_store.rs
+++ b/backlog/src/lsm_store.rs
@@ -18,16 +18,16 @@
 use fjall::{Database, Keyspace, OwnedWriteBatch, PersistMode};
 
 use crate::encoding::{
-    DEADLINE_KEY, deadline_key, lane_key, message_value, place_key, read_deadline, read_lane, read_message,
-    read_place, read_u64,
+    DEADLINE_KEY, deadline_key, lane_key, message_value, position_key, read_deadline, read_lane,
+    read_message, read_position, read_u64,
 };
 use crate::folder;
 use crate::lane_table::LaneTable;
 use crate::message::{
-    ClassNumber, Lane, LaneSummary, MAX_ID_BYTES, MAX_PAYLOAD_BYTES, NewMessage, Place, StoredMessage,
+    ClassNumber, Lane, LaneSummary, MAX_ID_BYTES, MAX_PAYLOAD_BYTES, NewMessage, Position, StoredMessage,
     UnixMillis, Usage,
 };
-use crate::store::{BacklogStore, Damage, StoreError};
+use crate::store::{BacklogStore, Corruption, StoreError};
 
 mod options;
 #[cfg(test)]
@@ -53,9 +53,9 @@
 }
 
 /// The least of [`Config::memory_bytes`].
-pub const LEAST_MEMORY_BYTES: u64 = 8 << 20;
+pub const MIN_MEMORY_BYTES: u64 = 8 << 20;
 /// The least of [`Config::disk_bytes`]: the journal alone may take 64 MiB.
-pub const LEAST_DISK_BYTES: u64 = 256 << 20;
+pub const MIN_DISK_BYTES: u64 = 256 << 20;
 
 /// What an entry takes in a write buffer beside its value, about.
 const BUFFERED_ENTRY_BYTES: u64 = 160;
@@ -94,7 +94,7 @@
     earliest_deadline: Cell<UnixMillis>,
     /// Deadlines without a message, to be removed with the next batch.
     stale_deadlines: RefCell<BTreeSet<[u8; DEADLINE_KEY]>>,
-    damages: RefCell<Vec<Damage>>,
+    corruptions: RefCell<Vec<Corruption>>,
     files_bytes: Cell<u64>,
     written_since: Cell<u64>,
     /// Bytes in the write buffers, about.
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     /// [`StoreError::WrongOwner`], [`StoreError::NewerFormat`], [`StoreError::NotABacklog`], [`StoreError::InUse`],
-    /// [`StoreError::Damaged`] when a file is unreadable that all depends on.
+    /// [`StoreError::Corrupt`] when a file is unreadable that all depends on.
     pub fn open(config: Config) -> Result<LsmStore, StoreError> {
         let store_folder = folder::claim(&config.folder, &config.owner)?;
         let database = open_database(&store_folder, &config)?;
@@ -132,7 +132,7 @@
             next_sequence: 0,
             earliest_deadline: Cell::default(),
             stale_deadlines: RefCell::default(),
-            damages: RefCell::default(),
+            corruptions: RefCell::default(),
             files_bytes: Cell::new(files_bytes),
             written_since: Cell::new(0),
             buffered: Cell::new(0),
@@ -164,78 +164,79 @@
 
     /// Adds a message, that stands nowhere yet, to a batch.
     fn insert(&self, batch: &mut OwnedWriteBatch, message: &StoredMessage) -> u64 {
-        let place = place_key(message.place);
+        let position = position_key(message.position);
         let value = message_value(message);
-        let bytes = (2 * place.len() + value.len() + message.id.len() + DEADLINE_KEY) as u64;
-        batch.insert(&self.messages, place, value);
-        let deadline = deadline_key(message.deadline, message.place);
+        let bytes = (2 * position.len() + value.len() + message.id.len() + DEADLINE_KEY) as u64;
+        batch.insert(&self.messages, position, value);
+        let deadline = deadline_key(message.deadline, message.position);
         self.stale_deadlines.borrow_mut().remove(&deadline);
         batch.insert(&self.deadlines, deadline, []);
-        batch.insert(&self.ids, message.id.as_bytes(), place);
+        batch.insert(&self.ids, message.id.as_bytes(), position);
         self.earliest_deadline.set(self.earliest_deadline.get().min(message.deadline));
         bytes
     }
 
     /// Adds the removal of what stands at a place to a batch.
-    fn take_out(&self, batch: &mut OwnedWriteBatch, place: Place) {
-        let (present, message) = self.read(place);
+    fn take_out(&self, batch: &mut OwnedWriteBatch, position: Position) {
+        let (present, message) = self.read(position);
         if !present {
             return;
         }
-        batch.remove(&self.messages, place_key(place));
+        batch.remove(&self.messages, position_key(position));
         if let Some(message) = &message {
-            batch.remove(&self.deadlines, deadline_key(message.deadline, place));
+            batch.remove(&self.deadlines, deadline_key(message.deadline, position));
             batch.remove(&self.ids, message.id.as_bytes());
         }
         let removed = message.as_ref().map_or(0, StoredMessage::counted_bytes);
         self.removed_since.set(self.removed_since.get() + removed);
-        self.lanes.borrow_mut().subtract(place, message.as_ref());
+        self.lanes.borrow_mut().subtract(position, message.as_ref());
     }
 
     /// Adds the removal of what `message` is to replace and would not overwrite. A batch must not remove and insert the
     /// same key: which of the two counts is not defined.
     fn make_way(&self, batch: &mut OwnedWriteBatch, message: &StoredMessage) {
-        let (present, old) = self.read(message.place);
+        let (present, old) = self.read(message.position);
         if !present {
             return;
         }
         if let Some(old) = old.as_ref().filter(|old| old.deadline != message.deadline) {
-            batch.remove(&self.deadlines, deadline_key(old.deadline, old.place));
+            batch.remove(&self.deadlines, deadline_key(old.deadline, old.position));
         }
         if let Some(old) = old.as_ref().filter(|old| old.id != message.id) {
             batch.remove(&self.ids, old.id.as_bytes());
         }
-        self.lanes.borrow_mut().subtract(message.place, old.as_ref());
+        self.lanes.borrow_mut().subtract(message.position, old.as_ref());
     }
 
     /// Whether something stands at a place, and the message if it can be read.
-    fn read(&self, place: Place) -> (bool, Option<StoredMessage>) {
-        match self.messages.get(place_key(place)) {
+    fn read(&self, position: Position) -> (bool, Option<StoredMessage>) {
+        match self.messages.get(position_key(position)) {
             Ok(None) => (false, None),
-            Ok(Some(value)) => (true, self.decode(place, &value)),
+            Ok(Some(value)) => (true, self.decode(position, &value)),
             Err(error) => {
-                self.report_place(place, error.to_string());
-                (self.lanes.borrow().first_sequence(place.lane).is_some(), None)
+                self.report_position(position, error.to_string());
+                (self.lanes.borrow().first_sequence(position.lane).is_some(), None)
             }
         }
     }
 
     /// Copies the value: else a message in memory would keep the whole block that it was read from.
-    fn decode(&self, place: Place, value: &[u8]) -> Option<StoredMessage> {
-        let read = read_message(place, &Bytes::copy_from_slice(value));
-        read.map_err(|cause| self.report_place(place, cause.to_owned())).ok()
+    fn decode(&self, position: Position, value: &[u8]) -> Option<StoredMessage> {
+        let read = read_message(position, &Bytes::copy_from_slice(value));
+        read.map_err(|cause| self.report_position(position, cause.to_owned())).ok()
     }
 
-    fn report_place(&self, place: Place, cause: String) {
-        let Lane { destination, class } = place.lane;
-        let location = format!("destination {destination}, class {}, sequence {}", class.0, place.sequence);
-        self.report(Damage { place: Some(place), location, cause });
+    fn report_position(&self, position: Position, cause: String) {
+        let Lane { destination, class } = position.lane;
+        let location =
+            format!("destination {destination}, class {}, sequence {}", class.0, position.sequence);
+        self.report(Corruption { position: Some(position), location, cause });
     }
 
-    fn report(&self, damage: Damage) {
-        let mut damages = self.damages.borrow_mut();
-        if damages.len() < MOST_DAMAGES && !damages.contains(&damage) {
-            damages.push(damage);
+    fn report(&self, damage: Corruption) {
+        let mut corruptions = self.corruptions.borrow_mut();
+        if corruptions.len() < MOST_DAMAGES && !corruptions.contains(&damage) {
+            corruptions.push(damage);
         }
     }
 
@@ -326,23 +327,23 @@
         }
         let disk = rustix::fs::statvfs(&self.config.folder).map_err(std::io::Error::from)?;
         let free = disk.f_bavail.saturating_mul(disk.f_frsize);
-        if free < reserved.min(LEAST_DISK_BYTES) + more {
+        if free < reserved.min(MIN_DISK_BYTES) + more {
             return Err(StoreError::Full { used, limit: used + free });
         }
         Ok(())
     }
 
     /// The messages from `first` on, up to `most` or the first that cannot be read; then also where that happened.
-    fn scan(&self, first: Place, most: usize) -> (Vec<StoredMessage>, Option<String>) {
-        let last = place_key(Place { sequence: u64::MAX, ..first });
+    fn scan(&self, first: Position, limit: usize) -> (Vec<StoredMessage>, Option<String>) {
+        let last = position_key(Position { sequence: u64::MAX, ..first });
         let mut found = Vec::new();
-        for entry in self.messages.range(place_key(first)..=last) {
-            if found.len() == most {
+        for entry in self.messages.range(position_key(first)..=last) {
+            if found.len() == limit {
                 break;
             }
             match entry.into_inner() {
                 Ok((key, value)) => {
-                    found.extend(read_place(&key).and_then(|place| self.decode(place, &value)));
+                    found.extend(read_position(&key).and_then(|position| self.decode(position, &value)));
                 }
                 Err(error) => return (found, Some(error.to_string())),
             }
@@ -352,13 +353,13 @@
 
     /// Adds what can be read by itself where reading in order failed: messages around the one that cannot.
     fn read_singly(&self, lane: Lane, sequences: Range<u64>, messages: &mut Vec<StoredMessage>) {
-        let places = sequences.take(MOST_SINGLE_READS).map(|sequence| Place { lane, sequence });
-        messages.extend(places.filter_map(|place| self.read(place).1));
+        let positions = sequences.take(MOST_SINGLE_READS).map(|sequence| Position { lane, sequence });
+        messages.extend(positions.filter_map(|position| self.read(position).1));
     }
 
     /// The lowest sequence at which reading works again past an unreadable one, or none up to the newest.
     fn readable_from(&self, lane: Lane, unreadable: u64) -> Option<u64> {
-        let works = |sequence| self.scan(Place { lane, sequence }, 1).1.is_none();
+        let works = |sequence| self.scan(Position { lane, sequence }, 1).1.is_none();
         let mut low = unreadable;
         let mut step = 1;
         while !works(low + step) {
@@ -378,7 +379,7 @@
 }
 
 impl BacklogStore for LsmStore {
-    fn append(&mut self, messages: &[NewMessage]) -> Result<Vec<Place>, StoreError> {
+    fn append(&mut self, messages: &[NewMessage]) -> Result<Vec<Position>, StoreError> {
         if messages
             .iter()
             .any(|message| message.id.len() > MAX_ID_BYTES || message.payload.len() > MAX_PAYLOAD_BYTES)
@@ -389,59 +390,60 @@
             messages.iter().map(|message| (message.id.len() + message.payload.len()) as u64).sum(),
         )?;
         let mut batch = self.database.batch();
-        let mut places = Vec::with_capacity(messages.len());
+        let mut positions = Vec::with_capacity(messages.len());
         let mut bytes = 0;
         for message in messages {
             let message = message.stored_at(self.next_sequence);
             self.next_sequence += 1;
             bytes += self.insert(&mut batch, &message);
             self.lanes.borrow_mut().add(&message);
-            places.push(message.place);
+            positions.push(message.position);
         }
         self.commit(batch, bytes)?;
-        Ok(places)
+        Ok(positions)
     }
 
     fn put_back(&mut self, messages: &[StoredMessage]) -> Result<(), StoreError> {
         let mut batch = self.database.batch();
         let mut bytes = 0;
-        let latest: BTreeMap<Place, &StoredMessage> =
-            messages.iter().map(|message| (message.place, message)).collect();
+        let latest: BTreeMap<Position, &StoredMessage> =
+            messages.iter().map(|message| (message.position, message)).collect();
         for message in latest.into_values() {
             self.make_way(&mut batch, message);
-            self.next_sequence = self.next_sequence.max(message.place.sequence + 1);
+            self.next_sequence = self.next_sequence.max(message.position.sequence + 1);
             bytes += self.insert(&mut batch, message);
             self.lanes.borrow_mut().add(message);
         }
         self.commit(batch, bytes)
     }
 
-    fn fetch(&self, lane: Lane, after: Option<u64>, most: usize) -> Result<Vec<StoredMessage>, StoreError> {
+    fn fetch(&self, lane: Lane, after: Option<u64>, limit: usize) -> Result<Vec<StoredMessage>, StoreError> {
         let Some(lowest) = self.lanes.borrow().first_sequence(lane) else { return Ok(Vec::new()) };
         let mut sequence = after.map_or(0, |after| after.saturating_add(1)).max(lowest);
         let from_first = sequence == lowest;
         let mut messages = Vec::new();
         loop {
-            let (found, failure) = self.scan(Place { lane, sequence }, most.saturating_sub(messages.len()));
+            let (found, failure) =
+                self.scan(Position { lane, sequence }, limit.saturating_sub(messages.len()));
             messages.extend(found);
             let Some(cause) = failure else { break };
-            let unreadable = messages.last().map_or(sequence, |last| last.place.sequence + 1);
-            self.report_place(Place { lane, sequence: unreadable }, cause);
+            let unreadable = messages.last().map_or(sequence, |last| last.position.sequence + 1);
+            self.report_position(Position { lane, sequence: unreadable }, cause);
             let readable = self.readable_from(lane, unreadable).unwrap_or(self.next_sequence);
             self.read_singly(lane, unreadable..readable, &mut messages);
             sequence = readable;
         }
-        messages.truncate(most);
+        messages.truncate(limit);
         if let Some(first) = messages.first().filter(|_| from_first) {
             self.lanes.borrow_mut().saw_first(first);
         }
         Ok(messages)
     }
 
-    fn remove(&mut self, places: &[Place]) -> Result<(), StoreError> {
+    fn remove(&mut self, positions: &[Position]) -> Result<(), StoreError> {
         let mut batch = self.database.batch();
-        for place in BTreeSet::from_iter(places) {
-            self.take_out(&mut batch, *place);
+        for position in BTreeSet::from_iter(positions) {
+            self.take_out(&mut batch, *position);
         }
         if batch.is_empty() {
             return Ok(());
@@ -450,7 +452,7 @@
         self.clear_if_empty()
     }
 
-    fn due(&self, until: UnixMillis, most: usize) -> Result<Vec<StoredMessage>, StoreError> {
+    fn due(&self, until: UnixMillis, limit: usize) -> Result<Vec<StoredMessage>, StoreError> {
         let first = self.earliest_deadline.get().0.to_be_bytes();
         let end = until.0.saturating_add(1).to_be_bytes();
         let mut messages: Vec<StoredMessage> = Vec::new();
@@ -460,7 +462,7 @@
         let mut earliest = None;
         let mut complete = true;
         for entry in self.deadlines.range(first..end) {
-            if messages.len() == most {
+            if messages.len() == limit {
                 complete = false;
                 break;
             }
@@ -468,17 +470,17 @@
                 Ok(key) => key,
                 Err(error) => {
                     let location = "the index of deadlines".to_owned();
-                    self.report(Damage { place: None, location, cause: error.to_string() });
+                    self.report(Corruption { position: None, location, cause: error.to_string() });
                     complete = false;
                     break;
                 }
             };
-            let Some((deadline, place)) = read_deadline(&key) else { continue };
-            match self.read(place) {
+            let Some((deadline, position)) = read_deadline(&key) else { continue };
+            match self.read(position) {
                 (true, Some(message)) if message.deadline == deadline => messages.push(message),
                 (true, None) => {}
                 _ => {
-                    self.stale_deadlines.borrow_mut().insert(deadline_key(deadline, place));
+                    self.stale_deadlines.borrow_mut().insert(deadline_key(deadline, position));
                     continue;
                 }
             }
@@ -492,11 +494,12 @@
         Ok(messages)
     }
 
-    fn find(&self, id: &str) -> Result<Option<Place>, StoreError> {
+    fn find(&self, id: &str) -> Result<Option<Position>, StoreError> {
         match self.ids.get(id.as_bytes()) {
             Ok(found) => {
-                let place = found.and_then(|place| read_place(&place));
-                Ok(place.filter(|place| self.read(*place).1.is_some_and(|message| &*message.id == id)))
+                let position = found.and_then(|position| read_position(&position));
+                Ok(position
+                    .filter(|position| self.read(*position).1.is_some_and(|message| &*message.id == id)))
             }
             Err(error) => Err(damaged(format!("the index of ids, at {id:?}"), error.to_string())),
         }
@@ -530,8 +533,8 @@
         }
     }
 
-    fn damages(&self) -> Vec<Damage> {
-        self.damages.borrow().clone()
+    fn corruptions(&self) -> Vec<Corruption> {
+        self.corruptions.borrow().clone()
     }
 }
 
@@ -541,7 +544,7 @@
 }
 
 fn damaged(location: String, cause: String) -> StoreError {
-    StoreError::Damaged { location, cause }
+    StoreError::Corrupt { location, cause }
 }
 
 fn from_fjall(error: fjall::Error) -> StoreError {
--- a/backlog/src/lsm_store/tests.rs
+++ b/backlog/src/lsm_store/tests.rs
@@ -12,8 +12,8 @@
     Config {
         folder: folder.to_owned(),
         owner: "relay-1".to_owned(),
-        memory_bytes: LEAST_MEMORY_BYTES,
-        disk_bytes: LEAST_DISK_BYTES,
+        memory_bytes: MIN_MEMORY_BYTES,
+        disk_bytes: MIN_DISK_BYTES,
         sync: false,
     }
 }
@@ -34,7 +34,7 @@
     }
 }
 
-fn append(store: &mut LsmStore, numbers: std::ops::Range<u64>) -> Vec<Place> {
+fn append(store: &mut LsmStore, numbers: std::ops::Range<u64>) -> Vec<Position> {
     let messages: Vec<NewMessage> = numbers.map(|number| message(number, LANE, 300)).collect();
     store.append(&messages).unwrap()
 }
@@ -91,15 +91,17 @@
                 let new = (first..).zip(destinations);
                 let new: Vec<NewMessage> =
                     new.map(|(number, destination)| message(number, lane(destination), 20)).collect();
-                let places = disk.append(&new).unwrap();
-                assert_eq!(self.double.append(&new).unwrap(), places);
-                let stored = new.iter().zip(places).map(|(message, place)| message.stored_at(place.sequence));
+                let positions = disk.append(&new).unwrap();
+                assert_eq!(self.double.append(&new).unwrap(), positions);
+                let stored =
+                    new.iter().zip(positions).map(|(message, position)| message.stored_at(position.sequence));
                 self.messages.extend(stored);
             }
             Step::Remove(picks) => {
-                let places: Vec<Place> = self.picked(&picks).iter().map(|message| message.place).collect();
-                self.disk.as_mut().unwrap().remove(&places).unwrap();
-                self.double.remove(&places).unwrap();
+                let positions: Vec<Position> =
+                    self.picked(&picks).iter().map(|message| message.position).collect();
+                self.disk.as_mut().unwrap().remove(&positions).unwrap();
+                self.double.remove(&positions).unwrap();
             }
             Step::PutBack(picks, later) => {
                 let mut messages = self.picked(&picks);
@@ -145,7 +147,7 @@
             let messages = disk.fetch(found.lane, None, 999).unwrap();
             assert_eq!(messages, self.double.fetch(found.lane, None, 999).unwrap());
         }
-        assert_eq!(disk.damages(), []);
+        assert_eq!(disk.corruptions(), []);
     }
 }
 
@@ -209,14 +211,14 @@
 }
 
 /// Appends until it is refused; tells the places and the refusal.
-fn fill(store: &mut LsmStore, first: u64) -> (Vec<Place>, StoreError) {
-    let mut taken: Vec<Place> = Vec::new();
+fn fill(store: &mut LsmStore, first: u64) -> (Vec<Position>, StoreError) {
+    let mut taken: Vec<Position> = Vec::new();
     loop {
         let first = first + taken.len() as u64;
         let messages: Vec<NewMessage> =
             (first..first + 64).map(|number| message(number, LANE, 30_000)).collect();
         match store.append(&messages) {
-            Ok(places) => taken.extend(places),
+            Ok(positions) => taken.extend(positions),
             Err(refused) => return (taken, refused),
         }
     }
@@ -228,16 +230,16 @@
     let mut store = open(folder.path());
     let (taken, refused) = fill(&mut store, 0);
     assert!(
-        matches!(refused, StoreError::Full { limit, .. } if limit == LEAST_DISK_BYTES * 7 / 8),
+        matches!(refused, StoreError::Full { limit, .. } if limit == MIN_DISK_BYTES * 7 / 8),
         "{refused}"
     );
     assert_eq!(store.usage().messages, taken.len() as u64);
     let mut most = 0;
-    for places in taken.chunks(64) {
-        store.remove(places).unwrap();
+    for positions in taken.chunks(64) {
+        store.remove(positions).unwrap();
         most = most.max(store.usage().disk_bytes);
     }
-    assert!(most <= LEAST_DISK_BYTES, "{most} bytes");
+    assert!(most <= MIN_DISK_BYTES, "{most} bytes");
     assert_eq!(store.lanes().unwrap(), []);
     let (again, _) = fill(&mut store, taken.len() as u64);
     assert!(again.len() > taken.len() / 2, "{} messages, then {}", taken.len(), again.len());
@@ -248,8 +250,8 @@
     let folder = tempfile::tempdir().unwrap();
     let mut store = open(folder.path());
     let (taken, _) = fill(&mut store, 0);
-    for places in taken[..taken.len() * 3 / 4].chunks(64) {
-        store.remove(places).unwrap();
+    for positions in taken[..taken.len() * 3 / 4].chunks(64) {
+        store.remove(positions).unwrap();
     }
     let (again, refused) = fill(&mut store, taken.len() as u64);
     assert!(again.len() > taken.len() / 4, "{} messages, then {}: {refused}", taken.len(), again.len());
@@ -265,14 +267,14 @@
 }
 
 /// A folder that is closed, with the places of the messages of one lane, and the files of a part of their keyspace.
-fn written_files(folder: &Path, part: &str) -> (Vec<Place>, Vec<PathBuf>) {
+fn written_files(folder: &Path, part: &str) -> (Vec<Position>, Vec<PathBuf>) {
     let mut store = open(folder);
-    let places = (0..200).flat_map(|batch| append(&mut store, batch * 64..(batch + 1) * 64)).collect();
+    let positions = (0..200).flat_map(|batch| append(&mut store, batch * 64..(batch + 1) * 64)).collect();
     let part = store.messages.path().join(part);
     drop(store);
     let mut files: Vec<PathBuf> = fs::read_dir(part).unwrap().map(|entry| entry.unwrap().path()).collect();
     files.sort();
-    (places, files)
+    (positions, files)
 }
 
 fn flip_middle_byte(file: &Path) {
@@ -285,19 +287,27 @@
 /// Damages a file in the middle: at most `lost` messages are told and passed over, all others are served.
 fn check_damage(part: &str, lost: usize) {
     let folder = tempfile::tempdir().unwrap();
-    let (places, files) = written_files(folder.path(), part);
+    let (positions, files) = written_files(folder.path(), part);
     flip_middle_byte(files.first().expect("a file was written"));
 
     let mut store = open(folder.path());
     let served = store.fetch(LANE, None, usize::MAX).unwrap();
-    let damages = store.damages();
-    assert!(!damages.is_empty() && damages.len() <= lost, "{damages:?}");
-    assert!(damages.iter().all(|damage| damage.place.is_some_and(|place| places.contains(&place))));
-    assert!(served.len() < places.len() && served.len() >= places.len() - lost, "{} served", served.len());
-    assert!(served.is_sorted_by_key(|message| message.place));
+    let corruptions = store.corruptions();
+    assert!(!corruptions.is_empty() && corruptions.len() <= lost, "{corruptions:?}");
+    assert!(
+        corruptions
+            .iter()
+            .all(|damage| damage.position.is_some_and(|position| positions.contains(&position)))
+    );
+    assert!(
+        served.len() < positions.len() && served.len() >= positions.len() - lost,
+        "{} served",
+        served.len()
+    );
+    assert!(served.is_sorted_by_key(|message| message.position));
     let due = store.due(UnixMillis(u64::MAX), usize::MAX).unwrap();
     assert_eq!(due.len(), served.len());
-    store.remove(&places).unwrap();
+    store.remove(&positions).unwrap();
     assert_eq!(store.fetch(LANE, None, 9).unwrap(), []);
     assert_eq!(store.usage().messages, 0);
     assert_eq!(store.append(&[message(99_999, LANE, 10)]).unwrap().len(), 1);
@@ -322,5 +332,5 @@
     let length = fs::metadata(table).unwrap().len();
     fs::OpenOptions::new().write(true).open(table).unwrap().set_len(length / 2).unwrap();
     let refused = LsmStore::open(config(folder.path())).err().expect("it is refused");
-    assert!(matches!(refused, StoreError::Damaged { .. } | StoreError::Io(_)), "{refused}");
+    assert!(matches!(refused, StoreError::Corrupt { .. } | StoreError::Io(_)), "{refused}");
 }
--- a/backlog/src/memory_store.rs
+++ b/backlog/src/memory_store.rs
@@ -8,8 +8,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use crate::message::{ClassNumber, Lane, LaneSummary, NewMessage, Place, StoredMessage, UnixMillis, Usage};
-use crate::store::{BacklogStore, Damage, StoreError};
+use crate::message::{
+    ClassNumber, Lane, LaneSummary, NewMessage, Position, StoredMessage, UnixMillis, Usage,
+};
+use crate::store::{BacklogStore, Corruption, StoreError};
 
 #[cfg(test)]
 mod tests;
@@ -37,13 +39,13 @@
 
 #[derive(Default)]
 struct Contents {
-    messages: BTreeMap<Place, StoredMessage>,
-    deadlines: BTreeSet<(UnixMillis, Place)>,
-    ids: HashMap<Box<str>, Place>,
+    messages: BTreeMap<Position, StoredMessage>,
+    deadlines: BTreeSet<(UnixMillis, Position)>,
+    ids: HashMap<Box<str>, Position>,
     classes: Vec<Box<str>>,
     next_sequence: u64,
-    unreadable: BTreeSet<Place>,
-    damages: Vec<Damage>,
+    unreadable: BTreeSet<Position>,
+    corruptions: Vec<Corruption>,
     operations: u64,
     faults: BTreeMap<u64, Fault>,
     limit: Option<u64>,
@@ -55,12 +57,12 @@
     pub fn open(&self) -> MemoryStore {
         let mut contents = self.contents();
         contents.generation += 1;
-        contents.damages.clear();
+        contents.corruptions.clear();
         MemoryStore { disk: self.clone(), generation: contents.generation }
     }
 
     /// Plans a fault for the operation with this number.
-    pub fn fail(&self, operation: u64, fault: Fault) {
+    pub fn inject_fault(&self, operation: u64, fault: Fault) {
         self.contents().faults.insert(operation, fault);
     }
 
@@ -75,8 +77,8 @@
     }
 
     /// Makes the message at `place` unreadable: it is reported and passed over.
-    pub fn damage(&self, place: Place) {
-        self.contents().unreadable.insert(place);
+    pub fn corrupt(&self, position: Position) {
+        self.contents().unreadable.insert(position);
     }
 
     /// All messages that wait, without counting as an operation.
@@ -91,33 +93,33 @@
 
 impl Contents {
     fn insert(&mut self, message: StoredMessage) {
-        self.take_out(message.place);
-        self.deadlines.insert((message.deadline, message.place));
-        self.ids.insert(message.id.clone(), message.place);
-        self.next_sequence = self.next_sequence.max(message.place.sequence + 1);
-        self.messages.insert(message.place, message);
+        self.take_out(message.position);
+        self.deadlines.insert((message.deadline, message.position));
+        self.ids.insert(message.id.clone(), message.position);
+        self.next_sequence = self.next_sequence.max(message.position.sequence + 1);
+        self.messages.insert(message.position, message);
     }
 
-    fn take_out(&mut self, place: Place) {
-        self.unreadable.remove(&place);
-        let Some(message) = self.messages.remove(&place) else { return };
-        self.deadlines.remove(&(message.deadline, place));
-        if self.ids.get(&message.id) == Some(&place) {
+    fn take_out(&mut self, position: Position) {
+        self.unreadable.remove(&position);
+        let Some(message) = self.messages.remove(&position) else { return };
+        self.deadlines.remove(&(message.deadline, position));
+        if self.ids.get(&message.id) == Some(&position) {
             self.ids.remove(&message.id);
         }
     }
 
     /// The message at a place, unless it is damaged.
-    fn read(&mut self, place: Place) -> Option<StoredMessage> {
-        if self.unreadable.contains(&place) {
-            let (location, cause) = (format!("{place:?}"), "made unreadable".to_owned());
-            let damage = Damage { place: Some(place), location, cause };
-            if !self.damages.contains(&damage) {
-                self.damages.push(damage);
+    fn read(&mut self, position: Position) -> Option<StoredMessage> {
+        if self.unreadable.contains(&position) {
+            let (location, cause) = (format!("{position:?}"), "made unreadable".to_owned());
+            let damage = Corruption { position: Some(position), location, cause };
+            if !self.corruptions.contains(&damage) {
+                self.corruptions.push(damage);
             }
             return None;
         }
-        self.messages.get(&place).cloned()
+        self.messages.get(&position).cloned()
     }
 
     fn bytes(&self) -> u64 {
@@ -179,7 +181,7 @@
 }
 
 impl BacklogStore for MemoryStore {
-    fn append(&mut self, messages: &[NewMessage]) -> Result<Vec<Place>, StoreError> {
+    fn append(&mut self, messages: &[NewMessage]) -> Result<Vec<Position>, StoreError> {
         self.operate(true, |contents| {
             let used = contents.bytes();
             let more: u64 =
@@ -187,13 +189,13 @@
             if let Some(limit) = contents.limit.filter(|limit| used + more > *limit) {
                 return Err(StoreError::Full { used, limit });
             }
-            let place = |message: &NewMessage| {
+            let position = |message: &NewMessage| {
                 let stored = message.stored_at(contents.next_sequence);
-                let place = stored.place;
+                let position = stored.position;
                 contents.insert(stored);
-                place
+                position
             };
-            Ok(messages.iter().map(place).collect())
+            Ok(messages.iter().map(position).collect())
         })
     }
 
@@ -204,34 +206,35 @@
         })
     }
 
-    fn fetch(&self, lane: Lane, after: Option<u64>, most: usize) -> Result<Vec<StoredMessage>, StoreError> {
+    fn fetch(&self, lane: Lane, after: Option<u64>, limit: usize) -> Result<Vec<StoredMessage>, StoreError> {
         self.operate(false, |contents| {
             let first = after.map_or(0, |after| after.saturating_add(1));
-            let range = Place { lane, sequence: first }..=Place { lane, sequence: u64::MAX };
-            let places: Vec<Place> = contents.messages.range(range).map(|(place, _)| *place).collect();
-            Ok(places.into_iter().filter_map(|place| contents.read(place)).take(most).collect())
+            let range = Position { lane, sequence: first }..=Position { lane, sequence: u64::MAX };
+            let positions: Vec<Position> =
+                contents.messages.range(range).map(|(position, _)| *position).collect();
+            Ok(positions.into_iter().filter_map(|position| contents.read(position)).take(limit).collect())
         })
     }
 
-    fn remove(&mut self, places: &[Place]) -> Result<(), StoreError> {
+    fn remove(&mut self, positions: &[Position]) -> Result<(), StoreError> {
         self.operate(false, |contents| {
-            places.iter().for_each(|place| contents.take_out(*place));
+            positions.iter().for_each(|position| contents.take_out(*position));
             Ok(())
         })
     }
 
-    fn due(&self, until: UnixMillis, most: usize) -> Result<Vec<StoredMessage>, StoreError> {
+    fn due(&self, until: UnixMillis, limit: usize) -> Result<Vec<StoredMessage>, StoreError> {
         self.operate(false, |contents| {
             let due = contents.deadlines.iter().take_while(|(deadline, _)| *deadline <= until);
-            let places: Vec<Place> = due.map(|(_, place)| *place).collect();
-            Ok(places.into_iter().filter_map(|place| contents.read(place)).take(most).collect())
+            let positions: Vec<Position> = due.map(|(_, position)| *position).collect();
+            Ok(positions.into_iter().filter_map(|position| contents.read(position)).take(limit).collect())
         })
     }
 
-    fn find(&self, id: &str) -> Result<Option<Place>, StoreError> {
+    fn find(&self, id: &str) -> Result<Option<Position>, StoreError> {
         self.operate(false, |contents| {
             let found = contents.ids.get(id).copied();
-            Ok(found.filter(|place| contents.read(*place).is_some()))
+            Ok(found.filter(|position| contents.read(*position).is_some()))
         })
     }
 
@@ -253,19 +256,19 @@
     fn lanes(&self) -> Result<Vec<LaneSummary>, StoreError> {
         self.operate(false, |contents| {
             let mut lanes: Vec<LaneSummary> = Vec::new();
-            for (place, message) in &contents.messages {
+            for (position, message) in &contents.messages {
                 match lanes.last_mut() {
-                    Some(lane) if lane.lane == place.lane => {
+                    Some(lane) if lane.lane == position.lane => {
                         lane.messages += 1;
                         lane.bytes += message.counted_bytes();
-                        lane.arrived_from = lane.arrived_from.min(message.arrived);
+                        lane.oldest_arrival = lane.oldest_arrival.min(message.arrived);
                     }
                     _ => lanes.push(LaneSummary {
-                        lane: place.lane,
+                        lane: position.lane,
                         messages: 1,
                         bytes: message.counted_bytes(),
-                        first_sequence: place.sequence,
-                        arrived_from: message.arrived,
+                        first_sequence: position.sequence,
+                        oldest_arrival: message.arrived,
                     }),
                 }
             }
@@ -278,7 +281,7 @@
         Usage { disk_bytes: contents.bytes(), messages: contents.messages.len() as u64 }
     }
 
-    fn damages(&self) -> Vec<Damage> {
-        self.disk.contents().damages.clone()
+    fn corruptions(&self) -> Vec<Corruption> {
+        self.disk.contents().corruptions.clone()
     }
 }
--- a/backlog/src/memory_store/tests.rs
+++ b/backlog/src/memory_store/tests.rs
@@ -15,19 +15,19 @@
 }
 
 fn sequences(messages: &[StoredMessage]) -> Vec<u64> {
-    messages.iter().map(|message| message.place.sequence).collect()
+    messages.iter().map(|message| message.position.sequence).collect()
 }
 
 #[test]
 fn messages_come_in_the_order_of_arrival_and_of_deadlines() {
     let mut store = MemoryDisk::default().open();
-    let places = store.append(&[message(0), message(1), message(2)]).unwrap();
+    let positions = store.append(&[message(0), message(1), message(2)]).unwrap();
     assert_eq!(sequences(&store.fetch(LANE, None, 2).unwrap()), [0, 1]);
     assert_eq!(sequences(&store.fetch(LANE, Some(0), 9).unwrap()), [1, 2]);
     assert_eq!(sequences(&store.due(UnixMillis(999), 9).unwrap()), [2, 1]);
-    store.remove(&[places[1]]).unwrap();
+    store.remove(&[positions[1]]).unwrap();
     assert_eq!(store.find("id-1").unwrap(), None);
-    assert_eq!(store.find("id-2").unwrap(), Some(places[2]));
+    assert_eq!(store.find("id-2").unwrap(), Some(positions[2]));
     assert_eq!(store.lanes().unwrap()[0].messages, 2);
 }
 
@@ -45,7 +45,7 @@
     for (fault, expected, crashed) in faults {
         let disk = MemoryDisk::default();
         let mut store = disk.open();
-        disk.fail(0, fault);
+        disk.inject_fault(0, fault);
         let outcome = store.append(&[message(0), message(1)]);
         assert_eq!(outcome.is_ok(), matches!(fault, Fault::Stall(_)), "{fault:?}");
         assert_eq!(matches!(store.fetch(LANE, None, 9), Err(StoreError::Closed)), crashed, "{fault:?}");
@@ -57,10 +57,10 @@
 fn what_is_full_takes_removals() {
     let disk = MemoryDisk::default();
     let mut store = disk.open();
-    let places = store.append(&[message(0)]).unwrap();
+    let positions = store.append(&[message(0)]).unwrap();
     disk.limit_bytes(Some(20));
     assert!(matches!(store.append(&[message(1)]), Err(StoreError::Full { used: 14, limit: 20 })));
-    store.remove(&places).unwrap();
+    store.remove(&positions).unwrap();
     store.append(&[message(1)]).unwrap();
 }
 
@@ -68,9 +68,9 @@
 fn a_damaged_message_is_told_once_and_passed_over() {
     let disk = MemoryDisk::default();
     let mut store = disk.open();
-    let places = store.append(&[message(0), message(1)]).unwrap();
-    disk.damage(places[0]);
+    let positions = store.append(&[message(0), message(1)]).unwrap();
+    disk.corrupt(positions[0]);
     assert_eq!(sequences(&store.fetch(LANE, None, 1).unwrap()), [1]);
     assert_eq!(sequences(&store.due(UnixMillis(1000), 9).unwrap()), [1]);
-    assert_eq!(store.damages().len(), 1);
+    assert_eq!(store.corruptions().len(), 1);
 }
--- a/backlog/src/message.rs
+++ b/backlog/src/message.rs
@@ -20,7 +20,7 @@
 
 /// Where a message stands. A place is never given to another message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place {
+pub struct Position {
     /// The lane that the message waits in.
     pub lane: Lane,
     /// Grows with each message that the store takes on, over all lanes; not without gaps within one.
@@ -52,7 +52,7 @@
     /// The message as it is kept at `sequence` of its lane.
     pub fn stored_at(&self, sequence: u64) -> StoredMessage {
         StoredMessage {
-            place: Place { lane: self.lane, sequence },
+            position: Position { lane: self.lane, sequence },
             arrived: self.arrived,
             deadline: self.deadline,
             id: self.id.clone(),
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredMessage {
     /// Where it stands.
-    pub place: Place,
+    pub position: Position,
     /// When it was taken on.
     pub arrived: UnixMillis,
     /// When its time ends.
@@ -95,7 +95,7 @@
     /// No message that waits has a lower sequence.
     pub first_sequence: u64,
     /// About when the first message that waits arrived: exact, or the arrival of one before it that was removed.
-    pub arrived_from: UnixMillis,
+    pub oldest_arrival: UnixMillis,
 }
 
 /// What all messages together take.
--- a/backlog/src/planner.rs
+++ b/backlog/src/planner.rs
@@ -20,8 +20,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub use event::{Action, Arrival, Event, LaneCount, Outcome, RefusalReason, StoreFault, StoreHealth};
-pub use settings::{MESSAGE_MEMORY, Settings};
+pub use event::{Action, ArrivalId, Event, LaneCount, Outcome, RefusalReason, StoreFault, StoreHealth};
+pub use settings::{MESSAGE_MEMORY_BYTES, Settings};
 
 use crate::message::{ClassNumber, Lane};
 use destination::Destination;
@@ -58,7 +58,7 @@
 
 /// What operators are shown of a destination.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct DestinationFigures {
+pub struct DestinationStats {
     /// Messages on disk.
     pub on_disk: u64,
     /// Messages in memory or on their way there.
@@ -140,9 +140,9 @@
     }
 
     /// Figures of a destination that has a record.
-    pub fn figures(&self, now: Duration, destination: u64) -> Option<DestinationFigures> {
+    pub fn stats(&self, now: Duration, destination: u64) -> Option<DestinationStats> {
         let record = self.destinations.get(&destination)?;
-        Some(DestinationFigures {
+        Some(DestinationStats {
             on_disk: record.share.on_disk(),
             in_memory: record.occupancy(),
             window: record.window(now, &self.settings),
@@ -152,7 +152,7 @@
 
     fn take_in(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Opened { lanes, earliest_end } => self.opened(now, &lanes, earliest_end),
+            Event::Opened { lanes, earliest_deadline_in } => self.opened(now, &lanes, earliest_deadline_in),
             Event::Arrived { arrival, lane, time_left } => {
                 let action = self.arrived(now, arrival, lane, time_left);
                 actions.push(action);
@@ -167,18 +167,18 @@
             Event::AttemptFailed { destination } => {
                 self.update_known(now, destination, |record, _| record.attempt_failed());
             }
-            Event::CallsOut { destination, count } => {
+            Event::CallsInFlight { destination, count } => {
                 self.update_known(now, destination, |record, _| record.calls_out(count));
             }
-            Event::WaitTold { destination, until } => {
+            Event::BackoffRequested { destination, until } => {
                 self.update_known(now, destination, |record, _| record.wait_told(until));
             }
-            Event::Returned { destination } => {
+            Event::DestinationRecovered { destination } => {
                 self.update_known(now, destination, |record, _| record.returned());
             }
-            Event::Parked { destination, returned } => self.parked(now, destination, &returned),
-            Event::ExpiredRead { ended, more, earliest_end } => {
-                self.expired_read(now, &ended, more, earliest_end);
+            Event::Evicted { destination, returned } => self.parked(now, destination, &returned),
+            Event::ExpiredRead { expired, more, earliest_deadline_in } => {
+                self.expired_read(now, &expired, more, earliest_deadline_in);
             }
             Event::ExpiredReadFailed => {
                 self.health.answered(now, 1);
@@ -222,16 +222,16 @@
         }
     }
 
-    fn opened(&mut self, now: Duration, lanes: &[LaneCount], earliest_end: Option<Duration>) {
+    fn opened(&mut self, now: Duration, lanes: &[LaneCount], earliest_deadline_in: Option<Duration>) {
         for LaneCount { lane, messages } in lanes {
             self.update(now, lane.destination, |record, _| record.share.lane(lane.class).on_disk += messages);
         }
-        if let Some(end) = earliest_end {
+        if let Some(end) = earliest_deadline_in {
             self.expiry.waits_until(now, now.saturating_add(end));
         }
     }
 
-    fn arrived(&mut self, now: Duration, arrival: Arrival, lane: Lane, time_left: Duration) -> Action {
+    fn arrived(&mut self, now: Duration, arrival: ArrivalId, lane: Lane, time_left: Duration) -> Action {
         let free = self.slots.free(&self.settings);
         let reserve = self.settings.slots() / ARRIVALS_LEAVE;
         let may_have_slot = free > 0 && (self.turns.ready() == 0 || free > reserve);
@@ -249,7 +249,7 @@
         if admitted { Action::AdmitToMemory { arrival } } else { self.spill(now, arrival, lane, time_left) }
     }
 
-    fn spill(&mut self, now: Duration, arrival: Arrival, lane: Lane, time_left: Duration) -> Action {
+    fn spill(&mut self, now: Duration, arrival: ArrivalId, lane: Lane, time_left: Duration) -> Action {
         let health = self.health.state();
         if health != StoreHealth::Healthy {
             let retry_after = self.health.retry_after(now);
@@ -357,17 +357,17 @@
     fn expired_read(
         &mut self,
         now: Duration,
-        ended: &[LaneCount],
+        expired: &[LaneCount],
         more: bool,
-        earliest_end: Option<Duration>,
+        earliest_deadline_in: Option<Duration>,
     ) {
         self.health.answered(now, 1);
         let mut count = 0;
-        for LaneCount { lane, messages } in ended {
+        for LaneCount { lane, messages } in expired {
             count += messages;
             self.removed(now, *lane, *messages);
         }
-        self.expiry.read_done(now, count, more, earliest_end, self.settings.expiry_rate);
+        self.expiry.read_done(now, count, more, earliest_deadline_in, self.settings.expiry_rate);
     }
 
     fn resume_after_waits(&mut self, now: Duration) {
@@ -389,14 +389,14 @@
             let even_part = free / (self.turns.ready() as u64 + 1);
             let asked = self.update(now, id, |record, settings| {
                 record.turn = None;
-                let most = match record.rate() {
+                let limit = match record.rate() {
                     // One message at a time, so that many may show that they are back.
                     _ if record.on_trial => 1,
                     None => even_part.max(u64::from(settings.least_window)).min(free),
                     Some(_) => free,
                 };
-                let most = most.min(u64::from(MOST_FETCHED)) as u32;
-                let room = record.refill(now, settings).min(most);
+                let limit = limit.min(u64::from(MOST_FETCHED)) as u32;
+                let room = record.refill(now, settings).min(limit);
                 let split = record.share.split(room, settings);
                 for (class, count) in &split {
                     let lane = record.share.lane(*class);
@@ -406,10 +406,10 @@
                 }
                 split
             });
-            for (class, most) in asked {
+            for (class, limit) in asked {
                 self.fetches += 1;
                 self.health.asked(now);
-                actions.push(Action::Fetch { lane: Lane { destination: id, class }, most });
+                actions.push(Action::Fetch { lane: Lane { destination: id, class }, limit });
             }
         }
     }
@@ -427,7 +427,7 @@
         while let Some((_, id)) = self.stalled().filter(|(since, _)| *since + STALLED_AFTER <= now) {
             self.update(now, id, |record, _| record.parking = true);
             self.parking += 1;
-            actions.push(Action::Park { destination: id });
+            actions.push(Action::Evict { destination: id });
         }
     }
 
@@ -435,9 +435,9 @@
         if self.slots.on_disk() == 0 && self.pending == 0 {
             return self.expiry.nothing_waits();
         }
-        if let Some(most) = self.expiry.read(now, self.settings.expiry_rate) {
+        if let Some(limit) = self.expiry.read(now, self.settings.expiry_rate) {
             self.health.asked(now);
-            actions.push(Action::ReadExpired { most });
+            actions.push(Action::ReadExpired { limit });
         }
     }
 }
--- a/backlog/src/planner/event.rs
+++ b/backlog/src/planner/event.rs
@@ -5,7 +5,7 @@
 use crate::message::{ClassNumber, Lane};
 
 /// The caller's own number of a message that has just arrived; the planner hands it back and forgets it.
-pub type Arrival = u64;
+pub type ArrivalId = u64;
 
 /// How a message left the relay's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,12 +46,12 @@
         /// Lanes with a message, each told once.
         lanes: Vec<LaneCount>,
         /// Time until the earliest deadline.
-        earliest_end: Option<Duration>,
+        earliest_deadline_in: Option<Duration>,
     },
     /// A client hands a message in.
     Arrived {
         /// The caller's number of it.
-        arrival: Arrival,
+        arrival: ArrivalId,
         /// Its lane.
         lane: Lane,
         /// Time until its deadline.
@@ -114,26 +114,26 @@
         destination: u64,
     },
     /// How many of a destination's messages are out in a call just now.
-    CallsOut {
+    CallsInFlight {
         /// The destination.
         destination: u64,
         /// The messages.
         count: u32,
     },
     /// A destination told when to come back.
-    WaitTold {
+    BackoffRequested {
         /// The destination.
         destination: u64,
         /// When, on the clock of `now`.
         until: Duration,
     },
     /// A destination is known to be back, by discovery or another instance.
-    Returned {
+    DestinationRecovered {
         /// The destination.
         destination: u64,
     },
-    /// These are on disk again, at their old places: as `Park` asked, or because they can't go soon.
-    Parked {
+    /// These are on disk again, at their old places: as `Evict` asked, or because they can't go soon.
+    Evicted {
         /// The destination.
         destination: u64,
         /// Messages given back, by class; empty if all are out in calls.
@@ -142,11 +142,11 @@
     /// A slice of the deadline index was read, and the ends of what it had were told.
     ExpiredRead {
         /// What is no longer on disk.
-        ended: Vec<LaneCount>,
+        expired: Vec<LaneCount>,
         /// There are further messages whose time is over.
         more: bool,
         /// Time until the earliest deadline that is still ahead.
-        earliest_end: Option<Duration>,
+        earliest_deadline_in: Option<Duration>,
     },
     /// The read of the deadline index failed.
     ExpiredReadFailed,
@@ -171,19 +171,19 @@
     /// The message goes to the decision module, in memory.
     AdmitToMemory {
         /// The caller's number.
-        arrival: Arrival,
+        arrival: ArrivalId,
     },
     /// The message goes to the store.
     Spill {
         /// The caller's number.
-        arrival: Arrival,
+        arrival: ArrivalId,
         /// Its lane.
         lane: Lane,
     },
     /// The message is refused at once.
     Refuse {
         /// The caller's number.
-        arrival: Arrival,
+        arrival: ArrivalId,
         /// When to come back.
         retry_after: Duration,
         /// Why.
@@ -194,17 +194,17 @@
         /// The lane.
         lane: Lane,
         /// How many at most.
-        most: u32,
+        limit: u32,
     },
     /// The destination's messages that are not out in a call are put back on disk.
-    Park {
+    Evict {
         /// The destination.
         destination: u64,
     },
     /// A slice of the messages whose time is over is read, told and removed.
     ReadExpired {
         /// How many at most.
-        most: u32,
+        limit: u32,
     },
     /// The store is tried with a write of its own.
     ProbeStore,
--- a/backlog/src/planner/expiry.rs
+++ b/backlog/src/planner/expiry.rs
@@ -51,9 +51,9 @@
         self.due = None;
         let (begun, read) = *self.burst.get_or_insert((now, 0));
         let scheduled = (now.saturating_sub(begun).as_secs_f64() * f64::from(rate)) as u64 + SLICE;
-        let most = scheduled.saturating_sub(read).clamp(1, MOST_SLICE);
+        let limit = scheduled.saturating_sub(read).clamp(1, MOST_SLICE);
         self.reading = true;
-        Some(most as u32)
+        Some(limit as u32)
     }
 
     /// A read is done: what it ended, and the time until the earliest deadline ahead.
--- a/backlog/src/planner/settings.rs
+++ b/backlog/src/planner/settings.rs
@@ -4,7 +4,7 @@
 use crate::message::ClassNumber;
 
 /// Memory that a message in the relay's memory costs, measured over relays that hold 10,000 to 200,000.
-pub const MESSAGE_MEMORY: u64 = 7 * 1024;
+pub const MESSAGE_MEMORY_BYTES: u64 = 7 * 1024;
 
 /// Least weight of a class, as a share of the greatest: a class of no worth still goes on.
 const LEAST_WEIGHT_SHARE: f64 = 1.0 / 64.0;
@@ -36,7 +36,7 @@
     fn default() -> Settings {
         Settings {
             window_memory: 24 * 1024 * 1024,
-            message_memory: MESSAGE_MEMORY,
+            message_memory: MESSAGE_MEMORY_BYTES,
             least_window: 2,
             most_window: 16_384,
             disk_stall: Duration::from_secs(1),
--- a/backlog/src/planner/tests.rs
+++ b/backlog/src/planner/tests.rs
@@ -123,8 +123,8 @@
     world.clients(Duration::ZERO, clients(1, 0, 120.0, 60.0, 60.0));
     world.clients(seconds(60.0), clients(1, 0, 10.0, 60.0, 500.0));
     world.run(seconds(500.0));
-    let figures = world.planner.figures(world.now, 1).unwrap();
-    assert!((95.0..105.0).contains(&figures.rate.unwrap()), "{figures:?}");
+    let stats = world.planner.stats(world.now, 1).unwrap();
+    assert!((95.0..105.0).contains(&stats.rate.unwrap()), "{stats:?}");
     // 600 wait at most by then, in 60 s it takes 6,000: nothing is refused on that ground.
     assert!(world.refusals.is_empty());
 }
@@ -163,7 +163,7 @@
 fn a_burst_does_not_take_the_room_that_a_stalled_disk_has_left_in_the_window() {
     let mut planner = Planner::new(Settings::default());
     let lanes = vec![super::LaneCount { lane: lane(1, 0), messages: 1_000 }];
-    planner.handle(Duration::ZERO, Event::Opened { lanes, earliest_end: None });
+    planner.handle(Duration::ZERO, Event::Opened { lanes, earliest_deadline_in: None });
     planner.handle(Duration::ZERO, Event::FetchFailed { lane: lane(1, 0) });
     let mut arrive = |arrival| {
         let event = Event::Arrived { arrival, lane: lane(1, 1), time_left: seconds(60.0) };
@@ -185,7 +185,7 @@
     planner.handle(Duration::ZERO, arrive(4, 2));
     planner.handle(Duration::ZERO, Event::Stored { lane: lane(2, 0), count: 1 });
     let actions = planner.handle(seconds(2.0), Event::Tick);
-    assert!(actions.contains(&Action::Park { destination: 1 }), "{actions:?}");
+    assert!(actions.contains(&Action::Evict { destination: 1 }), "{actions:?}");
     for _ in 0..2 {
         planner.handle(seconds(2.0), Event::LeftMemory { destination: 1, outcome: super::Outcome::Ended });
     }
@@ -291,7 +291,7 @@
 #[test]
 fn a_told_wait_holds_fetches_until_shortly_before_its_end() {
     let mut planner = Planner::new(slots(1));
-    let told = Event::WaitTold { destination: 1, until: seconds(10.0) };
+    let told = Event::BackoffRequested { destination: 1, until: seconds(10.0) };
     let arrive = |arrival| Event::Arrived { arrival, lane: lane(1, 0), time_left: seconds(60.0) };
     (1..=2).for_each(|arrival| drop(planner.handle(Duration::ZERO, arrive(arrival))));
     planner.handle(Duration::ZERO, told);
@@ -308,8 +308,8 @@
 fn a_failed_read_is_repeated_and_a_dropped_spill_leaves_nothing() {
     let mut planner = Planner::new(Settings::default());
     let lanes = vec![super::LaneCount { lane: lane(1, 0), messages: 1 }];
-    let fetch = Action::Fetch { lane: lane(1, 0), most: 1 };
-    let opened = Event::Opened { lanes, earliest_end: None };
+    let fetch = Action::Fetch { lane: lane(1, 0), limit: 1 };
+    let opened = Event::Opened { lanes, earliest_deadline_in: None };
     assert!(planner.handle(Duration::ZERO, opened).contains(&fetch));
     assert!(!planner.handle(Duration::ZERO, Event::FetchFailed { lane: lane(1, 0) }).contains(&fetch));
     assert!(planner.handle(planner.next_deadline().unwrap(), Event::Tick).contains(&fetch));
--- a/backlog/src/planner/tests/world.rs
+++ b/backlog/src/planner/tests/world.rs
@@ -153,8 +153,8 @@
         let lanes =
             self.store.iter().map(|(lane, all)| LaneCount { lane: *lane, messages: all.len() as u64 });
         let lanes = lanes.collect();
-        let earliest_end = self.deadlines.first().map(|(end, ..)| *end);
-        self.tell(Event::Opened { lanes, earliest_end });
+        let earliest_deadline_in = self.deadlines.first().map(|(end, ..)| *end);
+        self.tell(Event::Opened { lanes, earliest_deadline_in });
     }
 
     pub fn clients(&mut self, from: Duration, clients: Clients) {
@@ -258,8 +258,8 @@
                 let ahead = stored + self.endpoints[&lane.destination].memory.len();
                 self.refusals.push(Refusal { at: self.now, lane, ahead });
             }
-            Action::Fetch { lane, most } => self.operate(most, Operation::Fetch(lane, most)),
-            Action::Park { destination } => {
+            Action::Fetch { lane, limit } => self.operate(limit, Operation::Fetch(lane, limit)),
+            Action::Evict { destination } => {
                 let endpoint = self.endpoints.get_mut(&destination).unwrap();
                 // Between attempts that fail, none is out.
                 let out =
@@ -267,7 +267,7 @@
                 let returned = Vec::from(endpoint.memory.split_off(out));
                 self.operate(returned.len() as u32, Operation::PutBack(destination, returned));
             }
-            Action::ReadExpired { most } => self.operate(most, Operation::ReadExpired(most)),
+            Action::ReadExpired { limit } => self.operate(limit, Operation::ReadExpired(limit)),
             Action::ProbeStore => self.operate(1, Operation::Probe),
             Action::HealthChanged { .. } => {}
         }
@@ -298,9 +298,9 @@
                 self.insert(message);
                 self.tell(Event::Stored { lane, count: 1 });
             }
-            Operation::Fetch(lane, most) => {
+            Operation::Fetch(lane, limit) => {
                 let waiting = self.store.entry(lane).or_default();
-                let first: Vec<u64> = waiting.keys().take(most as usize).copied().collect();
+                let first: Vec<u64> = waiting.keys().take(limit as usize).copied().collect();
                 let fetched: Vec<Message> =
                     first.iter().filter_map(|number| waiting.remove(number)).collect();
                 let (count, exhausted) = (fetched.len() as u32, waiting.is_empty());
@@ -316,9 +316,9 @@
                     *returned.entry(message.lane.class).or_default() += 1;
                     self.insert(message);
                 }
-                self.tell(Event::Parked { destination, returned: returned.into_iter().collect() });
+                self.tell(Event::Evicted { destination, returned: returned.into_iter().collect() });
             }
-            Operation::ReadExpired(most) => self.expire(most),
+            Operation::ReadExpired(limit) => self.expire(limit),
             Operation::Probe => {
                 if fault.is_none() {
                     self.tell(Event::StoreRecovered);
@@ -327,10 +327,10 @@
         }
     }
 
-    fn expire(&mut self, most: u32) {
+    fn expire(&mut self, limit: u32) {
         self.expiry_reads += 1;
         let over = |(end, ..): &(Duration, u64, Lane)| *end <= self.now;
-        let read: Vec<_> = self.deadlines.iter().copied().take_while(over).take(most as usize).collect();
+        let read: Vec<_> = self.deadlines.iter().copied().take_while(over).take(limit as usize).collect();
         let mut ended: BTreeMap<Lane, u64> = BTreeMap::new();
         for entry in read {
             self.deadlines.remove(&entry);
@@ -341,8 +341,8 @@
         let first = self.deadlines.first().map(|(end, ..)| *end);
         let ended = ended.into_iter().map(|(lane, messages)| LaneCount { lane, messages }).collect();
         let more = first.is_some_and(|end| end <= self.now);
-        let earliest_end = first.map(|end| end.saturating_sub(self.now));
-        self.tell(Event::ExpiredRead { ended, more, earliest_end });
+        let earliest_deadline_in = first.map(|end| end.saturating_sub(self.now));
+        self.tell(Event::ExpiredRead { expired: ended, more, earliest_deadline_in });
     }
 
     fn arrive(&mut self, clients: Clients) {
--- a/backlog/src/store.rs
+++ b/backlog/src/store.rs
@@ -2,7 +2,9 @@
 use std::io;
 use std::sync::Arc;
 
-use crate::message::{ClassNumber, Lane, LaneSummary, NewMessage, Place, StoredMessage, UnixMillis, Usage};
+use crate::message::{
+    ClassNumber, Lane, LaneSummary, NewMessage, Position, StoredMessage, UnixMillis, Usage,
+};
 
 /// Messages that wait on disk, in lanes.
 ///
@@ -14,7 +16,7 @@
     ///
     /// # Errors
     /// [`StoreError::Full`] when there is no room: then nothing was taken on.
-    fn append(&mut self, messages: &[NewMessage]) -> Result<Vec<Place>, StoreError>;
+    fn append(&mut self, messages: &[NewMessage]) -> Result<Vec<Position>, StoreError>;
 
     /// Puts messages back where they stood, or replaces what stands there (say, by a payload with more attempts).
     fn put_back(&mut self, messages: &[StoredMessage]) -> Result<(), StoreError>;
@@ -23,16 +25,16 @@
     ///
     /// Its cost follows what it returns, not what was removed before. What cannot be read is passed over: a lane whose
     /// summary tells messages may have none to return.
-    fn fetch(&self, lane: Lane, after: Option<u64>, most: usize) -> Result<Vec<StoredMessage>, StoreError>;
+    fn fetch(&self, lane: Lane, after: Option<u64>, limit: usize) -> Result<Vec<StoredMessage>, StoreError>;
 
     /// Removes messages. Places where nothing stands are passed over.
-    fn remove(&mut self, places: &[Place]) -> Result<(), StoreError>;
+    fn remove(&mut self, positions: &[Position]) -> Result<(), StoreError>;
 
     /// At most `most` messages whose deadline is not after `until`, the earliest deadlines first.
-    fn due(&self, until: UnixMillis, most: usize) -> Result<Vec<StoredMessage>, StoreError>;
+    fn due(&self, until: UnixMillis, limit: usize) -> Result<Vec<StoredMessage>, StoreError>;
 
     /// Where the message with this id waits; none if it cannot be read.
-    fn find(&self, id: &str) -> Result<Option<Place>, StoreError>;
+    fn find(&self, id: &str) -> Result<Option<Position>, StoreError>;
 
     /// The number of a class by its name, given on first use and kept for as long as the folder.
     fn class(&mut self, name: &str) -> Result<ClassNumber, StoreError>;
@@ -47,14 +49,14 @@
     fn usage(&self) -> Usage;
 
     /// Messages and files that could not be read since the store was opened, and were passed over.
-    fn damages(&self) -> Vec<Damage>;
+    fn corruptions(&self) -> Vec<Corruption>;
 }
 
 /// Something on disk that could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Damage {
+pub struct Corruption {
     /// The message that cannot be read, where it is a single one. It counts as waiting until it is removed.
-    pub place: Option<Place>,
+    pub position: Option<Position>,
     /// The file, or the place of the message.
     pub location: String,
     /// What was found there.
@@ -77,7 +79,7 @@
     Io(Arc<io::Error>),
     /// What was read is not what was written.
     #[error("the backlog is damaged at {location}: {cause}")]
-    Damaged {
+    Corrupt {
         /// The file or key.
         location: String,
         /// What was found there.
--- a/backlog/src/worker.rs
+++ b/backlog/src/worker.rs
@@ -13,8 +13,10 @@
 
 use tokio::sync::oneshot;
 
-use crate::message::{ClassNumber, Lane, LaneSummary, NewMessage, Place, StoredMessage, UnixMillis, Usage};
-use crate::store::{BacklogStore, Damage, StoreError};
+use crate::message::{
+    ClassNumber, Lane, LaneSummary, NewMessage, Position, StoredMessage, UnixMillis, Usage,
+};
+use crate::store::{BacklogStore, Corruption, StoreError};
 
 #[cfg(test)]
 mod tests;
@@ -23,7 +25,7 @@
 pub type OpenStore = Box<dyn FnMut() -> Result<Box<dyn BacklogStore>, StoreError> + Send>;
 
 /// An answer, or why there is none. It is [`StoreError::Closed`] when the thread has ended.
-pub type Answer<T> = oneshot::Receiver<Result<T, StoreError>>;
+pub type ReplyReceiver<T> = oneshot::Receiver<Result<T, StoreError>>;
 
 type Reply<T> = oneshot::Sender<Result<T, StoreError>>;
 
@@ -33,12 +35,12 @@
 const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
 
 enum Request {
-    Append(Vec<NewMessage>, Reply<Vec<Place>>),
+    Append(Vec<NewMessage>, Reply<Vec<Position>>),
     PutBack(Vec<StoredMessage>, Reply<()>),
-    Remove(Vec<Place>, Reply<()>),
-    Fetch { lane: Lane, after: Option<u64>, most: usize, reply: Reply<Vec<StoredMessage>> },
-    Due { until: UnixMillis, most: usize, reply: Reply<Vec<StoredMessage>> },
-    Find(Box<str>, Reply<Option<Place>>),
+    Remove(Vec<Position>, Reply<()>),
+    Fetch { lane: Lane, after: Option<u64>, limit: usize, reply: Reply<Vec<StoredMessage>> },
+    Due { until: UnixMillis, limit: usize, reply: Reply<Vec<StoredMessage>> },
+    Find(Box<str>, Reply<Option<Position>>),
     Class(Box<str>, Reply<ClassNumber>),
     Overview(Reply<Overview>),
     Usage(Reply<Usage>),
@@ -54,7 +56,7 @@
     /// What all takes.
     pub usage: Usage,
     /// What could not be read.
-    pub damages: Vec<Damage>,
+    pub corruptions: Vec<Corruption>,
 }
 
 /// The queue of requests is full, or the thread has ended. The request was not taken.
@@ -121,18 +123,18 @@
     }
 
     /// See [`BacklogStore::append`].
-    pub fn append(&self, messages: Vec<NewMessage>) -> Result<Answer<Vec<Place>>, Busy> {
+    pub fn append(&self, messages: Vec<NewMessage>) -> Result<ReplyReceiver<Vec<Position>>, Busy> {
         self.request(|reply| Request::Append(messages, reply))
     }
 
     /// See [`BacklogStore::put_back`].
-    pub fn put_back(&self, messages: Vec<StoredMessage>) -> Result<Answer<()>, Busy> {
+    pub fn put_back(&self, messages: Vec<StoredMessage>) -> Result<ReplyReceiver<()>, Busy> {
         self.request(|reply| Request::PutBack(messages, reply))
     }
 
     /// See [`BacklogStore::remove`].
-    pub fn remove(&self, places: Vec<Place>) -> Result<Answer<()>, Busy> {
-        self.request(|reply| Request::Remove(places, reply))
+    pub fn remove(&self, positions: Vec<Position>) -> Result<ReplyReceiver<()>, Busy> {
+        self.request(|reply| Request::Remove(positions, reply))
     }
 
     /// See [`BacklogStore::fetch`].
@@ -140,33 +142,33 @@
         &self,
         lane: Lane,
         after: Option<u64>,
-        most: usize,
-    ) -> Result<Answer<Vec<StoredMessage>>, Busy> {
-        self.request(|reply| Request::Fetch { lane, after, most, reply })
+        limit: usize,
+    ) -> Result<ReplyReceiver<Vec<StoredMessage>>, Busy> {
+        self.request(|reply| Request::Fetch { lane, after, limit, reply })
     }
 
     /// See [`BacklogStore::due`].
-    pub fn due(&self, until: UnixMillis, most: usize) -> Result<Answer<Vec<StoredMessage>>, Busy> {
-        self.request(|reply| Request::Due { until, most, reply })
+    pub fn due(&self, until: UnixMillis, limit: usize) -> Result<ReplyReceiver<Vec<StoredMessage>>, Busy> {
+        self.request(|reply| Request::Due { until, limit, reply })
     }
 
     /// See [`BacklogStore::find`].
-    pub fn find(&self, id: Box<str>) -> Result<Answer<Option<Place>>, Busy> {
+    pub fn find(&self, id: Box<str>) -> Result<ReplyReceiver<Option<Position>>, Busy> {
         self.request(|reply| Request::Find(id, reply))
     }
 
     /// See [`BacklogStore::class`].
-    pub fn class(&self, name: Box<str>) -> Result<Answer<ClassNumber>, Busy> {
+    pub fn class(&self, name: Box<str>) -> Result<ReplyReceiver<ClassNumber>, Busy> {
         self.request(|reply| Request::Class(name, reply))
     }
 
     /// What the store tells of itself.
-    pub fn overview(&self) -> Result<Answer<Overview>, Busy> {
+    pub fn overview(&self) -> Result<ReplyReceiver<Overview>, Busy> {
         self.request(Request::Overview)
     }
 
     /// See [`BacklogStore::usage`].
-    pub fn usage(&self) -> Result<Answer<Usage>, Busy> {
+    pub fn usage(&self) -> Result<ReplyReceiver<Usage>, Busy> {
         self.request(Request::Usage)
     }
 
@@ -175,7 +177,7 @@
         self.watchdog.clone()
     }
 
-    fn request<T>(&self, request: impl FnOnce(Reply<T>) -> Request) -> Result<Answer<T>, Busy> {
+    fn request<T>(&self, request: impl FnOnce(Reply<T>) -> Request) -> Result<ReplyReceiver<T>, Busy> {
         let (reply, answer) = oneshot::channel();
         let requests = self.requests.as_ref().expect("only dropping takes it");
         requests.try_send(request(reply)).map_err(|_| Busy)?;
@@ -215,12 +217,14 @@
     fn answer(&mut self, request: Request, queued: &mut VecDeque<Request>) {
         match request {
             Request::Append(messages, reply) => self.append(messages, reply, queued),
-            Request::Remove(places, reply) => self.remove(places, reply, queued),
+            Request::Remove(positions, reply) => self.remove(positions, reply, queued),
             Request::PutBack(messages, reply) => send(reply, self.operate(|store| store.put_back(&messages))),
-            Request::Fetch { lane, after, most, reply } => {
-                send(reply, self.operate(|store| store.fetch(lane, after, most)));
+            Request::Fetch { lane, after, limit, reply } => {
+                send(reply, self.operate(|store| store.fetch(lane, after, limit)));
+            }
+            Request::Due { until, limit, reply } => {
+                send(reply, self.operate(|store| store.due(until, limit)))
             }
-            Request::Due { until, most, reply } => send(reply, self.operate(|store| store.due(until, most))),
             Request::Find(id, reply) => send(reply, self.operate(|store| store.find(&id))),
             Request::Class(name, reply) => send(reply, self.operate(|store| store.class(&name))),
             Request::Overview(reply) => send(reply, self.operate(|store| overview(store))),
@@ -228,7 +232,12 @@
         }
     }
 
-    fn append(&mut self, first: Vec<NewMessage>, reply: Reply<Vec<Place>>, queued: &mut VecDeque<Request>) {
+    fn append(
+        &mut self,
+        first: Vec<NewMessage>,
+        reply: Reply<Vec<Position>>,
+        queued: &mut VecDeque<Request>,
+    ) {
         let mut messages = first;
         let mut replies = vec![(messages.len(), reply)];
         while let Some(Request::Append(next, _)) = queued.front()
@@ -239,10 +248,10 @@
             messages.extend(next);
         }
         match self.operate(|store| store.append(&messages)) {
-            Ok(places) => {
-                let mut places = places.into_iter();
+            Ok(positions) => {
+                let mut positions = positions.into_iter();
                 for (count, reply) in replies {
-                    send(reply, Ok(places.by_ref().take(count).collect()));
+                    send(reply, Ok(positions.by_ref().take(count).collect()));
                 }
             }
             Err(StoreError::TooLarge(_)) if replies.len() > 1 => {
@@ -257,17 +266,17 @@
         }
     }
 
-    fn remove(&mut self, first: Vec<Place>, reply: Reply<()>, queued: &mut VecDeque<Request>) {
-        let mut places = first;
+    fn remove(&mut self, first: Vec<Position>, reply: Reply<()>, queued: &mut VecDeque<Request>) {
+        let mut positions = first;
         let mut replies = vec![reply];
         while let Some(Request::Remove(next, _)) = queued.front()
-            && places.len() + next.len() <= BATCH_MESSAGES
+            && positions.len() + next.len() <= BATCH_MESSAGES
             && let Some(Request::Remove(next, reply)) = queued.pop_front()
         {
             replies.push(reply);
-            places.extend(next);
+            positions.extend(next);
         }
-        let outcome = self.operate(|store| store.remove(&places));
+        let outcome = self.operate(|store| store.remove(&positions));
         replies.into_iter().for_each(|reply| send(reply, outcome.clone()));
     }
 
@@ -297,7 +306,7 @@
         lanes: store.lanes()?,
         class_names: store.class_names()?,
         usage: store.usage(),
-        damages: store.damages(),
+        corruptions: store.corruptions(),
     })
 }
 
--- a/backlog/src/worker/tests.rs
+++ b/backlog/src/worker/tests.rs
@@ -20,7 +20,7 @@
     Worker::start(Box::new(move || Ok(Box::new(disk.open()))), 16).unwrap()
 }
 
-fn wait<T>(answer: Result<Answer<T>, Busy>) -> Result<T, StoreError> {
+fn wait<T>(answer: Result<ReplyReceiver<T>, Busy>) -> Result<T, StoreError> {
     answer?.blocking_recv()?
 }
 
@@ -28,11 +28,11 @@
 fn requests_are_answered_in_their_order() {
     let worker = start(&MemoryDisk::default());
     assert_eq!(wait(worker.class("payment".into())).unwrap(), ClassNumber(0));
-    let places = wait(worker.append(vec![message(0), message(1)])).unwrap();
+    let positions = wait(worker.append(vec![message(0), message(1)])).unwrap();
     let messages = wait(worker.fetch(LANE, None, 9)).unwrap();
-    assert_eq!(messages.iter().map(|message| message.place).collect::<Vec<_>>(), places);
-    assert_eq!(wait(worker.find("id-1".into())).unwrap(), Some(places[1]));
-    wait(worker.remove(places)).unwrap();
+    assert_eq!(messages.iter().map(|message| message.position).collect::<Vec<_>>(), positions);
+    assert_eq!(wait(worker.find("id-1".into())).unwrap(), Some(positions[1]));
+    wait(worker.remove(positions)).unwrap();
     wait(worker.put_back(messages)).unwrap();
     assert_eq!(wait(worker.due(UnixMillis(1000), 9)).unwrap().len(), 1);
     let overview = wait(worker.overview()).unwrap();
@@ -44,15 +44,15 @@
 fn queued_appends_and_removals_become_one_batch_each() {
     let disk = MemoryDisk::default();
     let worker = start(&disk);
-    disk.fail(0, Fault::Stall(Duration::from_millis(300)));
+    disk.inject_fault(0, Fault::Stall(Duration::from_millis(300)));
     let first = worker.append(vec![message(0)]);
     while worker.watchdog().running().is_none() {
         thread::yield_now();
     }
     let answers: Vec<_> = (1..6).map(|number| worker.append(vec![message(number)])).collect();
     assert_eq!(wait(first).unwrap()[0].sequence, 0);
-    let places: Vec<Place> = answers.into_iter().flat_map(|answer| wait(answer).unwrap()).collect();
-    assert_eq!(places.iter().map(|place| place.sequence).collect::<Vec<_>>(), [1, 2, 3, 4, 5]);
+    let positions: Vec<Position> = answers.into_iter().flat_map(|answer| wait(answer).unwrap()).collect();
+    assert_eq!(positions.iter().map(|position| position.sequence).collect::<Vec<_>>(), [1, 2, 3, 4, 5]);
     assert_eq!(disk.operations(), 2);
     assert!(worker.watchdog().slowest() >= Duration::from_millis(300));
 }
@@ -61,7 +61,7 @@
 fn a_full_queue_refuses_and_never_waits() {
     let disk = MemoryDisk::default();
     let worker = start(&disk);
-    disk.fail(0, Fault::Stall(Duration::from_millis(300)));
+    disk.inject_fault(0, Fault::Stall(Duration::from_millis(300)));
     let answers: Vec<_> = (0..64).map(|number| worker.append(vec![message(number)])).collect();
     let refused = answers.iter().filter(|answer| answer.is_err()).count();
     assert!(refused > 0 && refused <= 64 - 16, "{refused}");
@@ -75,8 +75,8 @@
 fn after_an_error_the_store_is_opened_again() {
     let disk = MemoryDisk::default();
     let worker = start(&disk);
-    disk.fail(0, Fault::Error);
-    disk.fail(2, Fault::CrashAfter);
+    disk.inject_fault(0, Fault::Error);
+    disk.inject_fault(2, Fault::CrashAfter);
     assert!(matches!(wait(worker.append(vec![message(0)])), Err(StoreError::Io(_))));
     wait(worker.append(vec![message(1)])).unwrap();
     assert!(matches!(wait(worker.append(vec![message(2)])), Err(StoreError::Closed)));
--- a/backlog/tests/crash.rs
+++ b/backlog/tests/crash.rs
@@ -6,9 +6,9 @@
 use std::process::{Command, Stdio};
 
 use bytes::Bytes;
-use onyxglade_backlog::lsm_store::{Config, LEAST_DISK_BYTES, LEAST_MEMORY_BYTES, LsmStore};
+use onyxglade_backlog::lsm_store::{Config, LsmStore, MIN_DISK_BYTES, MIN_MEMORY_BYTES};
 use onyxglade_backlog::memory_store::{Fault, MemoryDisk};
-use onyxglade_backlog::message::{ClassNumber, Lane, NewMessage, Place, StoredMessage, UnixMillis};
+use onyxglade_backlog::message::{ClassNumber, Lane, NewMessage, Position, StoredMessage, UnixMillis};
 use onyxglade_backlog::store::{BacklogStore, StoreError};
 
 const FOLDER_VARIABLE: &str = "BACKLOG_CRASH_TEST_FOLDER";
@@ -20,8 +20,8 @@
     let config = Config {
         folder: folder.to_owned(),
         owner: "crash".to_owned(),
-        memory_bytes: LEAST_MEMORY_BYTES,
-        disk_bytes: LEAST_DISK_BYTES,
+        memory_bytes: MIN_MEMORY_BYTES,
+        disk_bytes: MIN_DISK_BYTES,
         sync: false,
     };
     LsmStore::open(config).expect("to open")
@@ -49,9 +49,9 @@
     let mut store = open(Path::new(&folder));
     let mut output = std::io::stderr();
     for index in 0.. {
-        let places = store.append(&batch(index)).expect("to append");
+        let positions = store.append(&batch(index)).expect("to append");
         writeln!(output, "appended {index}").expect("to tell");
-        store.remove(&places[..places.len() / 2]).expect("to remove");
+        store.remove(&positions[..positions.len() / 2]).expect("to remove");
         writeln!(output, "removed {index}").expect("to tell");
     }
 }
@@ -120,42 +120,42 @@
         let unacknowledged = left(appended);
         assert!(unacknowledged.is_empty() || unacknowledged == whole(appended), "{unacknowledged:?}");
         for (number, message) in &by_deadline {
-            assert_eq!(*message, self::message(*number).stored_at(message.place.sequence));
-            assert_eq!(store.find(&message.id).expect("to find"), Some(message.place));
+            assert_eq!(*message, self::message(*number).stored_at(message.position.sequence));
+            assert_eq!(store.find(&message.id).expect("to find"), Some(message.position));
         }
     }
 }
 
 /// A scenario over the double that moves messages to disk, fetches them, replaces one and ends them. Tells the places
 /// that were acknowledged and not removed, or the crash.
-fn scenario(store: &mut dyn BacklogStore, kept: &mut BTreeMap<Place, bool>) -> Result<(), StoreError> {
+fn scenario(store: &mut dyn BacklogStore, kept: &mut BTreeMap<Position, bool>) -> Result<(), StoreError> {
     for index in 0..3 {
-        for place in store.append(&batch(index))? {
-            kept.insert(place, true);
+        for position in store.append(&batch(index))? {
+            kept.insert(position, true);
         }
     }
     let lane = Lane { destination: 1, class: ClassNumber(0) };
     let fetched = store.fetch(lane, None, 4)?;
-    let places: Vec<Place> = fetched.iter().map(|message| message.place).collect();
-    places.iter().for_each(|place| {
-        kept.insert(*place, false);
+    let positions: Vec<Position> = fetched.iter().map(|message| message.position).collect();
+    positions.iter().for_each(|position| {
+        kept.insert(*position, false);
     });
-    store.remove(&places)?;
-    places.iter().for_each(|place| {
-        kept.remove(place);
+    store.remove(&positions)?;
+    positions.iter().for_each(|position| {
+        kept.remove(position);
     });
     store.put_back(&fetched[..2])?;
-    places[..2].iter().for_each(|place| {
-        kept.insert(*place, true);
+    positions[..2].iter().for_each(|position| {
+        kept.insert(*position, true);
     });
     let due = store.due(UnixMillis(1003), 9)?;
-    let due: Vec<Place> = due.iter().map(|message| message.place).collect();
-    due.iter().for_each(|place| {
-        kept.insert(*place, false);
+    let due: Vec<Position> = due.iter().map(|message| message.position).collect();
+    due.iter().for_each(|position| {
+        kept.insert(*position, false);
     });
     store.remove(&due)?;
-    due.iter().for_each(|place| {
-        kept.remove(place);
+    due.iter().for_each(|position| {
+        kept.remove(position);
     });
     Ok(())
 }
@@ -168,16 +168,16 @@
     assert_eq!(steps, 8);
     for (step, fault) in (0..steps).flat_map(|step| [(step, Fault::CrashBefore), (step, Fault::CrashAfter)]) {
         let disk = MemoryDisk::default();
-        disk.fail(step, fault);
+        disk.inject_fault(step, fault);
         let mut kept = BTreeMap::new();
         let outcome = scenario(&mut disk.open(), &mut kept);
         assert!(matches!(outcome, Err(StoreError::Closed)), "{fault:?} at {step}");
         let messages = by_number(disk.messages());
-        let there: Vec<Place> = messages.values().map(|message| message.place).collect();
-        let certain = kept.iter().filter(|(_, certain)| **certain).map(|(place, _)| place);
-        assert!(certain.clone().all(|place| there.contains(place)), "{fault:?} at {step}");
+        let there: Vec<Position> = messages.values().map(|message| message.position).collect();
+        let certain = kept.iter().filter(|(_, certain)| **certain).map(|(position, _)| position);
+        assert!(certain.clone().all(|position| there.contains(position)), "{fault:?} at {step}");
         // A crash in a batch of the store may leave all of that batch, and no more.
-        let extra = there.iter().filter(|place| !kept.contains_key(place)).count() as u64;
+        let extra = there.iter().filter(|position| !kept.contains_key(position)).count() as u64;
         assert!([0, 2, BATCH].contains(&extra), "{extra} extra, {fault:?} at {step}");
     }
 }
--- a/relay/src/backlog.rs
+++ b/relay/src/backlog.rs
@@ -7,13 +7,13 @@
 use std::future::Future;
 use std::time::{Duration, Instant, SystemTime};
 
-use onyxglade_backlog::lsm_store::{Config, LEAST_MEMORY_BYTES, LsmStore};
-use onyxglade_backlog::message::{ClassNumber, Lane, NewMessage, Place, StoredMessage, UnixMillis};
+use onyxglade_backlog::lsm_store::{Config, LsmStore, MIN_MEMORY_BYTES};
+use onyxglade_backlog::message::{ClassNumber, Lane, NewMessage, Position, StoredMessage, UnixMillis};
 use onyxglade_backlog::planner::{
-    Action, Arrival, Event, LaneCount, MESSAGE_MEMORY, Planner, Settings, StoreFault,
+    Action, ArrivalId, Event, LaneCount, MESSAGE_MEMORY_BYTES, Planner, Settings, StoreFault,
 };
 use onyxglade_backlog::store::{BacklogStore, StoreError};
-use onyxglade_backlog::worker::{Answer, Busy, Overview, Watchdog, Worker};
+use onyxglade_backlog::worker::{Busy, Overview, ReplyReceiver, Watchdog, Worker};
 use slatethread::MsgId;
 use tokio::sync::Notify;
 use tokio::time::sleep;
@@ -54,7 +54,7 @@
     worker: RefCell<Option<Worker>>,
     planner: RefCell<Planner>,
     started: Instant,
-    last_arrival: Cell<Arrival>,
+    last_arrival: Cell<ArrivalId>,
     classes: HashMap<String, ClassNumber>,
     /// Requests of each destination that are out in calls.
     calls_out: RefCell<HashMap<u64, u32>>,
@@ -62,7 +62,7 @@
     fetched: RefCell<HashMap<u64, BTreeSet<MsgId>>>,
     /// Messages that were read and are about to be removed: for memory, or because their time is over. Who reads one a
     /// second time meanwhile leaves it alone.
-    claimed: RefCell<HashSet<Place>>,
+    claimed: RefCell<HashSet<Position>>,
     /// Ids of refused messages that the store may have all the same, until it says whether it does.
     in_doubt: RefCell<HashSet<String>>,
     quota: u64,
@@ -115,8 +115,8 @@
         }
         let fetched = journaled.iter().filter_map(|open| open.place).collect();
         ask(worker.remove(fetched)).await?;
-        let Overview { lanes, damages, .. } = ask(worker.overview()).await?;
-        for damage in &damages {
+        let Overview { lanes, corruptions, .. } = ask(worker.overview()).await?;
+        for damage in &corruptions {
             let (location, cause) = (&damage.location, &damage.cause);
             tracing::error!(location, cause, "the backlog is damaged; what stood there is passed over");
         }
@@ -133,7 +133,8 @@
         }
         let lanes = lanes.iter().map(|lane| LaneCount { lane: lane.lane, messages: lane.messages }).collect();
         let earliest_end = earliest.first().map(|message| time_until(message.deadline));
-        let actions = planner.handle(Duration::ZERO, Event::Opened { lanes, earliest_end });
+        let actions =
+            planner.handle(Duration::ZERO, Event::Opened { lanes, earliest_deadline_in: earliest_end });
         let backlog = Backlog {
             watchdog: worker.watchdog(),
             figures,
@@ -176,7 +177,7 @@
     }
 
     /// A request has arrived: its number, and what is to be done with it and with others.
-    pub fn arrived(&self, lane: Lane, time_left: Duration) -> (Arrival, Vec<Action>) {
+    pub fn arrived(&self, lane: Lane, time_left: Duration) -> (ArrivalId, Vec<Action>) {
         let arrival = self.last_arrival.get() + 1;
         self.last_arrival.set(arrival);
         (arrival, self.handle(Event::Arrived { arrival, lane, time_left }))
@@ -209,7 +210,7 @@
 
     /// Whether messages of a destination wait on disk or are on their way there.
     pub fn has_queued(&self, destination: u64) -> bool {
-        let figures = self.planner.borrow().figures(self.now(), destination);
+        let figures = self.planner.borrow().stats(self.now(), destination);
         figures.is_some_and(|figures| figures.on_disk > 0)
     }
 
@@ -231,7 +232,7 @@
             *count += 1;
             *count
         };
-        self.handle(Event::CallsOut { destination, count })
+        self.handle(Event::CallsInFlight { destination, count })
     }
 
     /// The reverse of [`Backlog::call_began`].
@@ -246,7 +247,7 @@
             }
             count
         };
-        self.handle(Event::CallsOut { destination, count })
+        self.handle(Event::CallsInFlight { destination, count })
     }
 
     /// A request that was fetched has its place at the decision module.
@@ -273,7 +274,7 @@
     /// The request is in the store's queue when this returns, not only once the future is polled.
     fn ask<T, R>(&self, request: R) -> impl Future<Output = Result<T, StoreError>> + use<T, R>
     where
-        R: FnOnce(&Worker) -> Result<Answer<T>, Busy>,
+        R: FnOnce(&Worker) -> Result<ReplyReceiver<T>, Busy>,
     {
         let answer = match &*self.worker.borrow() {
             Some(worker) => request(worker).map_err(StoreError::from),
@@ -287,7 +288,7 @@
     ///
     /// # Errors
     /// The message is not there, or nobody can say.
-    pub async fn append(&self, message: NewMessage) -> Result<Place, StoreError> {
+    pub async fn append(&self, message: NewMessage) -> Result<Position, StoreError> {
         let id = message.id.clone();
         let appended = self.ask(|worker| worker.append(vec![message])).await;
         match appended.map(|places| places.first().copied()) {
@@ -299,7 +300,7 @@
     }
 
     /// Where the message with this id waits.
-    pub async fn find(&self, id: &str) -> Result<Option<Place>, StoreError> {
+    pub async fn find(&self, id: &str) -> Result<Option<Position>, StoreError> {
         self.ask(|worker| worker.find(id.into())).await
     }
 
@@ -310,7 +311,7 @@
         loop {
             let read = self.ask(|worker| worker.fetch(lane, after, most as usize)).await?;
             let exhausted = read.len() < most as usize;
-            after = read.last().map(|message| message.place.sequence);
+            after = read.last().map(|message| message.position.sequence);
             let claimed = self.claim(read);
             if exhausted || !claimed.is_empty() {
                 return Ok((claimed, exhausted));
@@ -331,7 +332,7 @@
     /// removal, or before it was claimed.
     fn claim(&self, read: Vec<StoredMessage>) -> Vec<StoredMessage> {
         let mut claimed = self.claimed.borrow_mut();
-        read.into_iter().filter(|message| claimed.insert(message.place)).collect()
+        read.into_iter().filter(|message| claimed.insert(message.position)).collect()
     }
 
     /// The store may have a message that was refused, or has said by now whether it does.
@@ -350,18 +351,18 @@
     }
 
     /// Claims a message by its place; false if somebody else is about to remove it.
-    pub fn claim_place(&self, place: Place) -> bool {
+    pub fn claim_place(&self, place: Position) -> bool {
         self.claimed.borrow_mut().insert(place)
     }
 
     /// Messages that were claimed are removed, or left where they are.
-    pub fn release(&self, messages: impl IntoIterator<Item = Place>) {
+    pub fn release(&self, messages: impl IntoIterator<Item = Position>) {
         let mut claimed = self.claimed.borrow_mut();
         messages.into_iter().for_each(|place| _ = claimed.remove(&place));
     }
 
     /// Removes messages, which may have been removed before.
-    pub async fn remove(&self, places: Vec<Place>) -> Result<(), StoreError> {
+    pub async fn remove(&self, places: Vec<Position>) -> Result<(), StoreError> {
         self.ask(|worker| worker.remove(places)).await
     }
 
@@ -408,7 +409,7 @@
     if matches!(error, StoreError::Full { .. }) { StoreFault::Full } else { StoreFault::Failing }
 }
 
-async fn ask<T>(request: Result<Answer<T>, Busy>) -> Result<T, StoreError> {
+async fn ask<T>(request: Result<ReplyReceiver<T>, Busy>) -> Result<T, StoreError> {
     request?.await?
 }
 
@@ -438,7 +439,7 @@
 }
 
 fn store_memory(settings: &config::Backlog) -> u64 {
-    (settings.memory_bytes / STORE_MEMORY_SHARE).max(LEAST_MEMORY_BYTES)
+    (settings.memory_bytes / STORE_MEMORY_SHARE).max(MIN_MEMORY_BYTES)
 }
 
 fn planner_settings(
@@ -448,7 +449,7 @@
 ) -> Settings {
     let left = settings.memory_bytes.saturating_sub(store_memory(settings));
     let held = most_in_memory.map_or(u64::MAX, |most| u64::from(most) * WINDOWS_SHARE.0 / WINDOWS_SHARE.1);
-    let window_memory = left.min(held.saturating_mul(MESSAGE_MEMORY));
+    let window_memory = left.min(held.saturating_mul(MESSAGE_MEMORY_BYTES));
     Settings { window_memory, class_worth, ..Settings::default() }
 }
 
--- a/relay/src/backlog/report.rs
+++ b/relay/src/backlog/report.rs
@@ -81,7 +81,7 @@
             in_memory: planner.slots_used(),
             health: format!("{:?}", planner.health()),
             slowest_ms: self.slowest().as_millis() as u64,
-            damaged: overview.damages.len(),
+            damaged: overview.corruptions.len(),
             earliest_end_ms: earliest_end.map(|left| left.as_millis() as u64),
             destinations,
         })
@@ -95,12 +95,12 @@
             let report = reports.entry(lane.lane.destination).or_default();
             report.messages += lane.messages;
             report.bytes += lane.bytes;
-            report.oldest_ms = report.oldest_ms.max(waited(now, lane.arrived_from));
+            report.oldest_ms = report.oldest_ms.max(waited(now, lane.oldest_arrival));
         }
         let planner = self.planner.borrow();
         let complete = |(destination, mut report): (u64, DestinationReport)| {
             report.destination = destination;
-            if let Some(figures) = planner.figures(self.now(), destination) {
+            if let Some(figures) = planner.stats(self.now(), destination) {
                 report.in_memory = figures.in_memory;
                 report.window = figures.window;
                 report.delivered_per_s = figures.rate;
--- a/relay/src/config/backlog.rs
+++ b/relay/src/config/backlog.rs
@@ -1,5 +1,5 @@
 //! The section `[backlog]`: requests that cannot go soon wait on disk.
-use onyxglade_backlog::lsm_store::{LEAST_DISK_BYTES, LEAST_MEMORY_BYTES};
+use onyxglade_backlog::lsm_store::{MIN_DISK_BYTES, MIN_MEMORY_BYTES};
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -8,8 +8,8 @@
 
 const MB: u64 = 1024 * 1024;
 /// Half of the least is the store's, the rest is for the windows of destinations.
-const LEAST_MEMORY_MB: u64 = 2 * LEAST_MEMORY_BYTES / MB;
-const LEAST_DISK_MB: u64 = LEAST_DISK_BYTES / MB;
+const LEAST_MEMORY_MB: u64 = 2 * MIN_MEMORY_BYTES / MB;
+const LEAST_DISK_MB: u64 = MIN_DISK_BYTES / MB;
 const DEFAULT_MEMORY_MB: u64 = 32;
 const DEFAULT_DISK_MB: u64 = 8192;
 /// The file that is written and removed to see whether a folder can be written to.
--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -2,7 +2,7 @@
 //!
 //! The order of the two stores is the same everywhere: a request is recorded at its new place before it is removed from
 //! its old one, and begins there only after that. `docs/backlog.md` lists each step with what a crash leaves behind.
-use onyxglade_backlog::message::{ClassNumber, Lane, NewMessage, Place, StoredMessage};
+use onyxglade_backlog::message::{ClassNumber, Lane, NewMessage, Position, StoredMessage};
 use onyxglade_backlog::planner::{Action, Event, LaneCount, Outcome as Left, RefusalReason};
 use onyxglade_backlog::store::StoreError;
 use slatethread::MsgId;
@@ -41,7 +41,7 @@
 #[derive(Default)]
 struct Taken {
     /// Their places, which the backlog is to free.
-    places: Vec<Place>,
+    places: Vec<Position>,
     /// Requests that are now the journal's.
     requests: Vec<(Key, QueuedRequest)>,
     /// Ends of those that are no request.
@@ -145,7 +145,7 @@
     pub(super) fn attempt_failed(self: &Rc<Self>, destination: u64, wait: Option<Duration>) {
         let Some(backlog) = self.backlog() else { return };
         let event = match wait {
-            Some(wait) => Event::WaitTold { destination, until: backlog.at(Instant::now() + wait) },
+            Some(wait) => Event::BackoffRequested { destination, until: backlog.at(Instant::now() + wait) },
             None => Event::AttemptFailed { destination },
         };
         self.tell_backlog(&backlog, event);
@@ -155,9 +155,9 @@
         for action in actions {
             let (core, backlog) = (self.clone(), backlog.clone());
             match action {
-                Action::Fetch { lane, most } => drop(actix_rt::spawn(core.fetch(backlog, lane, most))),
-                Action::Park { destination } => drop(actix_rt::spawn(core.park(backlog, destination))),
-                Action::ReadExpired { most } => drop(actix_rt::spawn(core.end_expired(backlog, most))),
+                Action::Fetch { lane, limit } => drop(actix_rt::spawn(core.fetch(backlog, lane, limit))),
+                Action::Evict { destination } => drop(actix_rt::spawn(core.park(backlog, destination))),
+                Action::ReadExpired { limit } => drop(actix_rt::spawn(core.end_expired(backlog, limit))),
                 Action::ProbeStore => drop(actix_rt::spawn(core.probe_store(backlog))),
                 Action::HealthChanged { health } => {
                     tracing::warn!(?health, waiting = backlog.on_disk(), "the backlog's store has changed");
@@ -335,7 +335,7 @@
 
     /// Removes a message that nobody wants any more, unless it is on its way into memory: then its id is open until it
     /// has ended there.
-    async fn withdraw(self: &Rc<Self>, backlog: &Rc<Backlog>, id: &str, place: Place) {
+    async fn withdraw(self: &Rc<Self>, backlog: &Rc<Backlog>, id: &str, place: Position) {
         if !backlog.claim_place(place) {
             return;
         }
@@ -353,7 +353,7 @@
             Ok(claimed) => claimed,
             Err(error) => return self.fetch_failed(&backlog, lane, &error),
         };
-        let claimed_places: Vec<_> = claimed.iter().map(|message| message.place).collect();
+        let claimed_places: Vec<_> = claimed.iter().map(|message| message.position).collect();
         let Taken { places, requests, unreadable } = self.journal_fetched(claimed);
         if places.is_empty() && !claimed_places.is_empty() {
             backlog.release(claimed_places);
@@ -394,14 +394,14 @@
                 Err(error) => {
                     let id = message.id.into_string();
                     tracing::error!(id, %error, "a message of the backlog is no request; it is given up");
-                    taken.places.push(message.place);
+                    taken.places.push(message.position);
                     taken.unreadable.push(Notice { id, end: NoticeEnd::Failed { status: None } });
                     continue;
                 }
             };
-            match journal.fetched(&request, message.place) {
+            match journal.fetched(&request, message.position) {
                 Ok(Some(key)) => {
-                    taken.places.push(message.place);
+                    taken.places.push(message.position);
                     taken.requests.push((key, request));
                 }
                 Ok(None) => break,
@@ -416,7 +416,7 @@
 
     /// Removes messages, however long it takes: they are the journal's now and must not be fetched again. False if the
     /// backlog is another process's, which does it by the places in the journal.
-    async fn remove_in_the_end(&self, backlog: &Backlog, places: &[Place]) -> bool {
+    async fn remove_in_the_end(&self, backlog: &Backlog, places: &[Position]) -> bool {
         let failure = "messages cannot be removed from the backlog";
         self.store_in_the_end(failure, async || backlog.remove(places.to_vec()).await).await
     }
@@ -445,10 +445,10 @@
             self.decided(&id, None);
         }
         let mut returned = BTreeMap::<ClassNumber, u32>::new();
-        messages.iter().for_each(|message| *returned.entry(message.place.lane.class).or_default() += 1);
+        messages.iter().for_each(|message| *returned.entry(message.position.lane.class).or_default() += 1);
         let returned = returned.into_iter().collect();
         backlog.figures.put_back.inc_by(messages.len() as u64);
-        self.tell_backlog(&backlog, Event::Parked { destination, returned });
+        self.tell_backlog(&backlog, Event::Evicted { destination, returned });
     }
 
     /// False if the backlog is another process's, which has the requests in the journal.
@@ -487,17 +487,20 @@
         let notices: Vec<_> = expired.iter().map(|message| self.end_of(message)).collect();
         let told = notices.into_iter().map(|notice| self.clone().tell_in_the_end(notice));
         futures_util::future::join_all(told).await;
-        let places: Vec<_> = expired.iter().map(|message| message.place).collect();
+        let places: Vec<_> = expired.iter().map(|message| message.position).collect();
         if !places.is_empty() && !self.remove_in_the_end(&backlog, &places).await {
             return;
         }
         backlog.figures.expired.inc_by(places.len() as u64);
         backlog.release(places);
         let mut ended = BTreeMap::<Lane, u64>::new();
-        expired.iter().for_each(|message| *ended.entry(message.place.lane).or_default() += 1);
+        expired.iter().for_each(|message| *ended.entry(message.position.lane).or_default() += 1);
         let ended = ended.into_iter().map(|(lane, messages)| LaneCount { lane, messages }).collect();
         let earliest_end = backlog.earliest_end().await.ok().flatten();
-        self.tell_backlog(&backlog, Event::ExpiredRead { ended, more, earliest_end });
+        self.tell_backlog(
+            &backlog,
+            Event::ExpiredRead { expired: ended, more, earliest_deadline_in: earliest_end },
+        );
     }
 
     /// How a message ends whose time is over: handed back where that is harmless.
@@ -550,9 +553,9 @@
 }
 
 /// A request as the backlog is to have it again.
-fn stored(request: &QueuedRequest, place: Place) -> StoredMessage {
+fn stored(request: &QueuedRequest, place: Position) -> StoredMessage {
     StoredMessage {
-        place,
+        position: place,
         arrived: unix_millis(clock::now()),
         deadline: unix_millis(request.job.deadline),
         id: request.job.id.as_str().into(),
--- a/relay/src/core/backlog/tests.rs
+++ b/relay/src/core/backlog/tests.rs
@@ -347,7 +347,7 @@
 
 fn crash_at(operation: u64, fault: Fault) -> bool {
     let site = Site::new();
-    site.disk.fail(operation, fault);
+    site.disk.inject_fault(operation, fault);
     let crashed = site.run(true, history).is_none();
     site.finish();
     site.check_ends(is_short_lived);
@@ -389,7 +389,7 @@
     let site = Site::new();
     site.run(false, async |process| {
         with_backlog(process).await;
-        site.disk.fail(site.disk.operations(), Fault::Stall(Duration::from_millis(300)));
+        site.disk.inject_fault(site.disk.operations(), Fault::Stall(Duration::from_millis(300)));
         let gone = process.core.admit(process.job("gone", CLASS, LONG_LIFE));
         assert!(tokio::time::timeout(Duration::from_millis(20), gone).await.is_err());
         let again = tokio::time::timeout(PATIENCE, process.admit("gone", LONG_LIFE)).await;
@@ -408,8 +408,8 @@
         with_backlog(process).await;
         // The first is the look for the same id.
         let append = site.disk.operations() + 1;
-        site.disk.fail(append, Fault::ErrorAfter);
-        site.disk.fail(append + 1, Fault::Error);
+        site.disk.inject_fault(append, Fault::ErrorAfter);
+        site.disk.inject_fault(append + 1, Fault::Error);
         assert_eq!(process.admit("doubt", LONG_LIFE).await, refused(STORE_RETRY).told());
         process.until("certainty", || !process.backlog.is_in_doubt("doubt")).await;
         assert!(site.disk.messages().iter().all(|message| &*message.id != "doubt"));
@@ -426,7 +426,7 @@
         with_backlog(process).await;
         process.core.settle(rules(&[CLASS]), 1);
         let waiting = site.disk.messages();
-        let lane = waiting[0].place.lane;
+        let lane = waiting[0].position.lane;
         process.core.clone().fetch(process.backlog.clone(), lane, 512).await;
         assert_eq!(site.disk.messages(), waiting);
         process.core.settle(rules(&[CLASS]), JOURNAL_BYTES);
--- a/relay/src/journal.rs
+++ b/relay/src/journal.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::SystemTime;
 
-use onyxglade_backlog::message::Place;
+use onyxglade_backlog::message::Position;
 use slatethread::Class;
 
 use crate::clock::FolderClock;
@@ -52,7 +52,7 @@
     /// Its end was decided, but the notice of it may not have arrived.
     pub ending: Option<Notice>,
     /// Where it stood in the backlog, which may still have it.
-    pub place: Option<Place>,
+    pub place: Option<Position>,
 }
 
 struct Live {
@@ -61,7 +61,7 @@
     rules: Option<Class>,
     claims: Claims,
     ending: Option<Notice>,
-    place: Option<Place>,
+    place: Option<Position>,
 }
 
 /// Room kept for the records that may follow a job's own, once rewritten.
@@ -287,7 +287,7 @@
     }
 
     /// What is read of a request's place in the backlog.
-    fn take_place(&mut self, key: Key, frame: &Bytes, place: Place) {
+    fn take_place(&mut self, key: Key, frame: &Bytes, place: Position) {
         let Some(live) = self.live.get_mut(&key) else { return };
         live.place = Some(place);
         live.frame = [&live.frame[..], frame].concat().into();
--- a/relay/src/journal/queued.rs
+++ b/relay/src/journal/queued.rs
@@ -9,7 +9,7 @@
 use std::io;
 use thiserror::Error;
 
-use onyxglade_backlog::message::Place;
+use onyxglade_backlog::message::Position;
 use slatethread::Class;
 
 use super::{Claims, Journal, Key, MayHaveRun, Record, TakenUnder, encode};
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// When the file cannot be written; then the request is still the backlog's.
-    pub fn fetched(&mut self, request: &QueuedRequest, place: Place) -> io::Result<Option<Key>> {
+    pub fn fetched(&mut self, request: &QueuedRequest, place: Position) -> io::Result<Option<Key>> {
         let key = self.next;
         let mut frame = encode(&self.job_record(key, &request.job));
         frame.extend(encode(&Record::Rules(key, request.rules.clone())));
@@ -120,7 +120,7 @@
 
     /// An open request as the backlog is to have it again, and its place there; `None` if it did not come from there
     /// or has ended.
-    pub fn to_put_back(&self, key: Key, job: &Job) -> Option<(QueuedRequest, Place)> {
+    pub fn to_put_back(&self, key: Key, job: &Job) -> Option<(QueuedRequest, Position)> {
         let live = self.live.get(&key)?;
         let mut request = QueuedRequest::new(job.clone(), live.rules.as_ref()?);
         request.claims = live.claims.clone();
--- a/relay/src/journal/queued/tests.rs
+++ b/relay/src/journal/queued/tests.rs
@@ -6,8 +6,8 @@
 
 const LIMIT: u64 = 100_000;
 
-fn place(sequence: u64) -> Place {
-    Place { lane: Lane { destination: 7, class: ClassNumber(2) }, sequence }
+fn place(sequence: u64) -> Position {
+    Position { lane: Lane { destination: 7, class: ClassNumber(2) }, sequence }
 }
 
 fn with_backlog(folder: &Path) -> Journal {
--- a/relay/src/journal/receipt.rs
+++ b/relay/src/journal/receipt.rs
@@ -1,5 +1,5 @@
 //! What the journal hands out for what it has: nobody is told that a message is taken on, or how it ended, without one.
-use onyxglade_backlog::message::Place;
+use onyxglade_backlog::message::Position;
 
 use super::Key;
 use crate::job::{Notice, NoticeEnd};
@@ -14,7 +14,7 @@
     }
 
     /// The backlog on disk has it at a place.
-    pub fn in_backlog(_stored: &Place) -> Self {
+    pub fn in_backlog(_stored: &Position) -> Self {
         TakenOn(None)
     }
 
--- a/relay/src/journal/record.rs
+++ b/relay/src/journal/record.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, SystemTime};
 
-use onyxglade_backlog::message::{ClassNumber, Lane, Place};
+use onyxglade_backlog::message::{ClassNumber, Lane, Position};
 use slatethread::{Class, Effect, Group};
 
 use super::Key;
@@ -61,17 +61,17 @@
     sequence: u64,
 }
 
-impl From<Place> for RecordedPlace {
-    fn from(place: Place) -> Self {
+impl From<Position> for RecordedPlace {
+    fn from(place: Position) -> Self {
         let Lane { destination, class } = place.lane;
         RecordedPlace { destination, class: class.0, sequence: place.sequence }
     }
 }
 
-impl From<RecordedPlace> for Place {
+impl From<RecordedPlace> for Position {
     fn from(recorded: RecordedPlace) -> Self {
         let RecordedPlace { destination, class, sequence } = recorded;
-        Place { lane: Lane { destination, class: ClassNumber(class) }, sequence }
+        Position { lane: Lane { destination, class: ClassNumber(class) }, sequence }
     }
 }
 
