--- a/backlog/src/planner/drain_rate.rs
+++ b/backlog/src/planner/drain_rate.rs
@@ -1,18 +1,18 @@
-//! How fast a destination takes messages while more of them wait.
+//! Measures how fast a destination accepts messages while more of them wait.
 //!
-//! The measure is a quotient of two sums that decay alike: deliveries, and the seconds between them. Time counts
-//! only up to a delivery, so a silent destination keeps the last known rate, and a spell in which it was down is
+//! The rate is the quotient of two exponentially decaying sums: the deliveries, and the seconds between them. Time
+//! counts only up to a delivery, so a destination without deliveries keeps its last known rate, and an outage is
 //! left out.
 use std::time::Duration;
 
-/// Time in which an old delivery loses all but 1/e of its weight.
+/// Time constant of the decay, in seconds: a delivery this old has 1/e of its weight left.
 const DECAY: f64 = 5.0;
 
-/// Measured time and deliveries from which the measure is trusted.
+/// Measured time and deliveries from which the rate counts as known.
 const TRUSTED_SECONDS: f32 = 1.0;
 const TRUSTED_DELIVERIES: u16 = 16;
 
-/// The decaying measure.
+/// The decaying measurement.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DrainRate {
     deliveries: f64,
@@ -20,23 +20,24 @@
     measured_seconds: f32,
     measured_deliveries: u16,
     measuring: bool,
-    /// The last delivery since which messages have waited all the time.
+    /// The last delivery, if messages have waited ever since.
     last: Option<Duration>,
 }
 
 impl DrainRate {
-    /// Messages wait from now on. Time counts from the next delivery, at which a gap begins as any other does.
+    /// Messages wait from now on. The measured time starts at the next delivery.
     pub fn resume(&mut self) {
         self.measuring = true;
     }
 
-    /// Time up to the next `resume` says nothing about the destination.
+    /// Messages no longer wait, or the destination is unavailable: the time until the next `resume` is not
+    /// measured.
     pub fn pause(&mut self) {
         self.measuring = false;
         self.last = None;
     }
 
-    /// A message was delivered; it counts if messages waited behind it.
+    /// Records a delivery. It counts if messages have waited since the previous one.
     pub fn delivered(&mut self, now: Duration) {
         if !self.measuring {
             return;
@@ -50,7 +51,7 @@
         self.measured_deliveries = self.measured_deliveries.saturating_add(1);
     }
 
-    /// Deliveries a second, once enough were measured.
+    /// Deliveries per second, once enough were measured.
     pub fn per_second(&self) -> Option<f64> {
         let trusted =
             self.measured_seconds >= TRUSTED_SECONDS && self.measured_deliveries >= TRUSTED_DELIVERIES;
--- a/backlog/src/planner/event.rs
+++ b/backlog/src/planner/event.rs
@@ -1,70 +1,71 @@
-//! What the planner is told, and what it asks for.
+//! The events that the planner receives, and the actions that it requests.
 use std::time::Duration;
 
 use super::settings::Settings;
 use crate::message::{ClassNumber, Lane};
 
-/// The caller's own number of a message that has just arrived; the planner hands it back and forgets it.
+/// The caller's number for a message that has just arrived. The planner returns it in an action and does not keep
+/// it.
 pub type ArrivalId = u64;
 
-/// How a message left the relay's memory.
+/// How a message was removed from the relay's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The destination took it.
+    /// The destination accepted it.
     Delivered,
-    /// The decision module turned it away on arrival.
+    /// The decision module refused it on arrival.
     Refused,
-    /// It failed, by its destination's answer or by its class's rules.
+    /// It failed, because of the destination's response or the rules of its class.
     Failed,
-    /// Its time ended, or another message took its place.
+    /// It expired, or another message replaced it.
     Ended,
 }
 
-/// Why the store did not take a batch.
+/// Why the store did not accept a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFault {
-    /// The quota or the disk is used up.
+    /// The quota or the disk is exhausted.
     Full,
     /// A write failed.
     Failing,
 }
 
-/// What waits on disk in a lane.
+/// The number of messages on disk in a lane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LaneCount {
     /// The lane.
     pub lane: Lane,
-    /// Its messages.
+    /// Its number of messages.
     pub messages: u64,
 }
 
-/// What has happened.
+/// An event.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The store is open: what waits in it, and in what time the first of it ends. May be told in parts.
+    /// The store is open. The contents may be split over several events.
     Opened {
-        /// Lanes with a message, each told once.
+        /// Non-empty lanes, each reported once.
         lanes: Vec<LaneCount>,
         /// Time until the earliest deadline.
         earliest_deadline_in: Option<Duration>,
     },
-    /// A client hands a message in.
+    /// A client submits a message.
     Arrived {
-        /// The caller's number of it.
+        /// The caller's number for it.
         arrival: ArrivalId,
         /// Its lane.
         lane: Lane,
         /// Time until its deadline.
         time_left: Duration,
     },
-    /// The store has these messages of a lane, durably.
+    /// The store has stored these messages of a lane durably.
     Stored {
         /// The lane.
         lane: Lane,
-        /// How many, all of them spilled before.
+        /// How many; all of them were spilled before.
         count: u32,
     },
-    /// The store did not take these messages of a lane; the caller refuses them.
+    /// The store did not accept these messages of a lane; the caller refuses them.
     StoreFailed {
         /// The lane.
         lane: Lane,
@@ -73,39 +74,41 @@
         /// Why.
         fault: StoreFault,
     },
-    /// Spilled messages of a lane were not to be stored after all: one with the same id waits, or the client is gone.
+    /// Spilled messages of a lane were not stored after all: one with the same id waits already, or the client has
+    /// disconnected.
     SpillDropped {
         /// The lane.
         lane: Lane,
         /// How many.
         count: u32,
     },
-    /// Messages have left the disk otherwise than by a fetch or at their end: another took their place, say.
+    /// Messages were removed from disk other than by a fetch or on expiry, for example because another message
+    /// replaced them.
     RemovedFromDisk {
         /// The lane.
         lane: Lane,
         /// How many.
         count: u64,
     },
-    /// A fetch is done: its messages are in memory, in order, and no longer on disk.
+    /// A fetch is complete: its messages are in memory, in order, and no longer on disk.
     Fetched {
         /// The lane.
         lane: Lane,
-        /// How many there were.
+        /// How many messages were fetched.
         count: u32,
-        /// The lane had no more when it was read.
+        /// The lane had no further messages when it was read.
         exhausted: bool,
     },
-    /// A fetch could not be carried out; nothing of it is in memory.
+    /// A fetch failed; none of its messages are in memory.
     FetchFailed {
         /// The lane.
         lane: Lane,
     },
-    /// A message has left the memory for good.
+    /// A message was removed from memory for good.
     LeftMemory {
         /// Its destination.
         destination: u64,
-        /// How.
+        /// How it was removed.
         outcome: Outcome,
     },
     /// An attempt failed, and its message stays in memory.
@@ -113,104 +116,105 @@
         /// The destination.
         destination: u64,
     },
-    /// How many of a destination's messages are out in a call just now.
+    /// The number of a destination's messages that are part of a call in flight.
     CallsInFlight {
         /// The destination.
         destination: u64,
-        /// The messages.
+        /// How many messages.
         count: u32,
     },
-    /// A destination told when to come back.
+    /// A destination requested a backoff.
     BackoffRequested {
         /// The destination.
         destination: u64,
-        /// When, on the clock of `now`.
+        /// The end of the backoff, on the clock of `now`.
         until: Duration,
     },
-    /// A destination is known to be back, by discovery or another instance.
+    /// A destination is known to be available again, from discovery or from another instance.
     DestinationRecovered {
         /// The destination.
         destination: u64,
     },
-    /// These are on disk again, at their old places: as `Evict` asked, or because they can't go soon.
+    /// Messages are back on disk at their old positions, as [`Action::Evict`] requested or because they cannot be
+    /// sent soon.
     Evicted {
         /// The destination.
         destination: u64,
-        /// Messages given back, by class; empty if all are out in calls.
+        /// Messages returned to disk, by class; empty if all are part of calls in flight.
         returned: Vec<(ClassNumber, u32)>,
     },
-    /// A slice of the deadline index was read, and the ends of what it had were told.
+    /// A batch of the deadline index was read, and the expiry of its messages was reported.
     ExpiredRead {
-        /// What is no longer on disk.
+        /// Messages that are no longer on disk.
         expired: Vec<LaneCount>,
-        /// There are further messages whose time is over.
+        /// The index has further expired messages.
         more: bool,
-        /// Time until the earliest deadline that is still ahead.
+        /// Time until the earliest deadline that has not passed.
         earliest_deadline_in: Option<Duration>,
     },
     /// The read of the deadline index failed.
     ExpiredReadFailed,
-    /// Bytes that the store uses, and its quota.
+    /// Disk usage of the store, and its quota.
     Usage {
-        /// Used.
+        /// Bytes used.
         used: u64,
-        /// The quota.
+        /// The quota in bytes.
         quota: u64,
     },
-    /// The store takes messages again, as a probe showed.
+    /// The store accepts messages again, as shown by a probe.
     StoreRecovered,
     /// The settings have changed.
     SettingsChanged(Settings),
-    /// Time has passed: `next_deadline` is reached.
+    /// The time returned by [`Planner::next_deadline`](super::Planner::next_deadline) has been reached.
     Tick,
 }
 
-/// What the caller does, in the order given.
+/// An action that the caller carries out, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// The message goes to the decision module, in memory.
+    /// Pass the message to the decision module; it stays in memory.
     AdmitToMemory {
         /// The caller's number.
         arrival: ArrivalId,
     },
-    /// The message goes to the store.
+    /// Append the message to the store.
     Spill {
         /// The caller's number.
         arrival: ArrivalId,
         /// Its lane.
         lane: Lane,
     },
-    /// The message is refused at once.
+    /// Refuse the message.
     Refuse {
         /// The caller's number.
         arrival: ArrivalId,
-        /// When to come back.
+        /// When the client should retry.
         retry_after: Duration,
         /// Why.
         reason: RefusalReason,
     },
-    /// The lane's first messages are read from disk into memory.
+    /// Read the first messages of the lane from disk into memory.
     Fetch {
         /// The lane.
         lane: Lane,
-        /// How many at most.
+        /// Maximum number of messages.
         limit: u32,
     },
-    /// The destination's messages that are not out in a call are put back on disk.
+    /// Put the destination's messages back on disk, except those that are part of a call in flight.
     Evict {
         /// The destination.
         destination: u64,
     },
-    /// A slice of the messages whose time is over is read, told and removed.
+    /// Read a batch of expired messages, report their expiry and remove them.
     ReadExpired {
-        /// How many at most.
+        /// Maximum number of messages.
         limit: u32,
     },
-    /// The store is tried with a write of its own.
+    /// Probe the store with a write of its own.
     ProbeStore,
-    /// What the store is taken for has changed: a line for the log.
+    /// The health of the store has changed; the caller logs it.
     HealthChanged {
-        /// What it is taken for now.
+        /// The new health.
         health: StoreHealth,
     },
 }
@@ -218,23 +222,23 @@
 /// Why a message was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// What waits ahead of it takes longer than its time.
+    /// The messages ahead of it would take longer to deliver than its remaining time.
     TooLate,
-    /// The store takes nothing: full, failing or slow.
+    /// The store accepts nothing: it is full, failing or slow.
     Store(StoreHealth),
     /// Too many messages are on their way to the disk.
     Busy,
 }
 
-/// What the store is taken for.
+/// The state of the store, as inferred from its responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreHealth {
-    /// It answers.
+    /// It responds in time.
     #[default]
     Healthy,
-    /// It has left something unanswered for half a second.
+    /// It has completed nothing for half a second although requests were outstanding.
     Slow,
-    /// Its quota or disk is used up.
+    /// Its quota or the disk is exhausted.
     Full,
     /// A write failed.
     Failed,
--- a/backlog/src/planner/expiry.rs
+++ b/backlog/src/planner/expiry.rs
@@ -1,86 +1,95 @@
-//! When the deadline index is read, and how much of it at once.
+//! Decides when the deadline index is read, and how much of it in one read.
 //!
-//! A burst begins when the first deadline has passed and ends when a read finds no more. Within it, reads are paced
-//! by an absolute schedule: by `t` after its begin, `rate * t` messages and one slice may have been read. What a
-//! stall of the store left behind is therefore caught up with, and a read never takes more than `MOST_SLICE`, so a
-//! fetch waits behind one slice at most.
+//! A burst begins when the first deadline has passed and ends when a read finds no further expired messages. Within
+//! a burst, reads follow an absolute schedule: at time `t` after its start, at most `rate * t` messages plus one
+//! slice may have been read. Expiries that a stall of the store delayed are therefore caught up with. A read never
+//! takes more than `MAX_SLICE` messages, so a fetch waits for one slice at most.
 use std::time::Duration;
 
-/// Messages of an ordinary slice, and the most of a read that catches up.
+/// Messages in an ordinary slice, and the maximum for a read that catches up.
 const SLICE: u64 = 1_000;
-const MOST_SLICE: u64 = 5_000;
+const MAX_SLICE: u64 = 5_000;
 
-/// The index is read this often while anything waits, whatever is known of deadlines: the wall clock may be set.
-pub const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+/// The index is read at least this often while messages wait, whatever deadlines are known: the wall clock may be
+/// set.
+pub const MAX_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two reads at least: within a burst, and where the last read found no more.
-const BURST_PAUSE: Duration = Duration::from_millis(1);
-const QUIET_PAUSE: Duration = Duration::from_millis(50);
+/// Minimum time between two reads: within a burst, and after a read that found no further expired messages.
+const MIN_BURST_INTERVAL: Duration = Duration::from_millis(1);
+const MIN_IDLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause after a read that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(500);
+/// Pause after a failed read.
+const FAILED_READ_PAUSE: Duration = Duration::from_millis(500);
 
-/// Paces the reads.
+/// Paces the reads of the deadline index.
 #[derive(Debug, Default)]
 pub struct ExpiryPacer {
     /// When the next read is due.
     due: Option<Duration>,
-    /// When the burst began, and what was read of it.
+    /// Start of the burst, and the number of messages read in it.
     burst: Option<(Duration, u64)>,
     reading: bool,
-    /// No read before this time.
+    /// Earliest time of the next read.
     not_before: Duration,
 }
 
 impl ExpiryPacer {
-    /// A message that ends at this time waits on disk.
-    pub fn waits_until(&mut self, now: Duration, end: Duration) {
-        let end = end.min(now + LONGEST_PAUSE);
-        self.due = Some(self.due.map_or(end, |due| due.min(end)));
+    /// Records that a message with this deadline waits on disk.
+    pub fn track_deadline(&mut self, now: Duration, deadline: Duration) {
+        let deadline = deadline.min(now + MAX_READ_INTERVAL);
+        self.due = Some(self.due.map_or(deadline, |due| due.min(deadline)));
     }
 
-    /// When the next read is due.
+    /// The time of the next read; `None` while a read is in flight.
     pub fn next_read(&self) -> Option<Duration> {
         self.due.filter(|_| !self.reading).map(|due| due.max(self.not_before))
     }
 
-    /// What to read now, if a read is due.
-    /// What waits from now on is told by `waits_until` and `read_done`.
-    pub fn read(&mut self, now: Duration, rate: u32) -> Option<u32> {
+    /// Starts a read if one is due, and returns the maximum number of messages to read. Deadlines from then on are
+    /// recorded by `track_deadline` and `read_done`.
+    pub fn start_read(&mut self, now: Duration, rate: u32) -> Option<u32> {
         self.next_read().filter(|due| *due <= now)?;
         self.due = None;
-        let (begun, read) = *self.burst.get_or_insert((now, 0));
-        let scheduled = (now.saturating_sub(begun).as_secs_f64() * f64::from(rate)) as u64 + SLICE;
-        let limit = scheduled.saturating_sub(read).clamp(1, MOST_SLICE);
+        let (burst_start, read) = *self.burst.get_or_insert((now, 0));
+        let scheduled = (now.saturating_sub(burst_start).as_secs_f64() * f64::from(rate)) as u64 + SLICE;
+        let limit = scheduled.saturating_sub(read).clamp(1, MAX_SLICE);
         self.reading = true;
         Some(limit as u32)
     }
 
-    /// A read is done: what it ended, and the time until the earliest deadline ahead.
-    pub fn read_done(&mut self, now: Duration, count: u64, more: bool, next: Option<Duration>, rate: u32) {
+    /// Records a completed read: how many messages expired, whether there are more, and the time until the next
+    /// deadline.
+    pub fn read_done(
+        &mut self,
+        now: Duration,
+        count: u64,
+        more: bool,
+        next_deadline_in: Option<Duration>,
+        rate: u32,
+    ) {
         self.reading = false;
         let due = if more {
-            let (begun, read) = self.burst.get_or_insert((now, 0));
+            let (burst_start, read) = self.burst.get_or_insert((now, 0));
             *read += count;
-            let scheduled = *begun + Duration::from_secs_f64(*read as f64 / f64::from(rate.max(1)));
-            self.not_before = now + BURST_PAUSE;
+            let scheduled = *burst_start + Duration::from_secs_f64(*read as f64 / f64::from(rate.max(1)));
+            self.not_before = now + MIN_BURST_INTERVAL;
             scheduled
         } else {
             self.burst = None;
-            self.not_before = now + QUIET_PAUSE;
-            now.saturating_add(next.unwrap_or(LONGEST_PAUSE))
+            self.not_before = now + MIN_IDLE_INTERVAL;
+            now.saturating_add(next_deadline_in.unwrap_or(MAX_READ_INTERVAL))
         };
-        self.waits_until(now, due);
+        self.track_deadline(now, due);
     }
 
-    /// Nothing waits on disk.
-    pub fn nothing_waits(&mut self) {
+    /// Cancels the next read, as nothing waits on disk.
+    pub fn clear(&mut self) {
         self.due = None;
     }
 
-    /// A read failed.
+    /// Records a failed read.
     pub fn read_failed(&mut self, now: Duration) {
         self.reading = false;
-        self.due = Some(now + FAILED_PAUSE);
+        self.due = Some(now + FAILED_READ_PAUSE);
     }
 }
--- a/backlog/src/planner/fair_share.rs
+++ b/backlog/src/planner/fair_share.rs
@@ -1,39 +1,40 @@
 //! Start-time fair queueing over the classes of one destination.
 //!
-//! A lane's next message has the start tag `max(virtual time, finish tag of the lane's last)` and the finish tag
-//! `start + 1 / weight`. The waiting lane with the least start tag is served, and its start tag becomes the virtual
-//! time. Two lanes that both wait throughout are therefore served in the ratio of their weights, to within one
-//! message each, whatever the others do; a lane that was empty neither has saved anything up nor owes anything.
+//! The next message of a lane has the start tag `max(virtual time, finish tag of the lane's last message)` and the
+//! finish tag `start + 1 / weight`. The waiting lane with the lowest start tag is served, and its start tag becomes
+//! the virtual time. Two lanes that both wait throughout are therefore served in the ratio of their weights, to
+//! within one message each, whatever the other lanes do. An idle lane accumulates neither credit nor debt.
 use super::settings::Settings;
 use crate::message::ClassNumber;
 
-/// A batch is split in this many turns at most, each of one message or more.
-const TURNS: u32 = 64;
+/// Maximum number of rounds over which a refill is split; each round serves one message or more.
+const MAX_SPLIT_ROUNDS: u32 = 64;
 
-/// What a destination has of one class.
+/// The planner's state of one lane.
 #[derive(Clone, Debug)]
 pub struct LaneState {
     /// The class.
     pub class: ClassNumber,
     /// Messages on their way to the disk.
     pub pending: u32,
-    /// Messages asked for by a fetch that is not done.
+    /// Messages requested by a fetch in flight.
     pub requested: u32,
     /// Messages on disk.
     pub on_disk: u64,
-    /// Messages stored since the fetch was asked for.
+    /// Messages stored since the fetch was requested.
     pub stored_since_fetch: u64,
-    /// Finish tag of the last message that was served.
+    /// Finish tag of the last message served.
     finish: f64,
 }
 
 impl LaneState {
-    /// A lane with nothing.
+    /// Creates an empty lane.
     pub fn new(class: ClassNumber) -> LaneState {
         LaneState { class, pending: 0, requested: 0, on_disk: 0, stored_since_fetch: 0, finish: 0.0 }
     }
 
-    /// Nothing of it is on disk or between disk and memory: the next one may go straight to memory.
+    /// True if no messages of the lane are on disk or between disk and memory, so that the next one may go straight
+    /// to memory.
     pub fn is_clear(&self) -> bool {
         self.pending == 0 && self.requested == 0 && self.on_disk == 0
     }
@@ -46,13 +47,13 @@
 /// The lanes of one destination, and the virtual time that orders them.
 #[derive(Clone, Debug, Default)]
 pub struct FairShare {
-    /// Lanes, by class.
+    /// Lanes, sorted by class.
     pub lanes: Vec<LaneState>,
     virtual_time: f64,
 }
 
 impl FairShare {
-    /// The lane of a class, made if it isn't there.
+    /// The lane of a class, created if there is none.
     pub fn lane(&mut self, class: ClassNumber) -> &mut LaneState {
         let index = match self.lanes.binary_search_by_key(&class, |lane| lane.class) {
             Ok(index) => index,
@@ -70,29 +71,30 @@
         self.lanes.iter().map(|lane| lane.on_disk).sum()
     }
 
-    /// Splits a refill over the lanes that wait: messages by class, the order of service within the window aside.
+    /// Splits a refill over the waiting lanes: the number of messages to fetch per class. The order of service
+    /// within the refill is not kept.
     pub fn split(&mut self, room: u32, settings: &Settings) -> Vec<(ClassNumber, u32)> {
         let mut granted = vec![0_u32; self.lanes.len()];
-        let turn = room.div_ceil(TURNS).max(1);
-        let mut left = room;
-        while left > 0 {
+        let quantum = room.div_ceil(MAX_SPLIT_ROUNDS).max(1);
+        let mut remaining = room;
+        while remaining > 0 {
             let waiting = |index: usize| self.lanes[index].on_disk > u64::from(granted[index]);
-            let Some(index) = self.first(waiting) else { break };
+            let Some(index) = self.next_lane(waiting) else { break };
             let available = self.lanes[index].on_disk - u64::from(granted[index]);
-            let count = u64::from(turn.min(left)).min(available) as u32;
+            let count = u64::from(quantum.min(remaining)).min(available) as u32;
             self.charge(index, count, settings);
             granted[index] += count;
-            left -= count;
+            remaining -= count;
         }
         let classes = self.lanes.iter().map(|lane| lane.class);
         classes.zip(granted).filter(|(_, count)| *count > 0).collect()
     }
 
-    /// A message of a clear lane would go straight to memory past lanes that wait: granted, and charged, if its turn
-    /// is not after theirs.
-    pub fn take_turn(&mut self, class: ClassNumber, settings: &Settings) -> bool {
+    /// Admits an arrival straight to memory, ahead of lanes that wait on disk, if its start tag is not greater than
+    /// theirs. An admitted message is charged to its lane.
+    pub fn try_admit(&mut self, class: ClassNumber, settings: &Settings) -> bool {
         self.lane(class);
-        let Some(first) = self.first(|index| self.lanes[index].on_disk > 0) else { return true };
+        let Some(first) = self.next_lane(|index| self.lanes[index].on_disk > 0) else { return true };
         let first_start = self.lanes[first].start(self.virtual_time);
         let Some(index) = self.lanes.iter().position(|lane| lane.class == class) else { return true };
         let granted = self.lanes[index].start(self.virtual_time) <= first_start;
@@ -102,20 +104,20 @@
         granted
     }
 
-    /// Messages on disk that are served before a new one of the class, if nothing else came.
+    /// The number of waiting messages that would be served before a new one of the class, if nothing else arrived.
     pub fn ahead(&mut self, class: ClassNumber, settings: &Settings) -> f64 {
         let lane = self.lane(class);
         let own = lane.on_disk + u64::from(lane.pending);
-        let turns = (own + 1) as f64 / settings.weight(class);
+        let rounds = (own + 1) as f64 / settings.weight(class);
         let others = self.lanes.iter().filter(|lane| lane.class != class);
         let share = |lane: &LaneState| {
             let waiting = (lane.on_disk + u64::from(lane.pending)) as f64;
-            waiting.min(turns * settings.weight(lane.class))
+            waiting.min(rounds * settings.weight(lane.class))
         };
         own as f64 + others.map(share).sum::<f64>()
     }
 
-    fn first(&self, waits: impl Fn(usize) -> bool) -> Option<usize> {
+    fn next_lane(&self, waits: impl Fn(usize) -> bool) -> Option<usize> {
         let start = |index: &usize| self.lanes[*index].start(self.virtual_time);
         (0..self.lanes.len()).filter(|index| waits(*index)).min_by(|a, b| start(a).total_cmp(&start(b)))
     }
--- a/backlog/src/planner/health.rs
+++ b/backlog/src/planner/health.rs
@@ -1,52 +1,53 @@
-//! What the store is taken for: Healthy, Slow, Full or Failed, each left only by evidence.
+//! Infers the state of the store: Healthy, Slow, Full or Failed. A state changes only on evidence from the store.
 use std::time::Duration;
 
 use super::event::{StoreFault, StoreHealth};
 
-/// The store is slow once something was left unanswered for this long.
+/// The store counts as slow once it has completed nothing for this long with requests outstanding.
 const SLOW_AFTER: Duration = Duration::from_millis(500);
 
-/// It is healthy again once its answers have come without such a gap for this long.
-const STEADY_FOR: Duration = Duration::from_millis(250);
+/// A slow store counts as healthy once it has responded without such a gap for this long.
+const RECOVERY_PERIOD: Duration = Duration::from_millis(250);
 
-/// The quota is used up until this share of it is free again.
-const FREE_AGAIN: f64 = 0.05;
+/// Share of the quota that must be free before an exhausted quota counts as available again.
+const QUOTA_HYSTERESIS: f64 = 0.05;
 
-/// Pauses between probes of a store that is full or fails.
-const FIRST_PROBE: Duration = Duration::from_secs(1);
-const LONGEST_PROBE: Duration = Duration::from_secs(30);
+/// Interval between probes of a store that is full or failing: the first, and the maximum of the exponential
+/// backoff.
+const INITIAL_PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const MAX_PROBE_INTERVAL: Duration = Duration::from_secs(30);
 
-/// When a client comes back to a store that stalls.
-const SLOW_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay for clients of a stalled store.
+const SLOW_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Follows the store's answers.
+/// Tracks the responses of the store.
 #[derive(Debug, Default)]
 pub struct HealthMonitor {
     state: StoreHealth,
     outstanding: u64,
-    /// Since when the store has answered nothing, with something outstanding.
+    /// Since when the store has completed nothing, with requests outstanding.
     silent_since: Option<Duration>,
-    /// When a slow store began to answer again.
+    /// When a slow store began to respond again.
     steady_since: Option<Duration>,
     next_probe: Duration,
-    probe_pause: Duration,
+    probe_interval: Duration,
     over_quota: bool,
 }
 
 impl HealthMonitor {
-    /// What the store is taken for.
+    /// The current state.
     pub fn state(&self) -> StoreHealth {
         self.state
     }
 
-    /// Something was asked of the store.
-    pub fn asked(&mut self, now: Duration) {
+    /// Records a request to the store.
+    pub fn request_sent(&mut self, now: Duration) {
         self.outstanding += 1;
         self.silent_since.get_or_insert(now);
     }
 
-    /// The store answered these many requests, in whatever way.
-    pub fn answered(&mut self, now: Duration, requests: u64) {
+    /// Records that the store completed this many requests, successfully or not.
+    pub fn requests_completed(&mut self, now: Duration, requests: u64) {
         self.outstanding = self.outstanding.saturating_sub(requests);
         self.silent_since = (self.outstanding > 0).then_some(now);
         if self.state == StoreHealth::Slow {
@@ -54,8 +55,8 @@
         }
     }
 
-    /// A write failed.
-    pub fn failed(&mut self, now: Duration, fault: StoreFault) {
+    /// Records a failed write.
+    pub fn write_failed(&mut self, now: Duration, fault: StoreFault) {
         let state = match fault {
             StoreFault::Full => StoreHealth::Full,
             StoreFault::Failing => StoreHealth::Failed,
@@ -63,21 +64,21 @@
         self.enter_refusing(now, state);
     }
 
-    /// The store took a write.
+    /// Records a successful probe.
     pub fn recovered(&mut self) {
         if matches!(self.state, StoreHealth::Full | StoreHealth::Failed) && !self.over_quota {
             self.state = StoreHealth::Healthy;
         }
     }
 
-    /// What the store uses of its quota.
+    /// Records the disk usage and the quota.
     pub fn usage(&mut self, now: Duration, used: u64, quota: u64) {
         if used >= quota {
             self.over_quota = true;
             if self.state != StoreHealth::Failed {
                 self.enter_refusing(now, StoreHealth::Full);
             }
-        } else if used as f64 <= quota as f64 * (1.0 - FREE_AGAIN) {
+        } else if used as f64 <= quota as f64 * (1.0 - QUOTA_HYSTERESIS) {
             self.over_quota = false;
             if self.state == StoreHealth::Full {
                 self.state = StoreHealth::Healthy;
@@ -88,12 +89,12 @@
     fn enter_refusing(&mut self, now: Duration, state: StoreHealth) {
         if self.state != state {
             self.state = state;
-            self.probe_pause = FIRST_PROBE;
-            self.next_probe = now + FIRST_PROBE;
+            self.probe_interval = INITIAL_PROBE_INTERVAL;
+            self.next_probe = now + INITIAL_PROBE_INTERVAL;
         }
     }
 
-    /// Time has passed. True if the store is to be probed.
+    /// Updates the state for the time passed; true if the store is to be probed now.
     pub fn tick(&mut self, now: Duration) -> bool {
         match self.state {
             StoreHealth::Healthy if self.silent_for(now) >= SLOW_AFTER => {
@@ -105,34 +106,34 @@
                 if self.silent_for(now) >= SLOW_AFTER {
                     self.steady_since = None;
                 }
-                if self.steady_since.is_some_and(|since| now.saturating_sub(since) >= STEADY_FOR) {
+                if self.steady_since.is_some_and(|since| now.saturating_sub(since) >= RECOVERY_PERIOD) {
                     self.state = StoreHealth::Healthy;
                 }
                 false
             }
             StoreHealth::Full | StoreHealth::Failed if now >= self.next_probe => {
-                self.probe_pause = (self.probe_pause * 2).min(LONGEST_PROBE);
-                self.next_probe = now + self.probe_pause;
+                self.probe_interval = (self.probe_interval * 2).min(MAX_PROBE_INTERVAL);
+                self.next_probe = now + self.probe_interval;
                 true
             }
             _ => false,
         }
     }
 
-    /// When `tick` has something to do.
+    /// The time at which `tick` is needed next.
     pub fn next_deadline(&self) -> Option<Duration> {
         match self.state {
             StoreHealth::Healthy => self.silent_since.map(|since| since + SLOW_AFTER),
-            StoreHealth::Slow => self.steady_since.map(|since| since + STEADY_FOR),
+            StoreHealth::Slow => self.steady_since.map(|since| since + RECOVERY_PERIOD),
             StoreHealth::Full | StoreHealth::Failed => Some(self.next_probe),
         }
     }
 
-    /// When a client that is refused for the store comes back.
+    /// The retry delay for a client that is refused because of the store.
     pub fn retry_after(&self, now: Duration) -> Duration {
         match self.state {
-            StoreHealth::Healthy | StoreHealth::Slow => SLOW_RETRY,
-            _ => self.next_probe.saturating_sub(now).max(SLOW_RETRY),
+            StoreHealth::Healthy | StoreHealth::Slow => SLOW_RETRY_AFTER,
+            _ => self.next_probe.saturating_sub(now).max(SLOW_RETRY_AFTER),
         }
     }
 
--- a/backlog/src/planner/slots.rs
+++ b/backlog/src/planner/slots.rs
@@ -1,30 +1,30 @@
-//! Indexes over all destinations: who holds slots, who holds them without progress, whose told wait ends when.
+//! Indexes over all destinations: slots in use, slots in use without progress, and the end of requested backoffs.
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use super::destination::Destination;
 use super::settings::Settings;
 
-/// Part of all slots that destinations on trial may have together.
-const TRIAL_SHARE: u64 = 4;
+/// Half-open destinations together may use one in this many of all slots.
+const HALF_OPEN_DIVISOR: u64 = 4;
 
-/// What the indexes have of one destination.
+/// The indexed values of one destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Entry {
+pub struct IndexEntry {
     occupancy: u32,
-    on_trial: bool,
+    half_open: bool,
     on_disk: u64,
     stalled_since: Option<Duration>,
     refill_from: Option<Duration>,
 }
 
-impl Entry {
-    /// What the indexes are to have of a destination.
-    pub fn of(destination: &Destination, now: Duration, settings: &Settings) -> Entry {
+impl IndexEntry {
+    /// Reads the values to index from a destination's record.
+    pub fn of(destination: &Destination, now: Duration, settings: &Settings) -> IndexEntry {
         let refill_from = destination.refill_from(settings);
-        Entry {
+        IndexEntry {
             occupancy: destination.occupancy(),
-            on_trial: destination.on_trial,
+            half_open: destination.half_open,
             on_disk: destination.share.on_disk(),
             stalled_since: destination.stalled_since(),
             refill_from: (refill_from > now).then_some(refill_from),
@@ -32,20 +32,20 @@
     }
 }
 
-/// The indexes and sums.
+/// The indexes, and sums over all destinations.
 #[derive(Debug, Default)]
 pub struct Slots {
     used: u64,
-    used_on_trial: u64,
+    used_half_open: u64,
     on_disk: u64,
     stalled_ready: BTreeSet<(Duration, u64)>,
-    stalled_trial: BTreeSet<(Duration, u64)>,
+    stalled_half_open: BTreeSet<(Duration, u64)>,
     refills: BTreeSet<(Duration, u64)>,
 }
 
 impl Slots {
-    /// Replaces what is known of a destination.
-    pub fn replace(&mut self, id: u64, before: Entry, after: Entry) {
+    /// Replaces the indexed values of a destination.
+    pub fn replace(&mut self, id: u64, before: IndexEntry, after: IndexEntry) {
         if before == after {
             return;
         }
@@ -53,39 +53,39 @@
         self.insert(id, after);
     }
 
-    fn remove(&mut self, id: u64, entry: Entry) {
+    fn remove(&mut self, id: u64, entry: IndexEntry) {
         self.used -= u64::from(entry.occupancy);
         self.on_disk -= entry.on_disk;
-        if entry.on_trial {
-            self.used_on_trial -= u64::from(entry.occupancy);
+        if entry.half_open {
+            self.used_half_open -= u64::from(entry.occupancy);
         }
         if let Some(since) = entry.stalled_since {
-            self.stalled(entry.on_trial).remove(&(since, id));
+            self.stalled(entry.half_open).remove(&(since, id));
         }
         if let Some(from) = entry.refill_from {
             self.refills.remove(&(from, id));
         }
     }
 
-    fn insert(&mut self, id: u64, entry: Entry) {
+    fn insert(&mut self, id: u64, entry: IndexEntry) {
         self.used += u64::from(entry.occupancy);
         self.on_disk += entry.on_disk;
-        if entry.on_trial {
-            self.used_on_trial += u64::from(entry.occupancy);
+        if entry.half_open {
+            self.used_half_open += u64::from(entry.occupancy);
         }
         if let Some(since) = entry.stalled_since {
-            self.stalled(entry.on_trial).insert((since, id));
+            self.stalled(entry.half_open).insert((since, id));
         }
         if let Some(from) = entry.refill_from {
             self.refills.insert((from, id));
         }
     }
 
-    fn stalled(&mut self, on_trial: bool) -> &mut BTreeSet<(Duration, u64)> {
-        if on_trial { &mut self.stalled_trial } else { &mut self.stalled_ready }
+    fn stalled(&mut self, half_open: bool) -> &mut BTreeSet<(Duration, u64)> {
+        if half_open { &mut self.stalled_half_open } else { &mut self.stalled_ready }
     }
 
-    /// Messages in memory or on their way there.
+    /// Slots in use: messages in memory or on their way there.
     pub fn used(&self) -> u64 {
         self.used
     }
@@ -100,26 +100,27 @@
         settings.slots().saturating_sub(self.used)
     }
 
-    /// Slots that destinations on trial may still have.
-    pub fn free_for_trials(&self, settings: &Settings) -> u64 {
-        let share = (settings.slots() / TRIAL_SHARE).max(1).saturating_sub(self.used_on_trial);
+    /// Free slots available to half-open destinations.
+    pub fn free_for_half_open(&self, settings: &Settings) -> u64 {
+        let share = (settings.slots() / HALF_OPEN_DIVISOR).max(1).saturating_sub(self.used_half_open);
         share.min(self.free(settings))
     }
 
-    /// Who holds slots without progress for longest, of those on trial or of all, and since when.
-    pub fn longest_stalled(&self, only_trials: bool) -> Option<(Duration, u64)> {
-        let trial = self.stalled_trial.first();
-        let ready = self.stalled_ready.first().filter(|_| !only_trials);
-        trial.into_iter().chain(ready).min().copied()
+    /// The destination that has used slots without progress for longest, of all or of the half-open ones, and since
+    /// when.
+    pub fn longest_stalled(&self, only_half_open: bool) -> Option<(Duration, u64)> {
+        let half_open = self.stalled_half_open.first();
+        let ready = self.stalled_ready.first().filter(|_| !only_half_open);
+        half_open.into_iter().chain(ready).min().copied()
     }
 
-    /// Whose told wait is next to be over, but for the time in which its window is filled.
+    /// The destination whose refill after a requested backoff comes first, and when.
     pub fn next_refill(&self) -> Option<(Duration, u64)> {
         self.refills.first().copied()
     }
 
-    /// A refill's time has come.
-    pub fn refill_reached(&mut self, now: Duration) -> Option<u64> {
+    /// The destination whose refill is due.
+    pub fn due_refill(&mut self, now: Duration) -> Option<u64> {
         let (from, id) = self.next_refill()?;
         (from <= now).then_some(id)
     }
--- a/backlog/src/planner/tests/world.rs
+++ b/backlog/src/planner/tests/simulation.rs
@@ -1,15 +1,15 @@
-//! A world in virtual time for the planner: a store with one thread that may stall or fail, destinations that take
-//! messages at a rate and may be down, and clients. It checks that nothing is lost or doubled, that the order within
-//! a lane is kept and that the slots are not exceeded.
+//! A simulation in virtual time around the planner: a single-threaded store that may stall or fail, destinations
+//! that accept messages at a rate and may be down, and clients. It checks that no message is lost or completed
+//! twice, that the order within each lane is kept, and that the slots are not exceeded.
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 use crate::message::{ClassNumber, Lane};
 use crate::planner::{Action, Event, LaneCount, Outcome, Planner, Settings, StoreFault};
 
-/// Time of an operation of the store, and of each message in it.
-const OPERATION: Duration = Duration::from_micros(100);
-const MESSAGE: Duration = Duration::from_micros(2);
+/// Duration of a store operation, and the additional time for each message in it.
+const OPERATION_TIME: Duration = Duration::from_micros(100);
+const MESSAGE_TIME: Duration = Duration::from_micros(2);
 
 pub fn lane(destination: u64, class: u16) -> Lane {
     Lane { destination, class: ClassNumber(class) }
@@ -19,7 +19,7 @@
     Duration::from_secs_f64(seconds)
 }
 
-/// A message; its number is its place in the order of arrival.
+/// A message. Numbers increase in the order of arrival.
 #[derive(Clone, Copy, Debug)]
 pub struct Message {
     pub number: u64,
@@ -55,7 +55,7 @@
 pub struct Clients {
     pub lane: Lane,
     pub every: Duration,
-    pub life: Duration,
+    pub ttl: Duration,
     pub until: Duration,
 }
 
@@ -67,16 +67,16 @@
     Probe,
 }
 
-enum Happening {
+enum ScheduledEvent {
     Arrive(Clients),
     Done(Operation),
     Serve(u64),
     Tick,
 }
 
-/// How a message ended, and when.
+/// How a message completed, and when.
 #[derive(Clone, Copy, Debug)]
-pub struct End {
+pub struct Completion {
     pub message: Message,
     pub at: Duration,
     pub delivered: bool,
@@ -86,65 +86,65 @@
 pub struct Refusal {
     pub at: Duration,
     pub lane: Lane,
-    /// Messages that the destination has before it.
+    /// Messages ahead of it at the destination.
     pub ahead: usize,
 }
 
-pub struct World {
+pub struct Simulation {
     pub planner: Planner,
     pub now: Duration,
     pub endpoints: BTreeMap<u64, Endpoint>,
-    pub ends: Vec<End>,
+    pub completions: Vec<Completion>,
     pub refusals: Vec<Refusal>,
-    /// Stalls of the store: when, and how long.
+    /// Stalls of the store: start and length.
     pub stalls: Vec<(Duration, Duration)>,
     pub faults: Vec<(Duration, Duration, StoreFault)>,
     pub expiry_reads: u64,
     slots: u64,
-    happenings: BTreeMap<(Duration, u64), Happening>,
-    happened: u64,
+    events: BTreeMap<(Duration, u64), ScheduledEvent>,
+    last_event_number: u64,
     store: BTreeMap<Lane, BTreeMap<u64, Message>>,
     deadlines: BTreeSet<(Duration, u64, Lane)>,
-    store_free: Duration,
+    store_free_at: Duration,
     arriving: BTreeMap<u64, Message>,
-    taken: u64,
+    accepted: u64,
     last_delivered: BTreeMap<Lane, u64>,
-    ended: BTreeSet<u64>,
-    numbers: u64,
+    completed: BTreeSet<u64>,
+    last_number: u64,
     tick: Duration,
 }
 
-impl World {
-    pub fn new(settings: Settings) -> World {
-        World {
+impl Simulation {
+    pub fn new(settings: Settings) -> Simulation {
+        Simulation {
             slots: settings.slots(),
             planner: Planner::new(settings),
             now: Duration::ZERO,
             endpoints: BTreeMap::new(),
-            ends: Vec::new(),
+            completions: Vec::new(),
             refusals: Vec::new(),
             stalls: Vec::new(),
             faults: Vec::new(),
             expiry_reads: 0,
-            happenings: BTreeMap::new(),
-            happened: 0,
+            events: BTreeMap::new(),
+            last_event_number: 0,
             store: BTreeMap::new(),
             deadlines: BTreeSet::new(),
-            store_free: Duration::ZERO,
+            store_free_at: Duration::ZERO,
             arriving: BTreeMap::new(),
-            taken: 0,
+            accepted: 0,
             last_delivered: BTreeMap::new(),
-            ended: BTreeSet::new(),
-            numbers: 0,
+            completed: BTreeSet::new(),
+            last_number: 0,
             tick: Duration::MAX,
         }
     }
 
-    /// Messages that an earlier process left on disk; `open` tells the planner.
+    /// Stores messages left by an earlier process; `open` reports them to the planner.
     pub fn stored(&mut self, lane: Lane, count: u64, deadline: Duration) {
         for _ in 0..count {
             let message = self.message(lane, deadline);
-            self.taken += 1;
+            self.accepted += 1;
             self.insert(message);
         }
     }
@@ -153,12 +153,12 @@
         let lanes =
             self.store.iter().map(|(lane, all)| LaneCount { lane: *lane, messages: all.len() as u64 });
         let lanes = lanes.collect();
-        let earliest_deadline_in = self.deadlines.first().map(|(end, ..)| *end);
-        self.tell(Event::Opened { lanes, earliest_deadline_in });
+        let earliest_deadline_in = self.deadlines.first().map(|(deadline, ..)| *deadline);
+        self.notify_planner(Event::Opened { lanes, earliest_deadline_in });
     }
 
     pub fn clients(&mut self, from: Duration, clients: Clients) {
-        self.schedule(from, Happening::Arrive(clients));
+        self.schedule(from, ScheduledEvent::Arrive(clients));
     }
 
     pub fn stall_every(&mut self, every: f64, longest: f64, until: f64) {
@@ -173,47 +173,47 @@
     }
 
     pub fn run(&mut self, until: Duration) {
-        while let Some(entry) = self.happenings.first_entry().filter(|entry| entry.key().0 <= until) {
-            let ((at, _), happening) = entry.remove_entry();
+        while let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= until) {
+            let ((at, _), event) = entry.remove_entry();
             self.now = at;
-            match happening {
-                Happening::Arrive(clients) => self.arrive(clients),
-                Happening::Done(operation) => self.done(operation),
-                Happening::Serve(destination) => self.serve(destination),
-                Happening::Tick if at == self.tick => {
+            match event {
+                ScheduledEvent::Arrive(clients) => self.arrive(clients),
+                ScheduledEvent::Done(operation) => self.done(operation),
+                ScheduledEvent::Serve(destination) => self.serve(destination),
+                ScheduledEvent::Tick if at == self.tick => {
                     self.tick = Duration::MAX;
-                    self.tell(Event::Tick);
+                    self.notify_planner(Event::Tick);
                 }
-                Happening::Tick => {}
+                ScheduledEvent::Tick => {}
             }
         }
         self.now = until;
     }
 
-    /// Every message that was taken on has ended once or is still held.
+    /// Every accepted message has completed once or is still on disk, in memory or in transit.
     pub fn check_nothing_lost(&self) {
         let on_disk: usize = self.store.values().map(BTreeMap::len).sum();
         let in_memory: usize = self.endpoints.values().map(|endpoint| endpoint.memory.len()).sum();
-        let moving: usize = self.happenings.values().map(moving).sum();
-        assert_eq!(self.taken, (on_disk + in_memory + moving + self.ends.len()) as u64);
+        let in_transit: usize = self.events.values().map(in_transit).sum();
+        assert_eq!(self.accepted, (on_disk + in_memory + in_transit + self.completions.len()) as u64);
         assert_eq!(self.planner.on_disk(), on_disk as u64, "the planner's count of what is on disk");
     }
 
-    pub fn held(&self) -> u64 {
-        self.taken - self.ends.len() as u64
+    pub fn outstanding(&self) -> u64 {
+        self.accepted - self.completions.len() as u64
     }
 
-    pub fn delivered(&self, destination: u64, class: Option<u16>) -> impl Iterator<Item = &End> {
-        let ends = self.ends.iter().filter(|end| end.delivered);
-        ends.filter(move |end| {
-            let lane = end.message.lane;
+    pub fn delivered(&self, destination: u64, class: Option<u16>) -> impl Iterator<Item = &Completion> {
+        let completions = self.completions.iter().filter(|completion| completion.delivered);
+        completions.filter(move |completion| {
+            let lane = completion.message.lane;
             lane.destination == destination && class.is_none_or(|class| lane.class.0 == class)
         })
     }
 
     fn message(&mut self, lane: Lane, deadline: Duration) -> Message {
-        self.numbers += 1;
-        Message { number: self.numbers, lane, arrived: self.now, deadline }
+        self.last_number += 1;
+        Message { number: self.last_number, lane, arrived: self.now, deadline }
     }
 
     fn insert(&mut self, message: Message) {
@@ -221,30 +221,30 @@
         self.store.entry(message.lane).or_default().insert(message.number, message);
     }
 
-    fn schedule(&mut self, at: Duration, happening: Happening) {
-        self.happened += 1;
-        self.happenings.insert((at, self.happened), happening);
+    fn schedule(&mut self, at: Duration, event: ScheduledEvent) {
+        self.last_event_number += 1;
+        self.events.insert((at, self.last_event_number), event);
     }
 
-    fn tell(&mut self, event: Event) {
+    fn notify_planner(&mut self, event: Event) {
         for action in self.planner.handle(self.now, event) {
-            self.act(action);
+            self.perform(action);
         }
         assert!(self.planner.slots_used() <= self.slots, "{} slots used", self.planner.slots_used());
         if let Some(due) = self.planner.next_deadline().map(|due| due.max(self.now))
             && due < self.tick
         {
             self.tick = due;
-            self.schedule(due, Happening::Tick);
+            self.schedule(due, ScheduledEvent::Tick);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::AdmitToMemory { arrival } => {
                 let message = self.arriving.remove(&arrival).unwrap();
-                self.taken += 1;
-                self.enter(message);
+                self.accepted += 1;
+                self.add_to_memory(message);
             }
             Action::Spill { arrival, lane } => {
                 let message = self.arriving.remove(&arrival).unwrap();
@@ -261,10 +261,10 @@
             Action::Fetch { lane, limit } => self.operate(limit, Operation::Fetch(lane, limit)),
             Action::Evict { destination } => {
                 let endpoint = self.endpoints.get_mut(&destination).unwrap();
-                // Between attempts that fail, none is out.
-                let out =
+                // While attempts fail, none is in flight between them.
+                let in_flight =
                     usize::from(endpoint.serving && !endpoint.is_down(self.now)).min(endpoint.memory.len());
-                let returned = Vec::from(endpoint.memory.split_off(out));
+                let returned = Vec::from(endpoint.memory.split_off(in_flight));
                 self.operate(returned.len() as u32, Operation::PutBack(destination, returned));
             }
             Action::ReadExpired { limit } => self.operate(limit, Operation::ReadExpired(limit)),
@@ -273,16 +273,16 @@
         }
     }
 
-    /// The store's one thread does one operation after the other.
+    /// Schedules a store operation. The store's thread executes one after the other.
     fn operate(&mut self, messages: u32, operation: Operation) {
-        let begin = self.now.max(self.store_free);
-        let mut end = begin + OPERATION + MESSAGE * messages;
+        let begin = self.now.max(self.store_free_at);
+        let mut end = begin + OPERATION_TIME + MESSAGE_TIME * messages;
         if let Some((at, length)) = self.stalls.first().copied().filter(|(at, _)| *at <= end) {
             self.stalls.remove(0);
             end = end.max(at) + length;
         }
-        self.store_free = end;
-        self.schedule(end, Happening::Done(operation));
+        self.store_free_at = end;
+        self.schedule(end, ScheduledEvent::Done(operation));
     }
 
     fn done(&mut self, operation: Operation) {
@@ -292,11 +292,11 @@
             Operation::Append(message) => {
                 let lane = message.lane;
                 if let Some(fault) = fault {
-                    return self.tell(Event::StoreFailed { lane, count: 1, fault });
+                    return self.notify_planner(Event::StoreFailed { lane, count: 1, fault });
                 }
-                self.taken += 1;
+                self.accepted += 1;
                 self.insert(message);
-                self.tell(Event::Stored { lane, count: 1 });
+                self.notify_planner(Event::Stored { lane, count: 1 });
             }
             Operation::Fetch(lane, limit) => {
                 let waiting = self.store.entry(lane).or_default();
@@ -306,9 +306,9 @@
                 let (count, exhausted) = (fetched.len() as u32, waiting.is_empty());
                 for message in fetched {
                     self.deadlines.remove(&(message.deadline, message.number, lane));
-                    self.enter(message);
+                    self.add_to_memory(message);
                 }
-                self.tell(Event::Fetched { lane, count, exhausted });
+                self.notify_planner(Event::Fetched { lane, count, exhausted });
             }
             Operation::PutBack(destination, messages) => {
                 let mut returned: BTreeMap<ClassNumber, u32> = BTreeMap::new();
@@ -316,12 +316,12 @@
                     *returned.entry(message.lane.class).or_default() += 1;
                     self.insert(message);
                 }
-                self.tell(Event::Evicted { destination, returned: returned.into_iter().collect() });
+                self.notify_planner(Event::Evicted { destination, returned: returned.into_iter().collect() });
             }
             Operation::ReadExpired(limit) => self.expire(limit),
             Operation::Probe => {
                 if fault.is_none() {
-                    self.tell(Event::StoreRecovered);
+                    self.notify_planner(Event::StoreRecovered);
                 }
             }
         }
@@ -329,48 +329,48 @@
 
     fn expire(&mut self, limit: u32) {
         self.expiry_reads += 1;
-        let over = |(end, ..): &(Duration, u64, Lane)| *end <= self.now;
-        let read: Vec<_> = self.deadlines.iter().copied().take_while(over).take(limit as usize).collect();
-        let mut ended: BTreeMap<Lane, u64> = BTreeMap::new();
+        let is_due = |(deadline, ..): &(Duration, u64, Lane)| *deadline <= self.now;
+        let read: Vec<_> = self.deadlines.iter().copied().take_while(is_due).take(limit as usize).collect();
+        let mut expired: BTreeMap<Lane, u64> = BTreeMap::new();
         for entry in read {
             self.deadlines.remove(&entry);
             let message = self.store.get_mut(&entry.2).and_then(|all| all.remove(&entry.1)).unwrap();
-            *ended.entry(entry.2).or_default() += 1;
-            self.end(message, false);
+            *expired.entry(entry.2).or_default() += 1;
+            self.complete(message, false);
         }
-        let first = self.deadlines.first().map(|(end, ..)| *end);
-        let ended = ended.into_iter().map(|(lane, messages)| LaneCount { lane, messages }).collect();
-        let more = first.is_some_and(|end| end <= self.now);
-        let earliest_deadline_in = first.map(|end| end.saturating_sub(self.now));
-        self.tell(Event::ExpiredRead { expired: ended, more, earliest_deadline_in });
+        let first = self.deadlines.first().map(|(deadline, ..)| *deadline);
+        let expired = expired.into_iter().map(|(lane, messages)| LaneCount { lane, messages }).collect();
+        let more = first.is_some_and(|deadline| deadline <= self.now);
+        let earliest_deadline_in = first.map(|deadline| deadline.saturating_sub(self.now));
+        self.notify_planner(Event::ExpiredRead { expired, more, earliest_deadline_in });
     }
 
     fn arrive(&mut self, clients: Clients) {
-        let message = self.message(clients.lane, self.now + clients.life);
+        let message = self.message(clients.lane, self.now + clients.ttl);
         self.arriving.insert(message.number, message);
         let next = self.now + clients.every;
         if next < clients.until {
-            self.schedule(next, Happening::Arrive(clients));
+            self.schedule(next, ScheduledEvent::Arrive(clients));
         }
         let Message { number: arrival, lane, .. } = message;
-        self.tell(Event::Arrived { arrival, lane, time_left: clients.life });
+        self.notify_planner(Event::Arrived { arrival, lane, time_left: clients.ttl });
     }
 
-    fn enter(&mut self, message: Message) {
+    fn add_to_memory(&mut self, message: Message) {
         let destination = message.lane.destination;
         let endpoint = self.endpoints.get_mut(&destination).unwrap();
         endpoint.memory.push_back(message);
         if !endpoint.serving {
             endpoint.serving = true;
             let at = self.now + endpoint.interval;
-            self.schedule(at, Happening::Serve(destination));
+            self.schedule(at, ScheduledEvent::Serve(destination));
         }
     }
 
     fn serve(&mut self, destination: u64) {
         let now = self.now;
         let endpoint = self.endpoints.get_mut(&destination).unwrap();
-        let mut ended: Vec<Message> =
+        let mut expired: Vec<Message> =
             endpoint.memory.iter().filter(|message| message.deadline <= now).copied().collect();
         endpoint.memory.retain(|message| message.deadline > now);
         let down = endpoint.is_down(now) && !endpoint.memory.is_empty();
@@ -378,34 +378,34 @@
         let pause = if down { endpoint.interval.max(Duration::from_millis(100)) } else { endpoint.interval };
         endpoint.serving = !endpoint.memory.is_empty();
         if endpoint.serving {
-            self.schedule(now + pause, Happening::Serve(destination));
+            self.schedule(now + pause, ScheduledEvent::Serve(destination));
         }
-        for message in ended.drain(..) {
-            self.end(message, false);
-            self.tell(Event::LeftMemory { destination, outcome: Outcome::Ended });
+        for message in expired.drain(..) {
+            self.complete(message, false);
+            self.notify_planner(Event::LeftMemory { destination, outcome: Outcome::Ended });
         }
         if let Some(message) = delivered {
-            self.end(message, true);
-            self.tell(Event::LeftMemory { destination, outcome: Outcome::Delivered });
+            self.complete(message, true);
+            self.notify_planner(Event::LeftMemory { destination, outcome: Outcome::Delivered });
         } else if down {
-            self.tell(Event::AttemptFailed { destination });
+            self.notify_planner(Event::AttemptFailed { destination });
         }
     }
 
-    fn end(&mut self, message: Message, delivered: bool) {
-        assert!(self.ended.insert(message.number), "{message:?} ended twice");
+    fn complete(&mut self, message: Message, delivered: bool) {
+        assert!(self.completed.insert(message.number), "{message:?} completed twice");
         if delivered {
             let last = self.last_delivered.insert(message.lane, message.number);
             assert!(last < Some(message.number), "{message:?} overtaken by {last:?}");
         }
-        self.ends.push(End { message, at: self.now, delivered });
+        self.completions.push(Completion { message, at: self.now, delivered });
     }
 }
 
-/// Messages that were taken on and are neither on disk nor in memory.
-fn moving(happening: &Happening) -> usize {
-    match happening {
-        Happening::Done(Operation::PutBack(_, messages)) => messages.len(),
+/// Number of accepted messages that are neither on disk nor in memory.
+fn in_transit(event: &ScheduledEvent) -> usize {
+    match event {
+        ScheduledEvent::Done(Operation::PutBack(_, messages)) => messages.len(),
         _ => 0,
     }
 }
