--- a/backlog/examples/stores/main.rs
+++ b/backlog/examples/stores/main.rs
@@ -1,9 +1,10 @@
-//! Weighs stores by the workload of a backlog: `cargo run --release -p onyxglade-backlog --example stores -- all`.
+//! Benchmarks stores with the workload of a backlog: `cargo run --release -p onyxglade-backlog --example stores --
+//! all`.
 //!
-//! For each store and size a child process fills a folder and is killed with SIGKILL; a second opens it again, drains a
-//! part in the order of lanes and a part in the order of deadlines, and is killed, too; a third opens what is left. One
-//! line of a table is printed for each. `all` is every store at 10,000, 160,000 and 640,000 messages;
-//! `stores STORE MESSAGES` is one.
+//! For each store and size, a child process fills a folder and is killed with SIGKILL. A second one reopens it,
+//! drains a part in order of lanes and a part in order of deadlines, and is killed as well. A third one opens what
+//! is left. One table row is printed for each store and size. `all` runs every store at 10,000, 160,000 and 640,000
+//! messages; `stores STORE MESSAGES` runs one combination.
 mod process;
 mod redb_store;
 
@@ -24,11 +25,11 @@
 const MEMORY_BYTES: u64 = 32 << 20;
 const DISK_BYTES: u64 = 50 << 30;
 const LANES: u64 = 37_000;
-/// The lanes of destinations that are down, which get half of all messages.
+/// Number of lanes whose destinations are down; they get half of all messages.
 const DEEP_LANES: u64 = 555;
 const PAYLOAD_BYTES: usize = 300;
 const BATCH: u64 = 64;
-const MOST_DRAINED: u64 = 200_000;
+const MAX_DRAINED: u64 = 200_000;
 const HOUR_MILLIS: u64 = 3_600_000;
 
 fn main() {
@@ -61,31 +62,36 @@
     println!("|{}", " --- |".repeat(16));
 }
 
-/// Runs the three children over one folder and prints their figures as a line.
+/// Runs the three child processes on one folder and prints their measurements as a table row.
 fn measure(store: &str, messages: u64) {
     let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().to_str().expect("a path");
+    let path = folder.path().to_str().expect("a UTF-8 path");
     let filled = run_and_kill(&["fill", store, &messages.to_string(), path]);
     let drained = run_and_kill(&["drain", store, path]);
     let reopened = run_and_kill(&["reopen", store, path]);
     println!("| {store} | {messages} | {filled} | {drained} | {reopened} |");
 }
 
-/// Runs this program again, reads its one line, and kills it while it still has the folder open.
+/// Runs this program as a child process, reads its one line of output, and kills it while it still has the folder
+/// open.
 fn run_and_kill(arguments: &[&str]) -> String {
-    let program = std::env::current_exe().expect("this program");
-    let mut child = Command::new(program).args(arguments).stdout(Stdio::piped()).spawn().expect("a child");
+    let program = std::env::current_exe().expect("the path of this executable");
+    let mut child =
+        Command::new(program).args(arguments).stdout(Stdio::piped()).spawn().expect("the child starts");
     let mut line = String::new();
-    BufReader::new(child.stdout.take().expect("its output")).read_line(&mut line).expect("a line");
-    child.kill().expect("to kill the child");
-    child.wait().expect("the child's end");
+    BufReader::new(child.stdout.take().expect("the child's output is piped"))
+        .read_line(&mut line)
+        .expect("a line of output");
+    child.kill().expect("the child is killed");
+    child.wait().expect("the child is waited for");
     line.trim().to_owned()
 }
 
-/// Prints the figures and waits to be killed.
-fn tell(figures: &[f64]) {
-    let figures: Vec<String> = figures.iter().map(|figure| format!("{figure:.2}")).collect();
-    println!("{}", figures.join(" | "));
+/// Prints the measurements and waits to be killed.
+fn print_and_wait(measurements: &[f64]) {
+    let measurements: Vec<String> =
+        measurements.iter().map(|measurement| format!("{measurement:.2}")).collect();
+    println!("{}", measurements.join(" | "));
     std::thread::sleep(Duration::from_secs(3600));
 }
 
@@ -98,9 +104,11 @@
         sync: false,
     };
     match store {
-        "lsm" => Box::new(LsmStore::open(config()).expect("to open")),
-        "redb" => Box::new(RedbStore::open(folder, MEMORY_BYTES, false).expect("to open")),
-        "redb-quick-repair" => Box::new(RedbStore::open(folder, MEMORY_BYTES, true).expect("to open")),
+        "lsm" => Box::new(LsmStore::open(config()).expect("the store opens")),
+        "redb" => Box::new(RedbStore::open(folder, MEMORY_BYTES, false).expect("the store opens")),
+        "redb-quick-repair" => {
+            Box::new(RedbStore::open(folder, MEMORY_BYTES, true).expect("the store opens"))
+        }
         other => panic!("{other} is none of {STORES:?}"),
     }
 }
@@ -114,11 +122,11 @@
         let batch: Vec<NewMessage> =
             (first..messages.min(first + BATCH)).map(|number| random.message(number)).collect();
         let began = Instant::now();
-        store.append(&batch).expect("to append");
+        store.append(&batch).expect("append succeeds");
         worst = worst.max(began.elapsed());
     }
-    let each = |figure: f64| figure / messages as f64;
-    tell(&[
+    let each = |measurement: f64| measurement / messages as f64;
+    print_and_wait(&[
         each((process::cpu_micros() - cpu) as f64),
         each(start.elapsed().as_micros() as f64),
         worst.as_secs_f64() * 1e3,
@@ -131,51 +139,58 @@
 fn drain(store: &str, folder: &Path) {
     let start = Instant::now();
     let mut store = open(store, folder);
-    let mut lanes = store.lanes().expect("lanes");
+    let mut lanes = store.lanes().expect("listing the lanes succeeds");
     lanes.sort_by_key(|lane| std::cmp::Reverse(lane.messages));
     lanes.truncate(2 * DEEP_LANES as usize);
-    store.fetch(lanes[0].lane, None, 1).expect("the first message");
+    store.fetch(lanes[0].lane, None, 1).expect("fetch succeeds");
     let ready = start.elapsed();
     let reopened_kib = process::anonymous_kib();
 
-    let most = MOST_DRAINED.min(store.usage().messages / 3);
+    let limit = MAX_DRAINED.min(store.usage().messages / 3);
     let (cpu, start) = (process::cpu_micros(), Instant::now());
     let mut drained = 0;
-    // The deep lanes in turn, as destinations that return at the same time.
+    // Round-robin over the deep lanes, as if their destinations recovered at the same time.
     for lane in lanes.iter().cycle().take(1_000_000) {
-        if drained >= most {
+        if drained >= limit {
             break;
         }
-        let messages = store.fetch(lane.lane, None, BATCH as usize).expect("to fetch");
+        let messages = store.fetch(lane.lane, None, BATCH as usize).expect("fetch succeeds");
         if messages.is_empty() {
             continue;
         }
         let positions: Vec<Position> = messages.iter().map(|message| message.position).collect();
-        store.remove(&positions).expect("to remove");
+        store.remove(&positions).expect("remove succeeds");
         drained += messages.len() as u64;
     }
     let fetched_cpu = (process::cpu_micros() - cpu) as f64 / drained as f64;
     let fetched_wall = start.elapsed().as_micros() as f64 / drained as f64;
 
     let cpu = process::cpu_micros();
-    let mut ended = 0;
-    while ended < most {
-        let messages = store.due(UnixMillis(u64::MAX - 1), 10 * BATCH as usize).expect("what is due");
+    let mut expired = 0;
+    while expired < limit {
+        let messages = store.due(UnixMillis(u64::MAX - 1), 10 * BATCH as usize).expect("due succeeds");
         let positions: Vec<Position> = messages.iter().map(|message| message.position).collect();
-        store.remove(&positions).expect("to remove");
-        ended += messages.len() as u64;
+        store.remove(&positions).expect("remove succeeds");
+        expired += messages.len() as u64;
     }
-    let due_cpu = (process::cpu_micros() - cpu) as f64 / ended as f64;
+    let due_cpu = (process::cpu_micros() - cpu) as f64 / expired as f64;
     let anonymous = process::anonymous_kib() as f64 / 1024.0;
-    tell(&[ready.as_secs_f64(), reopened_kib as f64 / 1024.0, fetched_cpu, fetched_wall, due_cpu, anonymous]);
+    print_and_wait(&[
+        ready.as_secs_f64(),
+        reopened_kib as f64 / 1024.0,
+        fetched_cpu,
+        fetched_wall,
+        due_cpu,
+        anonymous,
+    ]);
 }
 
 fn reopen(store: &str, folder: &Path) {
     let start = Instant::now();
     let store = open(store, folder);
-    let lanes = store.lanes().expect("lanes");
-    store.fetch(lanes[0].lane, None, 1).expect("the first message");
-    tell(&[start.elapsed().as_secs_f64(), process::peak_kib() as f64 / 1024.0]);
+    let lanes = store.lanes().expect("listing the lanes succeeds");
+    store.fetch(lanes[0].lane, None, 1).expect("fetch succeeds");
+    print_and_wait(&[start.elapsed().as_secs_f64(), process::peak_kib() as f64 / 1024.0]);
 }
 
 fn folder_bytes(folder: &Path) -> u64 {
@@ -185,7 +200,7 @@
         else {
             return 0;
         };
-        // Blocks in use: a journal's length is set in advance.
+        // Counts allocated blocks, since a journal's length is preallocated.
         if metadata.is_dir() {
             folder_bytes(&entry.expect("an entry").path())
         } else {
@@ -195,7 +210,7 @@
     entries.map(bytes).sum()
 }
 
-/// A xorshift* generator: the same messages for every store.
+/// A xorshift* generator, so that every store gets the same messages.
 struct Random(u64);
 
 impl Random {
--- a/backlog/examples/stores/process.rs
+++ b/backlog/examples/stores/process.rs
@@ -1,7 +1,7 @@
-//! What this process has used so far, from `/proc`.
+//! Resource usage of this process so far, from `/proc`.
 use std::fs;
 
-/// CPU of all threads in microseconds, from clock ticks of 10 ms.
+/// CPU time of all threads in microseconds, from clock ticks of 10 ms.
 pub fn cpu_micros() -> u64 {
     let stat = fs::read_to_string("/proc/self/stat").expect("/proc/self/stat");
     let after_name = stat.rsplit_once(')').expect("a name").1;
@@ -11,17 +11,17 @@
     (user + system) * 10_000
 }
 
-/// Bytes handed to the operating system by write calls.
+/// Bytes passed to the operating system by write calls.
 pub fn written_bytes() -> u64 {
     field("/proc/self/io", "wchar:")
 }
 
-/// Anonymous memory now, in KiB. File pages in the system's cache are not this process's.
+/// Anonymous resident memory in KiB. It does not include file pages in the page cache.
 pub fn anonymous_kib() -> u64 {
     field("/proc/self/status", "RssAnon:")
 }
 
-/// The most resident memory so far, in KiB.
+/// Peak resident memory in KiB.
 pub fn peak_kib() -> u64 {
     field("/proc/self/status", "VmHWM:")
 }
--- a/backlog/examples/stores/redb_store.rs
+++ b/backlog/examples/stores/redb_store.rs
@@ -1,7 +1,8 @@
-//! The B-tree that was weighed: the same keys and values as the store on disk, in `redb`.
+//! The B-tree store (`redb`) in the comparison, with the same keys and values as the LSM store.
 //!
-//! Only what the workload needs. With `quick_repair` a crash costs no walk over the whole file, at a price per commit;
-//! its file is never synced, as the platform keeps what was written when a process is killed.
+//! Only what the workload needs is implemented. With `quick_repair`, reopening after a crash needs no scan of the
+//! whole file, at a cost per commit. The file is never synced, since the operating system keeps what was written
+//! when a process is killed.
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::fs::{File, OpenOptions};
@@ -30,7 +31,7 @@
 const STATE: TableDefinition<Bytes, Bytes> = TableDefinition::new("state");
 const NEXT_SEQUENCE: &[u8] = b"next";
 
-/// A file whose syncs do nothing.
+/// A file backend whose syncs do nothing.
 #[derive(Debug)]
 struct Unsynced(FileBackend);
 
@@ -103,8 +104,8 @@
         for entry in state.iter().map_err(failed)? {
             let (key, value) = entry.map_err(failed)?;
             match read_lane(key.value()) {
-                Some(lane) => self.lanes.get_mut().load(lane, value.value()).expect("counters"),
-                None => self.next_sequence = read_u64(value.value()).expect("a sequence"),
+                Some(lane) => self.lanes.get_mut().load(lane, value.value()).expect("valid counters"),
+                None => self.next_sequence = read_u64(value.value()).expect("a valid sequence"),
             }
         }
         Ok(())
@@ -173,7 +174,7 @@
         let mut found = Vec::new();
         for entry in messages.range(&first[..]..=&last[..]).map_err(failed)?.take(limit) {
             let (key, value) = entry.map_err(failed)?;
-            found.push(decode(read_position(key.value()).expect("a position"), value.value()));
+            found.push(decode(read_position(key.value()).expect("a valid position key"), value.value()));
         }
         Ok(found)
     }
@@ -199,7 +200,8 @@
         let end = (until.0 + 1).to_be_bytes();
         let mut found = Vec::new();
         for entry in deadlines.range(..&end[..]).map_err(failed)?.take(limit) {
-            let (_, position) = read_deadline(entry.map_err(failed)?.0.value()).expect("a deadline");
+            let (_, position) =
+                read_deadline(entry.map_err(failed)?.0.value()).expect("a valid deadline key");
             let value = messages.get(&position_key(position)[..]).map_err(failed)?.expect("a message");
             found.push(decode(position, value.value()));
         }
--- a/backlog/src/lane_table.rs
+++ b/backlog/src/lane_table.rs
@@ -1,12 +1,12 @@
-//! What waits in each lane, as counters: kept in memory by lane, and written with each batch, so that opening a store
-//! reads no messages. Lanes in which nothing waits take no memory.
+//! Counters of the messages in each lane. They are kept in memory and written with each batch, so that opening a
+//! store reads no messages. Empty lanes take no memory.
 use std::collections::{BTreeSet, HashMap};
 
 use crate::encoding::read_u64;
 use crate::message::{Lane, LaneSummary, Position, StoredMessage, UnixMillis};
 
-/// Bytes of a lane's counters on disk: messages, bytes, first sequence, arrival, 8 each.
-pub const COUNTERS: usize = 32;
+/// Length of a lane's counters on disk: messages, bytes, first sequence, arrival, 8 each.
+pub const COUNTERS_BYTES: usize = 32;
 
 #[derive(Clone, Copy)]
 struct Counters {
@@ -16,7 +16,7 @@
     oldest_arrival: UnixMillis,
 }
 
-/// The counters of all lanes, and which of them changed since they were last written.
+/// The counters of all lanes, and the set of lanes changed since the last write.
 #[derive(Default)]
 pub struct LaneTable {
     lanes: HashMap<Lane, Counters>,
@@ -25,7 +25,7 @@
 }
 
 impl LaneTable {
-    /// Takes a lane's counters as they were written; `None` where they are cut off.
+    /// Loads a lane's counters from their encoding; `None` if it is truncated.
     pub fn load(&mut self, lane: Lane, value: &[u8]) -> Option<()> {
         let counters = Counters {
             messages: read_u64(value)?,
@@ -38,7 +38,7 @@
         Some(())
     }
 
-    /// A message came to stand in its lane.
+    /// Counts a message that was added to its lane.
     pub fn add(&mut self, message: &StoredMessage) {
         let position = message.position;
         let counters = self.lanes.entry(position.lane).or_insert(Counters {
@@ -57,7 +57,7 @@
         self.changed.insert(position.lane);
     }
 
-    /// A message left its lane; `message` is none where it could not be read.
+    /// Counts a message that was removed from its lane. `message` is `None` if it could not be read.
     pub fn subtract(&mut self, position: Position, message: Option<&StoredMessage>) {
         let Some(counters) = self.lanes.get_mut(&position.lane) else { return };
         counters.messages -= 1;
@@ -73,8 +73,8 @@
         self.changed.insert(position.lane);
     }
 
-    /// The first message of a lane was seen: nothing stands before it.
-    pub fn saw_first(&mut self, first: &StoredMessage) {
+    /// Updates the lower bound of a lane's sequences after its first message was read.
+    pub fn advance_first(&mut self, first: &StoredMessage) {
         if let Some(counters) = self.lanes.get_mut(&first.position.lane)
             && counters.first_sequence < first.position.sequence
         {
@@ -83,23 +83,24 @@
         }
     }
 
-    /// No message of the lane has a lower sequence; none where nothing waits.
+    /// A lower bound of the sequences in the lane; `None` if the lane is empty.
     pub fn first_sequence(&self, lane: Lane) -> Option<u64> {
         self.lanes.get(&lane).map(|counters| counters.first_sequence)
     }
 
-    /// How many messages wait in all lanes.
+    /// Number of messages in all lanes.
     pub fn messages(&self) -> u64 {
         self.messages
     }
 
-    /// The lanes that changed since the last call, with what to write: none where a lane is empty now.
-    pub fn take_changed(&mut self) -> Vec<(Lane, Option<[u8; COUNTERS]>)> {
+    /// The lanes that changed since the last call, with their encoded counters; `None` for a lane that is empty
+    /// now.
+    pub fn take_changed(&mut self) -> Vec<(Lane, Option<[u8; COUNTERS_BYTES]>)> {
         let changed = std::mem::take(&mut self.changed);
         changed.into_iter().map(|lane| (lane, self.lanes.get(&lane).map(Counters::value))).collect()
     }
 
-    /// All lanes in which something waits, in their order.
+    /// Summaries of all non-empty lanes, in order of lanes.
     pub fn summaries(&self) -> Vec<LaneSummary> {
         let summary = |(lane, counters): (&Lane, &Counters)| LaneSummary {
             lane: *lane,
@@ -115,9 +116,9 @@
 }
 
 impl Counters {
-    fn value(&self) -> [u8; COUNTERS] {
+    fn value(&self) -> [u8; COUNTERS_BYTES] {
         let numbers = [self.messages, self.bytes, self.first_sequence, self.oldest_arrival.0];
-        let mut value = [0; COUNTERS];
+        let mut value = [0; COUNTERS_BYTES];
         for (part, number) in value.chunks_exact_mut(8).zip(numbers) {
             part.copy_from_slice(&number.to_be_bytes());
         }
--- a/backlog/src/lib.rs
+++ b/backlog/src/lib.rs
@@ -1,4 +1,4 @@
-//! The backlog of a relay: messages that cannot go soon wait on disk instead of in memory.
+//! The backlog of a relay: messages that cannot be sent soon are stored on disk instead of in memory.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/backlog/src/lsm_store.rs
+++ b/backlog/src/lsm_store.rs
@@ -1,14 +1,14 @@
-//! The store on disk: an LSM tree (`fjall`) with four keyspaces that each batch changes together.
+//! The store on disk: an LSM tree (`fjall`) with four keyspaces that each batch updates atomically.
 //!
 //! | keyspace | key | value |
 //! | --- | --- | --- |
-//! | `messages` | place | [`message_value`] |
-//! | `deadlines` | deadline, place | empty |
-//! | `ids` | id | place |
+//! | `messages` | position | [`message_value`] |
+//! | `deadlines` | deadline, position | empty |
+//! | `ids` | id | position |
 //! | `state` | lane, `next` or `class` and a number | counters, sequence, name |
 //!
-//! In memory are the counters of lanes in which something waits, the write buffers and the block cache; nothing is kept
-//! by message. The files are written by the thread that calls and by background threads of `fjall`.
+//! Memory holds the counters of non-empty lanes, the write buffers and the block cache, but nothing per message.
+//! The files are written by the calling thread and by background threads of `fjall`.
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -18,7 +18,7 @@
 use fjall::{Database, Keyspace, OwnedWriteBatch, PersistMode};
 
 use crate::encoding::{
-    DEADLINE_KEY, deadline_key, lane_key, message_value, position_key, read_deadline, read_lane,
+    DEADLINE_KEY_BYTES, deadline_key, lane_key, message_value, position_key, read_deadline, read_lane,
     read_message, read_position, read_u64,
 };
 use crate::folder;
@@ -34,52 +34,54 @@
 mod tests;
 
 use options::{
-    JOURNAL_BYTES, found_by_key_options, keyspace, message_options, open_database, ordered_options,
+    JOURNAL_BYTES, keyspace, message_options, open_database, point_lookup_options, range_scan_options,
 };
 
-/// Where a store keeps its files, and what it may use.
+/// Location, owner and resource limits of a store.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The folder, of its own for each relay.
+    /// The folder; each relay needs its own.
     pub folder: PathBuf,
-    /// Who the folder belongs to: a name that the relay keeps for as long as its backlog.
+    /// The owner of the folder: a name that the relay keeps for the lifetime of its backlog.
     pub owner: String,
-    /// Bytes of memory for the cache and the write buffers.
+    /// Memory for the cache and the write buffers, in bytes.
     pub memory_bytes: u64,
-    /// Bytes that the files may take. Appending stops below it by [`reserve`], which is for removals and compaction.
+    /// Maximum size of the files in bytes. Appending stops [`reserve`] bytes below it, to leave space for removals
+    /// and compaction.
     pub disk_bytes: u64,
-    /// Whether each batch is brought to the device (fdatasync), not only to the operating system.
+    /// Whether each batch is synced to the device (fdatasync), not only written to the operating system.
     pub sync: bool,
 }
 
-/// The least of [`Config::memory_bytes`].
+/// Minimum of [`Config::memory_bytes`].
 pub const MIN_MEMORY_BYTES: u64 = 8 << 20;
-/// The least of [`Config::disk_bytes`]: the journal alone may take 64 MiB.
+/// Minimum of [`Config::disk_bytes`]: the journal alone may take 64 MiB.
 pub const MIN_DISK_BYTES: u64 = 256 << 20;
 
-/// What an entry takes in a write buffer beside its value, about.
-const BUFFERED_ENTRY_BYTES: u64 = 160;
-/// The share of the memory that the write buffers may take before they are flushed.
-const BUFFERS_SHARE: u64 = 4;
-/// How much may be written before the size of the files is looked up again.
-const USAGE_LOOKUP_BYTES: u64 = 4 << 20;
-/// Removals grow the files, too, until compaction has worked them in; this share of the disk is kept for both.
-const RESERVED_SHARE: u64 = 8;
-/// More than this many unreadable places and files are counted but not listed.
-const MOST_DAMAGES: usize = 1000;
-
-/// How many places are looked at one by one where reading in order fails.
-const MOST_SINGLE_READS: usize = 100_000;
+/// Approximate size of an entry in a write buffer, not counting its value.
+const WRITE_BUFFER_ENTRY_BYTES: u64 = 160;
+/// The write buffers are flushed when they reach the memory budget divided by this.
+const WRITE_BUFFER_DIVISOR: u64 = 4;
+/// Bytes written after which the size of the files is read again.
+const USAGE_REFRESH_BYTES: u64 = 4 << 20;
+/// The disk quota divided by this is reserved for removals and compaction: removals also enlarge the files until
+/// compaction has processed them.
+const RESERVE_DIVISOR: u64 = 8;
+/// Maximum number of corruptions that are recorded; further ones are only skipped.
+const MAX_CORRUPTIONS: usize = 1000;
+
+/// Maximum number of positions that are read individually where reading a range fails.
+const MAX_SINGLE_READS: usize = 100_000;
 
 const NEXT_SEQUENCE: &[u8] = b"next";
 const CLASS_PREFIX: &[u8] = b"class";
 
 /// The bytes below [`Config::disk_bytes`] that appending leaves free.
 pub fn reserve(disk_bytes: u64) -> u64 {
-    disk_bytes / RESERVED_SHARE
+    disk_bytes / RESERVE_DIVISOR
 }
 
-/// Messages that wait, in an LSM tree.
+/// A store in an LSM tree.
 pub struct LsmStore {
     config: Config,
     database: Database,
@@ -90,36 +92,37 @@
     lanes: RefCell<LaneTable>,
     classes: Vec<Box<str>>,
     next_sequence: u64,
-    /// No message that waits has an earlier deadline.
+    /// A lower bound of the deadlines of all stored messages.
     earliest_deadline: Cell<UnixMillis>,
-    /// Deadlines without a message, to be removed with the next batch.
-    stale_deadlines: RefCell<BTreeSet<[u8; DEADLINE_KEY]>>,
+    /// Deadline keys without a message, to be removed with the next batch.
+    stale_deadlines: RefCell<BTreeSet<[u8; DEADLINE_KEY_BYTES]>>,
     corruptions: RefCell<Vec<Corruption>>,
     files_bytes: Cell<u64>,
-    written_since: Cell<u64>,
-    /// Bytes in the write buffers, about.
+    written_since_refresh: Cell<u64>,
+    /// Approximate size of the write buffers in bytes.
     buffered: Cell<u64>,
-    /// Bytes of messages removed since the files were last compacted for room.
-    removed_since: Cell<u64>,
+    /// Bytes of messages removed since the files were last compacted to free space.
+    removed_since_compaction: Cell<u64>,
 }
 
 impl LsmStore {
-    /// Opens the backlog in a folder, or makes an empty one. Its time does not grow with the messages that wait.
+    /// Opens the backlog in a folder, or creates an empty one. The time this takes does not grow with the number of
+    /// messages.
     ///
     /// # Errors
     /// [`StoreError::WrongOwner`], [`StoreError::NewerFormat`], [`StoreError::NotABacklog`], [`StoreError::InUse`],
-    /// [`StoreError::Corrupt`] when a file is unreadable that all depends on.
+    /// [`StoreError::Corrupt`] if a file that the whole store depends on is unreadable.
     pub fn open(config: Config) -> Result<LsmStore, StoreError> {
-        let store_folder = folder::claim(&config.folder, &config.owner)?;
+        let store_folder = folder::open_or_create(&config.folder, &config.owner)?;
         let database = open_database(&store_folder, &config)?;
         let buffer = config.memory_bytes;
         let messages = keyspace(&database, "messages", || message_options(buffer))?;
-        let deadlines = keyspace(&database, "deadlines", || ordered_options(buffer))?;
-        let ids = keyspace(&database, "ids", || found_by_key_options(buffer))?;
-        let state = keyspace(&database, "state", || found_by_key_options(buffer))?;
+        let deadlines = keyspace(&database, "deadlines", || range_scan_options(buffer))?;
+        let ids = keyspace(&database, "ids", || point_lookup_options(buffer))?;
+        let state = keyspace(&database, "state", || point_lookup_options(buffer))?;
         let files_bytes = database.disk_space().map_err(from_fjall)?;
-        // What the process before removed is not known: one compaction for room is allowed.
-        let removed_since = config.disk_bytes;
+        // How much the previous process removed is not known, so one compaction to free space is allowed.
+        let removed_since_compaction = config.disk_bytes;
         let mut store = LsmStore {
             config,
             database,
@@ -134,9 +137,9 @@
             stale_deadlines: RefCell::default(),
             corruptions: RefCell::default(),
             files_bytes: Cell::new(files_bytes),
-            written_since: Cell::new(0),
+            written_since_refresh: Cell::new(0),
             buffered: Cell::new(0),
-            removed_since: Cell::new(removed_since),
+            removed_since_compaction: Cell::new(removed_since_compaction),
         };
         store.load_state()?;
         Ok(store)
@@ -155,18 +158,20 @@
             } else {
                 None
             };
-            known.ok_or_else(|| damaged(format!("state, key {key:?}"), "unknown or cut off".to_owned()))?;
+            known.ok_or_else(|| {
+                corrupt(format!("state, key {key:?}"), "unknown key or truncated value".to_owned())
+            })?;
         }
         classes.sort();
         self.classes = classes.into_iter().map(|(_, name)| name).collect();
         Ok(())
     }
 
-    /// Adds a message, that stands nowhere yet, to a batch.
+    /// Adds the insertion of a message at an unused position to a batch. Returns the bytes added.
     fn insert(&self, batch: &mut OwnedWriteBatch, message: &StoredMessage) -> u64 {
         let position = position_key(message.position);
         let value = message_value(message);
-        let bytes = (2 * position.len() + value.len() + message.id.len() + DEADLINE_KEY) as u64;
+        let bytes = (2 * position.len() + value.len() + message.id.len() + DEADLINE_KEY_BYTES) as u64;
         batch.insert(&self.messages, position, value);
         let deadline = deadline_key(message.deadline, message.position);
         self.stale_deadlines.borrow_mut().remove(&deadline);
@@ -176,8 +181,8 @@
         bytes
     }
 
-    /// Adds the removal of what stands at a place to a batch.
-    fn take_out(&self, batch: &mut OwnedWriteBatch, position: Position) {
+    /// Adds the removal of the message at a position to a batch.
+    fn remove_at(&self, batch: &mut OwnedWriteBatch, position: Position) {
         let (present, message) = self.read(position);
         if !present {
             return;
@@ -188,13 +193,13 @@
             batch.remove(&self.ids, message.id.as_bytes());
         }
         let removed = message.as_ref().map_or(0, StoredMessage::counted_bytes);
-        self.removed_since.set(self.removed_since.get() + removed);
+        self.removed_since_compaction.set(self.removed_since_compaction.get() + removed);
         self.lanes.borrow_mut().subtract(position, message.as_ref());
     }
 
-    /// Adds the removal of what `message` is to replace and would not overwrite. A batch must not remove and insert the
-    /// same key: which of the two counts is not defined.
-    fn make_way(&self, batch: &mut OwnedWriteBatch, message: &StoredMessage) {
+    /// Adds the removal of those entries of a replaced message that `message` does not overwrite. A batch must not
+    /// remove and insert the same key, because it is undefined which of the two takes effect.
+    fn remove_replaced(&self, batch: &mut OwnedWriteBatch, message: &StoredMessage) {
         let (present, old) = self.read(message.position);
         if !present {
             return;
@@ -208,7 +213,8 @@
         self.lanes.borrow_mut().subtract(message.position, old.as_ref());
     }
 
-    /// Whether something stands at a place, and the message if it can be read.
+    /// Whether there is a message at a position, and the message if it is readable. If reading fails, there is taken to
+    /// be one unless the lane is empty.
     fn read(&self, position: Position) -> (bool, Option<StoredMessage>) {
         match self.messages.get(position_key(position)) {
             Ok(None) => (false, None),
@@ -220,7 +226,7 @@
         }
     }
 
-    /// Copies the value: else a message in memory would keep the whole block that it was read from.
+    /// Decodes a copy of the value, since a slice would keep the whole block in memory that it was read from.
     fn decode(&self, position: Position, value: &[u8]) -> Option<StoredMessage> {
         let read = read_message(position, &Bytes::copy_from_slice(value));
         read.map_err(|cause| self.report_position(position, cause.to_owned())).ok()
@@ -233,14 +239,14 @@
         self.report(Corruption { position: Some(position), location, cause });
     }
 
-    fn report(&self, damage: Corruption) {
+    fn report(&self, corruption: Corruption) {
         let mut corruptions = self.corruptions.borrow_mut();
-        if corruptions.len() < MOST_DAMAGES && !corruptions.contains(&damage) {
-            corruptions.push(damage);
+        if corruptions.len() < MAX_CORRUPTIONS && !corruptions.contains(&corruption) {
+            corruptions.push(corruption);
         }
     }
 
-    /// Commits a batch together with what it changed of lanes and sequences.
+    /// Commits a batch together with the changes to lane counters and the next sequence.
     fn commit(&self, mut batch: OwnedWriteBatch, bytes: u64) -> Result<(), StoreError> {
         for (lane, counters) in self.lanes.borrow_mut().take_changed() {
             match counters {
@@ -254,18 +260,18 @@
         batch.insert(&self.state, NEXT_SEQUENCE, self.next_sequence.to_be_bytes());
         let written = bytes + 48 * batch.len() as u64;
         let mode = if self.config.sync { PersistMode::SyncData } else { PersistMode::Buffer };
-        let buffered = bytes + BUFFERED_ENTRY_BYTES * batch.len() as u64;
+        let buffered = bytes + WRITE_BUFFER_ENTRY_BYTES * batch.len() as u64;
         batch.durability(Some(mode)).commit().map_err(from_failed_write)?;
         self.count_written(written);
         self.buffered.set(self.buffered.get() + buffered);
-        if self.buffered.get() >= self.config.memory_bytes / BUFFERS_SHARE {
+        if self.buffered.get() >= self.config.memory_bytes / WRITE_BUFFER_DIVISOR {
             self.flush()?;
         }
         Ok(())
     }
 
-    /// Brings the write buffers into files and waits for it: left to itself, `fjall` keeps any number of full buffers in
-    /// memory until its threads come to them.
+    /// Flushes the write buffers to files and waits for it. Without this, `fjall` keeps any number of full buffers
+    /// in memory until its threads flush them.
     fn flush(&self) -> Result<(), StoreError> {
         for keyspace in [&self.messages, &self.deadlines, &self.ids, &self.state] {
             keyspace.rotate_memtable_and_wait().map_err(from_failed_write)?;
@@ -274,23 +280,24 @@
         Ok(())
     }
 
-    /// Frees what removed messages still take, if that is worth it. It reads and writes all keys, but few values.
-    fn compact_if_worth_it(&self) -> Result<(), StoreError> {
-        if self.removed_since.get() < reserve(self.config.disk_bytes) / 2 {
+    /// Compacts the files to free the space of removed messages, if enough were removed. This reads and writes all
+    /// keys, but few values.
+    fn compact_if_worthwhile(&self) -> Result<(), StoreError> {
+        if self.removed_since_compaction.get() < reserve(self.config.disk_bytes) / 2 {
             return Ok(());
         }
-        self.removed_since.set(0);
+        self.removed_since_compaction.set(0);
         self.flush()?;
-        // The first finds which values nothing refers to any more, the second drops their files.
+        // The first compaction finds the values that are no longer referenced, the second drops their files.
         for keyspace in [&self.messages, &self.messages, &self.deadlines, &self.ids] {
             keyspace.major_compact().map_err(from_failed_write)?;
         }
         self.files_bytes.set(self.database.disk_space().map_err(from_fjall)?);
-        self.written_since.set(0);
+        self.written_since_refresh.set(0);
         Ok(())
     }
 
-    /// Gives the files up at once when nothing waits: compaction alone would keep some until more is written.
+    /// Drops the files at once when the store is empty. Compaction alone would keep some until more is written.
     fn clear_if_empty(&self) -> Result<(), StoreError> {
         if self.lanes.borrow().messages() > 0 || self.files_bytes.get() < JOURNAL_BYTES {
             return Ok(());
@@ -299,41 +306,42 @@
             keyspace.clear().map_err(from_failed_write)?;
         }
         self.files_bytes.set(self.database.disk_space().map_err(from_fjall)?);
-        self.written_since.set(0);
+        self.written_since_refresh.set(0);
         Ok(())
     }
 
-    /// The size of the files is looked up now and then; between, what was written is added to it.
+    /// Reads the size of the files at intervals; in between, the bytes written are added to the last known size.
     fn count_written(&self, bytes: u64) {
-        self.written_since.set(self.written_since.get() + bytes);
-        if self.written_since.get() >= USAGE_LOOKUP_BYTES
+        self.written_since_refresh.set(self.written_since_refresh.get() + bytes);
+        if self.written_since_refresh.get() >= USAGE_REFRESH_BYTES
             && let Ok(files_bytes) = self.database.disk_space()
         {
             self.files_bytes.set(files_bytes);
-            self.written_since.set(0);
+            self.written_since_refresh.set(0);
         }
     }
 
-    /// Fails where the files, with `more` bytes, would go beyond what appending may use, or the disk would be full.
-    fn check_room(&self, more: u64) -> Result<(), StoreError> {
+    /// Fails if `additional` bytes would exceed the limit for appending, or leave too little free space on the disk.
+    fn check_space(&self, additional: u64) -> Result<(), StoreError> {
         let reserved = reserve(self.config.disk_bytes);
         let limit = self.config.disk_bytes - reserved;
-        if self.usage().disk_bytes + more > limit {
-            self.compact_if_worth_it()?;
+        if self.usage().disk_bytes + additional > limit {
+            self.compact_if_worthwhile()?;
         }
         let used = self.usage().disk_bytes;
-        if used + more > limit {
+        if used + additional > limit {
             return Err(StoreError::Full { used, limit });
         }
         let disk = rustix::fs::statvfs(&self.config.folder).map_err(std::io::Error::from)?;
         let free = disk.f_bavail.saturating_mul(disk.f_frsize);
-        if free < reserved.min(MIN_DISK_BYTES) + more {
+        if free < reserved.min(MIN_DISK_BYTES) + additional {
             return Err(StoreError::Full { used, limit: used + free });
         }
         Ok(())
     }
 
-    /// The messages from `first` on, up to `most` or the first that cannot be read; then also where that happened.
+    /// Reads messages from `first` on, up to `limit` or the first unreadable one; in that case it also returns the
+    /// error.
     fn scan(&self, first: Position, limit: usize) -> (Vec<StoredMessage>, Option<String>) {
         let last = position_key(Position { sequence: u64::MAX, ..first });
         let mut found = Vec::new();
@@ -351,18 +359,20 @@
         (found, None)
     }
 
-    /// Adds what can be read by itself where reading in order failed: messages around the one that cannot.
-    fn read_singly(&self, lane: Lane, sequences: Range<u64>, messages: &mut Vec<StoredMessage>) {
-        let positions = sequences.take(MOST_SINGLE_READS).map(|sequence| Position { lane, sequence });
+    /// Adds the messages that are readable individually where reading a range failed: those around the unreadable
+    /// one.
+    fn read_individually(&self, lane: Lane, sequences: Range<u64>, messages: &mut Vec<StoredMessage>) {
+        let positions = sequences.take(MAX_SINGLE_READS).map(|sequence| Position { lane, sequence });
         messages.extend(positions.filter_map(|position| self.read(position).1));
     }
 
-    /// The lowest sequence at which reading works again past an unreadable one, or none up to the newest.
-    fn readable_from(&self, lane: Lane, unreadable: u64) -> Option<u64> {
-        let works = |sequence| self.scan(Position { lane, sequence }, 1).1.is_none();
+    /// The lowest sequence after an unreadable one at which reading works again; `None` if there is none up to the
+    /// newest.
+    fn first_readable(&self, lane: Lane, unreadable: u64) -> Option<u64> {
+        let is_readable = |sequence| self.scan(Position { lane, sequence }, 1).1.is_none();
         let mut low = unreadable;
         let mut step = 1;
-        while !works(low + step) {
+        while !is_readable(low + step) {
             low += step;
             step *= 2;
             if low >= self.next_sequence {
@@ -372,7 +382,7 @@
         let mut high = low + step;
         while high - low > 1 {
             let middle = low + (high - low) / 2;
-            if works(middle) { high = middle } else { low = middle }
+            if is_readable(middle) { high = middle } else { low = middle }
         }
         Some(high)
     }
@@ -384,9 +394,9 @@
             .iter()
             .any(|message| message.id.len() > MAX_ID_BYTES || message.payload.len() > MAX_PAYLOAD_BYTES)
         {
-            return Err(StoreError::TooLarge("an id or payload of this length"));
+            return Err(StoreError::TooLarge("an id or payload this long"));
         }
-        self.check_room(
+        self.check_space(
             messages.iter().map(|message| (message.id.len() + message.payload.len()) as u64).sum(),
         )?;
         let mut batch = self.database.batch();
@@ -409,7 +419,7 @@
         let latest: BTreeMap<Position, &StoredMessage> =
             messages.iter().map(|message| (message.position, message)).collect();
         for message in latest.into_values() {
-            self.make_way(&mut batch, message);
+            self.remove_replaced(&mut batch, message);
             self.next_sequence = self.next_sequence.max(message.position.sequence + 1);
             bytes += self.insert(&mut batch, message);
             self.lanes.borrow_mut().add(message);
@@ -429,13 +439,13 @@
             let Some(cause) = failure else { break };
             let unreadable = messages.last().map_or(sequence, |last| last.position.sequence + 1);
             self.report_position(Position { lane, sequence: unreadable }, cause);
-            let readable = self.readable_from(lane, unreadable).unwrap_or(self.next_sequence);
-            self.read_singly(lane, unreadable..readable, &mut messages);
+            let readable = self.first_readable(lane, unreadable).unwrap_or(self.next_sequence);
+            self.read_individually(lane, unreadable..readable, &mut messages);
             sequence = readable;
         }
         messages.truncate(limit);
         if let Some(first) = messages.first().filter(|_| from_first) {
-            self.lanes.borrow_mut().saw_first(first);
+            self.lanes.borrow_mut().advance_first(first);
         }
         Ok(messages)
     }
@@ -443,7 +453,7 @@
     fn remove(&mut self, positions: &[Position]) -> Result<(), StoreError> {
         let mut batch = self.database.batch();
         for position in BTreeSet::from_iter(positions) {
-            self.take_out(&mut batch, *position);
+            self.remove_at(&mut batch, *position);
         }
         if batch.is_empty() {
             return Ok(());
@@ -469,7 +479,7 @@
             let key = match entry.key() {
                 Ok(key) => key,
                 Err(error) => {
-                    let location = "the index of deadlines".to_owned();
+                    let location = "the deadline index".to_owned();
                     self.report(Corruption { position: None, location, cause: error.to_string() });
                     complete = false;
                     break;
@@ -501,7 +511,7 @@
                 Ok(position
                     .filter(|position| self.read(*position).1.is_some_and(|message| &*message.id == id)))
             }
-            Err(error) => Err(damaged(format!("the index of ids, at {id:?}"), error.to_string())),
+            Err(error) => Err(corrupt(format!("the id index, at {id:?}"), error.to_string())),
         }
     }
 
@@ -528,7 +538,7 @@
 
     fn usage(&self) -> Usage {
         Usage {
-            disk_bytes: self.files_bytes.get() + self.written_since.get(),
+            disk_bytes: self.files_bytes.get() + self.written_since_refresh.get(),
             messages: self.lanes.borrow().messages(),
         }
     }
@@ -543,7 +553,7 @@
     Some((number, std::str::from_utf8(name).ok()?.into()))
 }
 
-fn damaged(location: String, cause: String) -> StoreError {
+fn corrupt(location: String, cause: String) -> StoreError {
     StoreError::Corrupt { location, cause }
 }
 
@@ -554,11 +564,12 @@
         fjall::Error::Poisoned => {
             std::io::Error::other("an earlier write failed; the store must be reopened").into()
         }
-        other => damaged("the store's files".to_owned(), other.to_string()),
+        other => corrupt("the store's files".to_owned(), other.to_string()),
     }
 }
 
-/// An I/O error whatever the cause: the counters in memory may be ahead of the files, so the store must be opened again.
+/// Converts every cause to an I/O error, so that the store is reopened: its counters in memory may be ahead of the
+/// files.
 fn from_failed_write(error: fjall::Error) -> StoreError {
     match error {
         fjall::Error::Io(error) => error.into(),
--- a/backlog/src/lsm_store/tests.rs
+++ b/backlog/src/lsm_store/tests.rs
@@ -23,7 +23,7 @@
 }
 
 fn message(number: u64, lane: Lane, payload: usize) -> NewMessage {
-    // Payloads that do not compress, so that blocks are as large as they are set.
+    // Incompressible payloads, so that blocks have the configured size.
     let payload = (0..payload as u64).map(|byte| (number * 31 + byte * byte * 7) as u8).collect::<Vec<u8>>();
     NewMessage {
         lane,
@@ -56,25 +56,25 @@
         3 => picks().prop_map(Step::Remove),
         1 => (picks(), 0..50_u64).prop_map(|(picked, later)| Step::PutBack(picked, later)),
         2 => (0..4_u64, prop::option::of(0..60_u64), 0..9_usize)
-            .prop_map(|(destination, after, most)| Step::Fetch(destination, after, most)),
-        2 => (5000..5150_u64, 0..9_usize).prop_map(|(until, most)| Step::Due(until, most)),
+            .prop_map(|(destination, after, limit)| Step::Fetch(destination, after, limit)),
+        2 => (5000..5150_u64, 0..9_usize).prop_map(|(until, limit)| Step::Due(until, limit)),
         1 => Just(Step::Reopen),
     ]
 }
 
-/// The store on disk beside its double, which are asked for the same.
-struct Both {
+/// A store on disk and a memory store, to which the same operations are applied.
+struct StorePair {
     folder: tempfile::TempDir,
     disk: Option<LsmStore>,
     double: MemoryStore,
     messages: Vec<StoredMessage>,
 }
 
-impl Both {
-    fn new() -> Both {
+impl StorePair {
+    fn new() -> StorePair {
         let folder = tempfile::tempdir().unwrap();
         let disk = Some(open(folder.path()));
-        Both { folder, disk, double: MemoryDisk::default().open(), messages: Vec::new() }
+        StorePair { folder, disk, double: MemoryDisk::default().open(), messages: Vec::new() }
     }
 
     fn picked(&self, picks: &[usize]) -> Vec<StoredMessage> {
@@ -82,7 +82,7 @@
         picks.iter().filter_map(picked).collect()
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         let disk = self.disk.as_mut().unwrap();
         match step {
             Step::Append(destinations) => {
@@ -109,14 +109,14 @@
                 self.disk.as_mut().unwrap().put_back(&messages).unwrap();
                 self.double.put_back(&messages).unwrap();
             }
-            Step::Fetch(destination, after, most) => {
+            Step::Fetch(destination, after, limit) => {
                 let lane = Lane { destination, class: ClassNumber((destination % 2) as u16) };
-                let found = disk.fetch(lane, after, most).unwrap();
-                assert_eq!(found, self.double.fetch(lane, after, most).unwrap());
+                let found = disk.fetch(lane, after, limit).unwrap();
+                assert_eq!(found, self.double.fetch(lane, after, limit).unwrap());
             }
-            Step::Due(until, most) => {
-                let found = disk.due(UnixMillis(until), most).unwrap();
-                assert_eq!(found, self.double.due(UnixMillis(until), most).unwrap());
+            Step::Due(until, limit) => {
+                let found = disk.due(UnixMillis(until), limit).unwrap();
+                assert_eq!(found, self.double.due(UnixMillis(until), limit).unwrap());
             }
             Step::Reopen => {
                 drop(self.disk.take());
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Everything that can be asked, by lane, by deadline and by id.
+    /// Compares all that the stores return: by lane, by deadline and by id.
     fn compare(&self) {
         let disk = self.disk.as_ref().unwrap();
         assert_eq!(
@@ -155,17 +155,17 @@
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn it_does_as_its_double_over_any_operations_and_reopenings(steps in prop::collection::vec(step(), 1..40)) {
-        let mut both = Both::new();
-        steps.into_iter().for_each(|step| both.take(step));
-        both.compare();
-        both.take(Step::Reopen);
-        both.compare();
+    fn it_behaves_like_the_memory_store_for_any_operations(steps in prop::collection::vec(step(), 1..40)) {
+        let mut pair = StorePair::new();
+        steps.into_iter().for_each(|step| pair.apply(step));
+        pair.compare();
+        pair.apply(Step::Reopen);
+        pair.compare();
     }
 }
 
 #[test]
-fn classes_keep_their_numbers() {
+fn classes_keep_their_numbers_after_reopening() {
     let folder = tempfile::tempdir().unwrap();
     let mut store = open(folder.path());
     assert_eq!(store.class("payment").unwrap(), ClassNumber(0));
@@ -192,11 +192,11 @@
     drop(open(folder.path()));
     fs::write(folder.path().join(folder::FORMAT_FILE), "onyxglade backlog\nformat 9\nelse\n").unwrap();
     let refused = LsmStore::open(config(folder.path())).err().unwrap();
-    assert_eq!(refused.to_string(), "the backlog's format 9 is newer than 1, the newest known here");
+    assert_eq!(refused.to_string(), "the backlog has format 9, but this program supports formats up to 1");
 }
 
 #[test]
-fn a_folder_with_other_files_is_left_alone() {
+fn a_folder_with_foreign_files_is_refused_and_unchanged() {
     let folder = tempfile::tempdir().unwrap();
     fs::write(folder.path().join("notes"), "else").unwrap();
     assert!(matches!(LsmStore::open(config(folder.path())), Err(StoreError::NotABacklog { .. })));
@@ -210,55 +210,55 @@
     assert!(matches!(LsmStore::open(config(folder.path())), Err(StoreError::InUse)));
 }
 
-/// Appends until it is refused; tells the places and the refusal.
+/// Appends until the store refuses; returns the positions and the error.
 fn fill(store: &mut LsmStore, first: u64) -> (Vec<Position>, StoreError) {
-    let mut taken: Vec<Position> = Vec::new();
+    let mut accepted: Vec<Position> = Vec::new();
     loop {
-        let first = first + taken.len() as u64;
+        let first = first + accepted.len() as u64;
         let messages: Vec<NewMessage> =
             (first..first + 64).map(|number| message(number, LANE, 30_000)).collect();
         match store.append(&messages) {
-            Ok(positions) => taken.extend(positions),
-            Err(refused) => return (taken, refused),
+            Ok(positions) => accepted.extend(positions),
+            Err(refused) => return (accepted, refused),
         }
     }
 }
 
 #[test]
-fn a_full_backlog_refuses_messages_takes_removals_and_has_room_again() {
+fn a_full_backlog_refuses_messages_but_frees_space_on_removal() {
     let folder = tempfile::tempdir().unwrap();
     let mut store = open(folder.path());
-    let (taken, refused) = fill(&mut store, 0);
+    let (accepted, refused) = fill(&mut store, 0);
     assert!(
         matches!(refused, StoreError::Full { limit, .. } if limit == MIN_DISK_BYTES * 7 / 8),
         "{refused}"
     );
-    assert_eq!(store.usage().messages, taken.len() as u64);
-    let mut most = 0;
-    for positions in taken.chunks(64) {
+    assert_eq!(store.usage().messages, accepted.len() as u64);
+    let mut peak_bytes = 0;
+    for positions in accepted.chunks(64) {
         store.remove(positions).unwrap();
-        most = most.max(store.usage().disk_bytes);
+        peak_bytes = peak_bytes.max(store.usage().disk_bytes);
     }
-    assert!(most <= MIN_DISK_BYTES, "{most} bytes");
+    assert!(peak_bytes <= MIN_DISK_BYTES, "{peak_bytes} bytes");
     assert_eq!(store.lanes().unwrap(), []);
-    let (again, _) = fill(&mut store, taken.len() as u64);
-    assert!(again.len() > taken.len() / 2, "{} messages, then {}", taken.len(), again.len());
+    let (again, _) = fill(&mut store, accepted.len() as u64);
+    assert!(again.len() > accepted.len() / 2, "{} messages, then {}", accepted.len(), again.len());
 }
 
 #[test]
-fn a_full_backlog_that_is_drained_in_part_has_room_again() {
+fn a_partly_drained_backlog_accepts_messages_again() {
     let folder = tempfile::tempdir().unwrap();
     let mut store = open(folder.path());
-    let (taken, _) = fill(&mut store, 0);
-    for positions in taken[..taken.len() * 3 / 4].chunks(64) {
+    let (accepted, _) = fill(&mut store, 0);
+    for positions in accepted[..accepted.len() * 3 / 4].chunks(64) {
         store.remove(positions).unwrap();
     }
-    let (again, refused) = fill(&mut store, taken.len() as u64);
-    assert!(again.len() > taken.len() / 4, "{} messages, then {}: {refused}", taken.len(), again.len());
+    let (again, refused) = fill(&mut store, accepted.len() as u64);
+    assert!(again.len() > accepted.len() / 4, "{} messages, then {}: {refused}", accepted.len(), again.len());
 }
 
 #[test]
-fn a_message_too_long_is_refused_and_takes_no_place() {
+fn an_oversized_message_is_refused_with_its_whole_batch() {
     let folder = tempfile::tempdir().unwrap();
     let mut store = open(folder.path());
     let long = NewMessage { id: "x".repeat(MAX_ID_BYTES + 1).into(), ..message(0, LANE, 1) };
@@ -266,7 +266,8 @@
     assert_eq!(store.usage().messages, 0);
 }
 
-/// A folder that is closed, with the places of the messages of one lane, and the files of a part of their keyspace.
+/// Writes messages of one lane and closes the store. Returns their positions, and the files in the folder `part` of the
+/// keyspace of messages.
 fn written_files(folder: &Path, part: &str) -> (Vec<Position>, Vec<PathBuf>) {
     let mut store = open(folder);
     let positions = (0..200).flat_map(|batch| append(&mut store, batch * 64..(batch + 1) * 64)).collect();
@@ -284,8 +285,8 @@
     fs::write(file, bytes).unwrap();
 }
 
-/// Damages a file in the middle: at most `lost` messages are told and passed over, all others are served.
-fn check_damage(part: &str, lost: usize) {
+/// Corrupts a file in the middle: at most `lost` messages are reported and skipped, all others are served.
+fn check_corruption(part: &str, lost: usize) {
     let folder = tempfile::tempdir().unwrap();
     let (positions, files) = written_files(folder.path(), part);
     flip_middle_byte(files.first().expect("a file was written"));
@@ -314,23 +315,23 @@
 }
 
 #[test]
-fn flipped_bytes_of_a_value_are_told_with_their_place_and_the_rest_is_served() {
-    check_damage("blobs", 1);
+fn a_corrupt_value_is_reported_with_its_position_and_the_rest_is_served() {
+    check_corruption("blobs", 1);
 }
 
 #[test]
-fn flipped_bytes_of_keys_lose_one_block_of_them() {
+fn a_corrupt_key_block_loses_only_the_messages_in_it() {
     const SHORTEST_ENTRY: usize = 10;
-    check_damage("tables", 4096 / SHORTEST_ENTRY);
+    check_corruption("tables", 4096 / SHORTEST_ENTRY);
 }
 
 #[test]
-fn a_table_cut_off_is_told_at_opening() {
+fn a_truncated_table_fails_the_opening() {
     let folder = tempfile::tempdir().unwrap();
     let (_, files) = written_files(folder.path(), "tables");
     let table = files.first().expect("a table was written");
     let length = fs::metadata(table).unwrap().len();
     fs::OpenOptions::new().write(true).open(table).unwrap().set_len(length / 2).unwrap();
-    let refused = LsmStore::open(config(folder.path())).err().expect("it is refused");
+    let refused = LsmStore::open(config(folder.path())).err().expect("opening fails");
     assert!(matches!(refused, StoreError::Corrupt { .. } | StoreError::Io(_)), "{refused}");
 }
--- a/backlog/src/memory_store.rs
+++ b/backlog/src/memory_store.rs
@@ -1,8 +1,8 @@
-//! A store in memory that fails as it is told to: the double of a store on disk for tests.
+//! A store in memory with fault injection, as a test double of the store on disk.
 //!
-//! A [`MemoryDisk`] is what outlasts a crash; a [`MemoryStore`] is a process's view of it. Every call of the trait that
-//! can fail is an operation with a number, counted from zero over the disk's whole life, so that a test can run a
-//! scenario once, read the number of its operations, and run it again with a fault at each of them.
+//! A [`MemoryDisk`] is the state that survives a crash; a [`MemoryStore`] is one process's access to it. Every call
+//! of the trait that can fail is an operation with a number, counted from zero over the lifetime of the disk. A
+//! test can thus run a scenario once, read the number of operations, and run it again with a fault at each of them.
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,24 +16,26 @@
 #[cfg(test)]
 mod tests;
 
-/// What goes wrong with one operation.
+/// The fault injected into one operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails with [`StoreError::Io`] and does nothing.
+    /// It fails with [`StoreError::Io`] and has no effect.
     Error,
-    /// It fails with [`StoreError::Io`] after all of it was done.
+    /// It fails with [`StoreError::Io`] after it took effect.
     ErrorAfter,
-    /// It fails with [`StoreError::Full`] and does nothing. Only operations that need room can fail so; others succeed.
+    /// It fails with [`StoreError::Full`] and has no effect. This applies only to operations that need space;
+    /// others succeed.
     Full,
     /// It takes this much longer, then succeeds.
     Stall(Duration),
-    /// The process is killed before it: this and all later calls of the same store fail with [`StoreError::Closed`].
+    /// The process is killed before the operation: this and all later calls of the same store fail with
+    /// [`StoreError::Closed`].
     CrashBefore,
-    /// The process is killed after it was done, before the caller learns of it.
+    /// The process is killed after the operation took effect, but before it returns.
     CrashAfter,
 }
 
-/// The state that outlasts the process, and the faults planned. Clones are the same disk.
+/// The state that survives the process, and the injected faults. Clones share the same state.
 #[derive(Clone, Default)]
 pub struct MemoryDisk(Arc<Mutex<Contents>>);
 
@@ -53,7 +55,7 @@
 }
 
 impl MemoryDisk {
-    /// Opens the store that the next process sees; those opened before are closed.
+    /// Opens the store for the next process; stores opened before are closed.
     pub fn open(&self) -> MemoryStore {
         let mut contents = self.contents();
         contents.generation += 1;
@@ -61,27 +63,27 @@
         MemoryStore { disk: self.clone(), generation: contents.generation }
     }
 
-    /// Plans a fault for the operation with this number.
+    /// Injects a fault into the operation with this number.
     pub fn inject_fault(&self, operation: u64, fault: Fault) {
         self.contents().faults.insert(operation, fault);
     }
 
-    /// How many operations there were.
+    /// Number of operations so far.
     pub fn operations(&self) -> u64 {
         self.contents().operations
     }
 
-    /// From now on an append beyond this many bytes fails with [`StoreError::Full`]; `None` lifts it.
+    /// Makes appends beyond this many bytes fail with [`StoreError::Full`] from now on; `None` removes the limit.
     pub fn limit_bytes(&self, limit: Option<u64>) {
         self.contents().limit = limit;
     }
 
-    /// Makes the message at `place` unreadable: it is reported and passed over.
+    /// Makes the message at `position` unreadable: it is reported and skipped.
     pub fn corrupt(&self, position: Position) {
         self.contents().unreadable.insert(position);
     }
 
-    /// All messages that wait, without counting as an operation.
+    /// All stored messages; does not count as an operation.
     pub fn messages(&self) -> Vec<StoredMessage> {
         self.contents().messages.values().cloned().collect()
     }
@@ -93,14 +95,14 @@
 
 impl Contents {
     fn insert(&mut self, message: StoredMessage) {
-        self.take_out(message.position);
+        self.remove(message.position);
         self.deadlines.insert((message.deadline, message.position));
         self.ids.insert(message.id.clone(), message.position);
         self.next_sequence = self.next_sequence.max(message.position.sequence + 1);
         self.messages.insert(message.position, message);
     }
 
-    fn take_out(&mut self, position: Position) {
+    fn remove(&mut self, position: Position) {
         self.unreadable.remove(&position);
         let Some(message) = self.messages.remove(&position) else { return };
         self.deadlines.remove(&(message.deadline, position));
@@ -109,13 +111,13 @@
         }
     }
 
-    /// The message at a place, unless it is damaged.
+    /// The message at a position, unless it is unreadable.
     fn read(&mut self, position: Position) -> Option<StoredMessage> {
         if self.unreadable.contains(&position) {
             let (location, cause) = (format!("{position:?}"), "made unreadable".to_owned());
-            let damage = Corruption { position: Some(position), location, cause };
-            if !self.corruptions.contains(&damage) {
-                self.corruptions.push(damage);
+            let corruption = Corruption { position: Some(position), location, cause };
+            if !self.corruptions.contains(&corruption) {
+                self.corruptions.push(corruption);
             }
             return None;
         }
@@ -127,18 +129,18 @@
     }
 }
 
-/// A process's view of a [`MemoryDisk`].
+/// One process's access to a [`MemoryDisk`].
 pub struct MemoryStore {
     disk: MemoryDisk,
     generation: u64,
 }
 
 impl MemoryStore {
-    /// Runs one operation with the fault that is planned for it.
-    fn operate<T>(
+    /// Runs one operation, with the fault injected into it if there is one.
+    fn run_operation<T>(
         &self,
-        needs_room: bool,
-        act: impl FnOnce(&mut Contents) -> Result<T, StoreError>,
+        needs_space: bool,
+        execute: impl FnOnce(&mut Contents) -> Result<T, StoreError>,
     ) -> Result<T, StoreError> {
         let mut contents = self.disk.contents();
         if contents.generation != self.generation {
@@ -153,8 +155,8 @@
             contents = self.disk.contents();
         }
         match fault {
-            Some(Fault::Error) => return Err(failed()),
-            Some(Fault::Full) if needs_room => {
+            Some(Fault::Error) => return Err(injected_error()),
+            Some(Fault::Full) if needs_space => {
                 let used = contents.bytes();
                 return Err(StoreError::Full { used, limit: used });
             }
@@ -164,9 +166,9 @@
             }
             _ => {}
         }
-        let outcome = act(&mut contents);
+        let outcome = execute(&mut contents);
         match fault {
-            Some(Fault::ErrorAfter) => Err(failed()),
+            Some(Fault::ErrorAfter) => Err(injected_error()),
             Some(Fault::CrashAfter) => {
                 contents.generation += 1;
                 Err(StoreError::Closed)
@@ -176,13 +178,13 @@
     }
 }
 
-fn failed() -> StoreError {
-    io::Error::other("a planned fault").into()
+fn injected_error() -> StoreError {
+    io::Error::other("an injected fault").into()
 }
 
 impl BacklogStore for MemoryStore {
     fn append(&mut self, messages: &[NewMessage]) -> Result<Vec<Position>, StoreError> {
-        self.operate(true, |contents| {
+        self.run_operation(true, |contents| {
             let used = contents.bytes();
             let more: u64 =
                 messages.iter().map(|message| (message.id.len() + message.payload.len()) as u64).sum();
@@ -200,14 +202,14 @@
     }
 
     fn put_back(&mut self, messages: &[StoredMessage]) -> Result<(), StoreError> {
-        self.operate(true, |contents| {
+        self.run_operation(true, |contents| {
             messages.iter().for_each(|message| contents.insert(message.clone()));
             Ok(())
         })
     }
 
     fn fetch(&self, lane: Lane, after: Option<u64>, limit: usize) -> Result<Vec<StoredMessage>, StoreError> {
-        self.operate(false, |contents| {
+        self.run_operation(false, |contents| {
             let first = after.map_or(0, |after| after.saturating_add(1));
             let range = Position { lane, sequence: first }..=Position { lane, sequence: u64::MAX };
             let positions: Vec<Position> =
@@ -217,14 +219,14 @@
     }
 
     fn remove(&mut self, positions: &[Position]) -> Result<(), StoreError> {
-        self.operate(false, |contents| {
-            positions.iter().for_each(|position| contents.take_out(*position));
+        self.run_operation(false, |contents| {
+            positions.iter().for_each(|position| contents.remove(*position));
             Ok(())
         })
     }
 
     fn due(&self, until: UnixMillis, limit: usize) -> Result<Vec<StoredMessage>, StoreError> {
-        self.operate(false, |contents| {
+        self.run_operation(false, |contents| {
             let due = contents.deadlines.iter().take_while(|(deadline, _)| *deadline <= until);
             let positions: Vec<Position> = due.map(|(_, position)| *position).collect();
             Ok(positions.into_iter().filter_map(|position| contents.read(position)).take(limit).collect())
@@ -232,14 +234,14 @@
     }
 
     fn find(&self, id: &str) -> Result<Option<Position>, StoreError> {
-        self.operate(false, |contents| {
+        self.run_operation(false, |contents| {
             let found = contents.ids.get(id).copied();
             Ok(found.filter(|position| contents.read(*position).is_some()))
         })
     }
 
     fn class(&mut self, name: &str) -> Result<ClassNumber, StoreError> {
-        self.operate(true, |contents| {
+        self.run_operation(true, |contents| {
             let found = contents.classes.iter().position(|class| &**class == name);
             let index = found.unwrap_or_else(|| {
                 contents.classes.push(name.into());
@@ -250,11 +252,11 @@
     }
 
     fn class_names(&self) -> Result<Vec<Box<str>>, StoreError> {
-        self.operate(false, |contents| Ok(contents.classes.clone()))
+        self.run_operation(false, |contents| Ok(contents.classes.clone()))
     }
 
     fn lanes(&self) -> Result<Vec<LaneSummary>, StoreError> {
-        self.operate(false, |contents| {
+        self.run_operation(false, |contents| {
             let mut lanes: Vec<LaneSummary> = Vec::new();
             for (position, message) in &contents.messages {
                 match lanes.last_mut() {
--- a/backlog/src/memory_store/tests.rs
+++ b/backlog/src/memory_store/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn messages_come_in_the_order_of_arrival_and_of_deadlines() {
+fn messages_are_read_in_order_of_arrival_and_of_deadline() {
     let mut store = MemoryDisk::default().open();
     let positions = store.append(&[message(0), message(1), message(2)]).unwrap();
     assert_eq!(sequences(&store.fetch(LANE, None, 2).unwrap()), [0, 1]);
@@ -31,9 +31,9 @@
     assert_eq!(store.lanes().unwrap()[0].messages, 2);
 }
 
-/// A batch is there whole or not at all, whatever happens at its operation, and a reopened store serves it.
+/// Whatever fault hits an append, the reopened store has the complete batch or nothing of it.
 #[test]
-fn every_fault_leaves_a_batch_whole_or_absent() {
+fn every_fault_leaves_a_batch_complete_or_absent() {
     let faults = [
         (Fault::Error, 0, false),
         (Fault::ErrorAfter, 2, false),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn what_is_full_takes_removals() {
+fn a_full_store_allows_removals() {
     let disk = MemoryDisk::default();
     let mut store = disk.open();
     let positions = store.append(&[message(0)]).unwrap();
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_damaged_message_is_told_once_and_passed_over() {
+fn a_corrupt_message_is_reported_once_and_skipped() {
     let disk = MemoryDisk::default();
     let mut store = disk.open();
     let positions = store.append(&[message(0), message(1)]).unwrap();
--- a/backlog/src/message.rs
+++ b/backlog/src/message.rs
@@ -1,55 +1,55 @@
-//! The values that a store keeps. They know nothing of how a store keeps them.
+//! The values that a store holds, independent of how it stores them.
 use bytes::Bytes;
 
 /// Milliseconds since the Unix epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UnixMillis(pub u64);
 
-/// The number that a store gave to the name of a class; see [`crate::store::BacklogStore::class`].
+/// The number that a store assigned to a class name; see [`crate::store::BacklogStore::class`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassNumber(pub u16);
 
-/// The messages of one class for one destination. They are kept in the order of their arrival.
+/// The messages of one class for one destination, in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Lane {
-    /// Whom the messages are for.
+    /// The destination of the messages.
     pub destination: u64,
     /// Their class.
     pub class: ClassNumber,
 }
 
-/// Where a message stands. A place is never given to another message.
+/// The position of a message in its lane. A position is never reused for another message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
-    /// The lane that the message waits in.
+    /// The lane of the message.
     pub lane: Lane,
-    /// Grows with each message that the store takes on, over all lanes; not without gaps within one.
+    /// Increases with each message that the store accepts, across all lanes; within one lane there may be gaps.
     pub sequence: u64,
 }
 
-/// A message to be taken on.
+/// A message to be stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewMessage {
-    /// The lane to put it at the end of.
+    /// The lane to whose end it is appended.
     pub lane: Lane,
-    /// When it was taken on.
+    /// When it was accepted.
     pub arrived: UnixMillis,
-    /// When its time ends.
+    /// When it expires.
     pub deadline: UnixMillis,
-    /// What clients know it by. At most [`MAX_ID_BYTES`] long; no two messages that wait have the same.
+    /// The id that clients use. At most [`MAX_ID_BYTES`] long, and unique among the stored messages.
     pub id: Box<str>,
     /// Opaque to the store; at most [`MAX_PAYLOAD_BYTES`] long.
     pub payload: Bytes,
 }
 
-/// The longest id that a store takes, in bytes.
+/// Maximum length of an id, in bytes.
 pub const MAX_ID_BYTES: usize = 1024;
 
-/// The longest payload that a store takes, in bytes.
+/// Maximum length of a payload, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 4 << 20;
 
 impl NewMessage {
-    /// The message as it is kept at `sequence` of its lane.
+    /// The message as stored at `sequence` of its lane.
     pub fn stored_at(&self, sequence: u64) -> StoredMessage {
         StoredMessage {
             position: Position { lane: self.lane, sequence },
@@ -61,48 +61,48 @@
     }
 }
 
-/// A message that waits.
+/// A stored message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredMessage {
-    /// Where it stands.
+    /// Its position.
     pub position: Position,
-    /// When it was taken on.
+    /// When it was accepted.
     pub arrived: UnixMillis,
-    /// When its time ends.
+    /// When it expires.
     pub deadline: UnixMillis,
-    /// What clients know it by.
+    /// The id that clients use.
     pub id: Box<str>,
-    /// As it was given.
+    /// The payload as it was given to the store.
     pub payload: Bytes,
 }
 
 impl StoredMessage {
-    /// What it counts for in [`LaneSummary::bytes`].
+    /// Its contribution to [`LaneSummary::bytes`].
     pub fn counted_bytes(&self) -> u64 {
         (self.id.len() + self.payload.len()) as u64
     }
 }
 
-/// What waits in one lane. Lanes in which nothing waits have none.
+/// Summary of a lane. Empty lanes have none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LaneSummary {
     /// The lane.
     pub lane: Lane,
-    /// How many messages wait.
+    /// Number of messages in the lane.
     pub messages: u64,
-    /// The bytes of their ids and payloads.
+    /// Total length of their ids and payloads.
     pub bytes: u64,
-    /// No message that waits has a lower sequence.
+    /// A lower bound of their sequences.
     pub first_sequence: u64,
-    /// About when the first message that waits arrived: exact, or the arrival of one before it that was removed.
+    /// Arrival of the first message in the lane, or of an earlier one that was removed.
     pub oldest_arrival: UnixMillis,
 }
 
-/// What all messages together take.
+/// Total usage of a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Bytes of the store's files.
+    /// Size of the store's files in bytes.
     pub disk_bytes: u64,
-    /// How many messages wait.
+    /// Number of stored messages.
     pub messages: u64,
 }
--- a/backlog/src/planner.rs
+++ b/backlog/src/planner.rs
@@ -43,8 +43,8 @@
 /// Maximum number of destinations being evicted at the same time.
 const MAX_EVICTIONS_IN_FLIGHT: u32 = 64;
 
-/// While destinations wait for slots, arrivals are admitted straight to memory only while more than this fraction
-/// (one in this many) of all slots is free.
+/// While destinations wait for slots, arrivals are admitted straight to memory only while more than all slots divided
+/// by this are free.
 const ARRIVAL_RESERVE_DIVISOR: u64 = 8;
 
 /// Factor by which a predicted delivery time is lengthened, to allow for the error of the prediction.
--- a/backlog/src/planner/slots.rs
+++ b/backlog/src/planner/slots.rs
@@ -5,7 +5,7 @@
 use super::destination::Destination;
 use super::settings::Settings;
 
-/// Half-open destinations together may use one in this many of all slots.
+/// Half-open destinations together may use all slots divided by this.
 const HALF_OPEN_DIVISOR: u64 = 4;
 
 /// The indexed values of one destination.
--- a/backlog/src/store.rs
+++ b/backlog/src/store.rs
@@ -1,4 +1,4 @@
-//! The one trait through which the backlog reaches a disk, and what can go wrong there.
+//! The storage interface of the backlog, and its errors.
 use std::io;
 use std::sync::Arc;
 
@@ -6,103 +6,106 @@
     ClassNumber, Lane, LaneSummary, NewMessage, Position, StoredMessage, UnixMillis, Usage,
 };
 
-/// Messages that wait on disk, in lanes.
+/// A persistent store of messages, organized in lanes.
 ///
-/// Each call that changes something is one atomic batch: after a crash all of it is there or nothing. When it has
-/// returned `Ok`, the end of the process cannot undo it. When it has returned an error, it may or may not have
-/// happened; repeating it is harmless, except for [`append`](Self::append), after which [`find`](Self::find) tells.
+/// Each call that changes something is one atomic batch: after a crash it has taken effect completely or not at
+/// all. Once it has returned `Ok`, the end of the process cannot undo it. If it has returned an error, it may or
+/// may not have taken effect; it is safe to repeat, except for [`append`](Self::append), whose effect can be
+/// checked with [`find`](Self::find).
 pub trait BacklogStore: Send {
-    /// Puts messages at the ends of their lanes and tells their places, in the order given.
+    /// Appends messages to the ends of their lanes and returns their positions, in the same order.
     ///
     /// # Errors
-    /// [`StoreError::Full`] when there is no room: then nothing was taken on.
+    /// [`StoreError::Full`] if there is no space; then no message was stored.
     fn append(&mut self, messages: &[NewMessage]) -> Result<Vec<Position>, StoreError>;
 
-    /// Puts messages back where they stood, or replaces what stands there (say, by a payload with more attempts).
+    /// Stores messages at their previous positions. A message that is still there is replaced, for example by one
+    /// whose payload records more attempts.
     fn put_back(&mut self, messages: &[StoredMessage]) -> Result<(), StoreError>;
 
-    /// At most `most` messages of a lane past the sequence `after`, or from its beginning, in their order.
+    /// Returns at most `limit` messages of a lane after the sequence `after`, or from the start of the lane, in
+    /// order.
     ///
-    /// Its cost follows what it returns, not what was removed before. What cannot be read is passed over: a lane whose
-    /// summary tells messages may have none to return.
+    /// The cost depends on the messages returned, not on those removed before. Unreadable messages are skipped, so
+    /// a lane whose summary counts messages may return none.
     fn fetch(&self, lane: Lane, after: Option<u64>, limit: usize) -> Result<Vec<StoredMessage>, StoreError>;
 
-    /// Removes messages. Places where nothing stands are passed over.
+    /// Removes messages. Positions without a message are ignored.
     fn remove(&mut self, positions: &[Position]) -> Result<(), StoreError>;
 
-    /// At most `most` messages whose deadline is not after `until`, the earliest deadlines first.
+    /// Returns at most `limit` messages with a deadline not after `until`, earliest deadlines first.
     fn due(&self, until: UnixMillis, limit: usize) -> Result<Vec<StoredMessage>, StoreError>;
 
-    /// Where the message with this id waits; none if it cannot be read.
+    /// The position of the message with this id; `None` if there is none or it is unreadable.
     fn find(&self, id: &str) -> Result<Option<Position>, StoreError>;
 
-    /// The number of a class by its name, given on first use and kept for as long as the folder.
+    /// The number of a class name. It is assigned on first use and never changes within the folder.
     fn class(&mut self, name: &str) -> Result<ClassNumber, StoreError>;
 
-    /// All names of classes, at the index that is their number.
+    /// All class names, indexed by class number.
     fn class_names(&self) -> Result<Vec<Box<str>>, StoreError>;
 
-    /// What waits in each lane that is not empty, in the order of lanes. Reads no messages.
+    /// Summaries of all non-empty lanes, in order of lanes. Reads no messages.
     fn lanes(&self) -> Result<Vec<LaneSummary>, StoreError>;
 
-    /// What all takes. Reads no messages.
+    /// Total usage. Reads no messages.
     fn usage(&self) -> Usage;
 
-    /// Messages and files that could not be read since the store was opened, and were passed over.
+    /// The messages and files that were found unreadable and skipped since the store was opened.
     fn corruptions(&self) -> Vec<Corruption>;
 }
 
-/// Something on disk that could not be read.
+/// Data on disk that could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Corruption {
-    /// The message that cannot be read, where it is a single one. It counts as waiting until it is removed.
+    /// The unreadable message, if the corruption affects a single one. It is counted as stored until it is removed.
     pub position: Option<Position>,
-    /// The file, or the place of the message.
+    /// The file, or the position of the message.
     pub location: String,
-    /// What was found there.
+    /// What is wrong.
     pub cause: String,
 }
 
-/// Why a store could not do what it was asked for.
+/// Why a store operation failed.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The bytes set for the backlog, or the disk itself, are used up.
+    /// The quota of the backlog or the disk itself is exhausted.
     #[error("the backlog is full: {used} of {limit} bytes are used")]
     Full {
         /// Bytes in use.
         used: u64,
-        /// Bytes that may be in use.
+        /// Maximum number of bytes in use.
         limit: u64,
     },
-    /// The operating system refused.
-    #[error("the backlog's disk: {0}")]
+    /// The operating system returned an error.
+    #[error("I/O error in the backlog's store: {0}")]
     Io(Arc<io::Error>),
-    /// What was read is not what was written.
-    #[error("the backlog is damaged at {location}: {cause}")]
+    /// The data read is not what was written.
+    #[error("the backlog is corrupt at {location}: {cause}")]
     Corrupt {
         /// The file or key.
         location: String,
-        /// What was found there.
+        /// What is wrong.
         cause: String,
     },
-    /// A later program wrote the folder.
-    #[error("the backlog's format {version} is newer than {newest}, the newest known here")]
+    /// A newer version of the program wrote the folder.
+    #[error("the backlog has format {version}, but this program supports formats up to {newest}")]
     NewerFormat {
         /// The format of the folder.
         version: u32,
-        /// The newest that this program knows.
+        /// The newest format that this program supports.
         newest: u32,
     },
     /// The folder belongs to another relay.
     #[error("the backlog belongs to {found:?}, not to {expected:?}")]
     WrongOwner {
-        /// Who wrote it.
+        /// The owner recorded in the folder.
         found: String,
-        /// Who opened it.
+        /// The owner that opened it.
         expected: String,
     },
-    /// The folder has files in it, but not those of a backlog.
-    #[error("the folder {folder} has other files than a backlog's")]
+    /// The folder contains files, but not those of a backlog.
+    #[error("the folder {folder} contains files that are not a backlog's")]
     NotABacklog {
         /// The folder.
         folder: String,
@@ -110,8 +113,8 @@
     /// Another process has the folder open.
     #[error("the backlog is in use by another process")]
     InUse,
-    /// A message's id or payload is longer than a store takes, or there are more classes than numbers.
-    #[error("the backlog does not take {0}")]
+    /// A message's id or payload is too long, or all class numbers are assigned.
+    #[error("the backlog does not accept {0}")]
     TooLarge(&'static str),
     /// The store's thread has ended, or (in a test) the process has crashed.
     #[error("the backlog's store is closed")]
--- a/backlog/src/worker.rs
+++ b/backlog/src/worker.rs
@@ -1,9 +1,9 @@
-//! The thread that owns a store. Whoever asks it never waits for the disk: requests go into a bounded queue, answers
-//! come through a channel each.
+//! The thread that owns a store. Callers never wait for the disk: requests go into a bounded queue, and each reply
+//! is sent through a channel of its own.
 //!
-//! What is queued when the thread comes to it is grouped: appends that follow each other become one batch of the store,
-//! and so do removals. After an I/O error the store is opened again, since a store may refuse all writes after one that
-//! failed; until that works, requests are answered with the error of the attempt.
+//! The thread groups queued requests: consecutive appends become one batch of the store, and so do consecutive
+//! removals. After an I/O error the store is reopened, since a store may refuse all writes after a failed one.
+//! Until that succeeds, requests are answered with the error of the last attempt to open it.
 use std::collections::VecDeque;
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -24,65 +24,66 @@
 /// Opens the store, at the start and after an I/O error.
 pub type OpenStore = Box<dyn FnMut() -> Result<Box<dyn BacklogStore>, StoreError> + Send>;
 
-/// An answer, or why there is none. It is [`StoreError::Closed`] when the thread has ended.
+/// Receives the reply to a request; receiving fails if the thread has ended, which converts to
+/// [`StoreError::Closed`].
 pub type ReplyReceiver<T> = oneshot::Receiver<Result<T, StoreError>>;
 
-type Reply<T> = oneshot::Sender<Result<T, StoreError>>;
+type ReplySender<T> = oneshot::Sender<Result<T, StoreError>>;
 
-/// How many messages one batch of the store takes at most. A single request may have more.
-const BATCH_MESSAGES: usize = 256;
-/// How long the thread waits before it tries to open the store again.
+/// Maximum number of messages in one batch of the store. A single request may have more.
+const MAX_BATCH_MESSAGES: usize = 256;
+/// Minimum time between a failed attempt to reopen the store and the next.
 const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
 
 enum Request {
-    Append(Vec<NewMessage>, Reply<Vec<Position>>),
-    PutBack(Vec<StoredMessage>, Reply<()>),
-    Remove(Vec<Position>, Reply<()>),
-    Fetch { lane: Lane, after: Option<u64>, limit: usize, reply: Reply<Vec<StoredMessage>> },
-    Due { until: UnixMillis, limit: usize, reply: Reply<Vec<StoredMessage>> },
-    Find(Box<str>, Reply<Option<Position>>),
-    Class(Box<str>, Reply<ClassNumber>),
-    Overview(Reply<Overview>),
-    Usage(Reply<Usage>),
+    Append(Vec<NewMessage>, ReplySender<Vec<Position>>),
+    PutBack(Vec<StoredMessage>, ReplySender<()>),
+    Remove(Vec<Position>, ReplySender<()>),
+    Fetch { lane: Lane, after: Option<u64>, limit: usize, reply: ReplySender<Vec<StoredMessage>> },
+    Due { until: UnixMillis, limit: usize, reply: ReplySender<Vec<StoredMessage>> },
+    Find(Box<str>, ReplySender<Option<Position>>),
+    Class(Box<str>, ReplySender<ClassNumber>),
+    Overview(ReplySender<Overview>),
+    Usage(ReplySender<Usage>),
 }
 
-/// What a store tells of itself.
+/// Summary of a store's contents and state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Overview {
-    /// What waits in each lane.
+    /// Summaries of the non-empty lanes.
     pub lanes: Vec<LaneSummary>,
-    /// The names of classes, at the index that is their number.
+    /// The class names, indexed by class number.
     pub class_names: Vec<Box<str>>,
-    /// What all takes.
+    /// Total usage.
     pub usage: Usage,
-    /// What could not be read.
+    /// Data that could not be read.
     pub corruptions: Vec<Corruption>,
 }
 
-/// The queue of requests is full, or the thread has ended. The request was not taken.
+/// The queue of requests is full, or the thread has ended. The request was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the backlog's store takes no more requests now")]
+#[error("the queue of requests to the backlog's store is full or closed")]
 pub struct Busy;
 
-/// How long the store's operations take, to be read from any thread.
+/// Measures how long the store's operations take; readable from any thread.
 #[derive(Clone)]
 pub struct Watchdog(Arc<Timing>);
 
 struct Timing {
     started: Instant,
     slowest_nanos: AtomicU64,
-    /// Nanoseconds after `started` when the operation began that is running; zero while none is.
+    /// Start of the operation that is running, in nanoseconds after `started`; zero while none is running.
     running_since: AtomicU64,
 }
 
 impl Watchdog {
-    /// The slowest operation so far, or the one that is running if that takes longer.
+    /// The duration of the slowest operation so far, including the one that is running.
     pub fn slowest(&self) -> Duration {
         let finished = Duration::from_nanos(self.0.slowest_nanos.load(Ordering::Relaxed));
         finished.max(self.running().unwrap_or_default())
     }
 
-    /// How long the operation has taken that is running.
+    /// How long the operation that is running has taken so far.
     pub fn running(&self) -> Option<Duration> {
         let since = self.0.running_since.load(Ordering::Relaxed);
         (since != 0).then(|| self.0.started.elapsed().saturating_sub(Duration::from_nanos(since)))
@@ -92,14 +93,14 @@
         let start = self.0.started.elapsed();
         self.0.running_since.store((start.as_nanos() as u64).max(1), Ordering::Relaxed);
         let outcome = operation();
-        let took = self.0.started.elapsed() - start;
-        self.0.slowest_nanos.fetch_max(took.as_nanos() as u64, Ordering::Relaxed);
+        let elapsed = self.0.started.elapsed() - start;
+        self.0.slowest_nanos.fetch_max(elapsed.as_nanos() as u64, Ordering::Relaxed);
         self.0.running_since.store(0, Ordering::Relaxed);
         outcome
     }
 }
 
-/// The thread. When this is dropped, what was queued is still done, then the thread ends.
+/// Handle of the store's thread. Dropping it completes the queued requests and then ends the thread.
 pub struct Worker {
     requests: Option<mpsc::SyncSender<Request>>,
     watchdog: Watchdog,
@@ -107,18 +108,24 @@
 }
 
 impl Worker {
-    /// Opens the store on the calling thread, then starts the thread with a queue of `queued` requests.
+    /// Opens the store on the calling thread, then starts the store's thread with a queue for `queue_capacity`
+    /// requests.
     ///
     /// # Errors
-    /// Those of `open`, and of starting a thread.
-    pub fn start(mut open: OpenStore, queued: usize) -> Result<Worker, StoreError> {
+    /// The errors of `open`, and of starting a thread.
+    pub fn start(mut open: OpenStore, queue_capacity: usize) -> Result<Worker, StoreError> {
         let store = open()?;
-        let (sender, receiver) = mpsc::sync_channel(queued);
+        let (sender, receiver) = mpsc::sync_channel(queue_capacity);
         let timing = Timing { started: Instant::now(), slowest_nanos: 0.into(), running_since: 0.into() };
         let watchdog = Watchdog(Arc::new(timing));
-        let mut owner = Owner { open, store: Ok(store), opened: Instant::now(), watchdog: watchdog.clone() };
+        let mut store_thread = StoreThread {
+            open,
+            store: Ok(store),
+            last_open_attempt: Instant::now(),
+            watchdog: watchdog.clone(),
+        };
         let builder = thread::Builder::new().name("backlog".to_owned());
-        let thread = builder.spawn(move || owner.run(&receiver))?;
+        let thread = builder.spawn(move || store_thread.run(&receiver))?;
         Ok(Worker { requests: Some(sender), watchdog, thread: Some(thread) })
     }
 
@@ -162,7 +169,7 @@
         self.request(|reply| Request::Class(name, reply))
     }
 
-    /// What the store tells of itself.
+    /// A summary of the store's contents and state.
     pub fn overview(&self) -> Result<ReplyReceiver<Overview>, Busy> {
         self.request(Request::Overview)
     }
@@ -172,16 +179,16 @@
         self.request(Request::Usage)
     }
 
-    /// How long operations take.
+    /// The measurement of the operations' durations.
     pub fn watchdog(&self) -> Watchdog {
         self.watchdog.clone()
     }
 
-    fn request<T>(&self, request: impl FnOnce(Reply<T>) -> Request) -> Result<ReplyReceiver<T>, Busy> {
-        let (reply, answer) = oneshot::channel();
-        let requests = self.requests.as_ref().expect("only dropping takes it");
+    fn request<T>(&self, request: impl FnOnce(ReplySender<T>) -> Request) -> Result<ReplyReceiver<T>, Busy> {
+        let (reply, receiver) = oneshot::channel();
+        let requests = self.requests.as_ref().expect("present until the worker is dropped");
         requests.try_send(request(reply)).map_err(|_| Busy)?;
-        Ok(answer)
+        Ok(receiver)
     }
 }
 
@@ -189,59 +196,61 @@
     fn drop(&mut self) {
         self.requests = None;
         if let Some(thread) = self.thread.take() {
-            // A panic of the thread was printed by itself.
+            // The thread has already printed its panic message, if it panicked.
             let _ = thread.join();
         }
     }
 }
 
-/// What lives on the thread.
-struct Owner {
+/// The state of the store's thread.
+struct StoreThread {
     open: OpenStore,
     store: Result<Box<dyn BacklogStore>, StoreError>,
-    opened: Instant,
+    last_open_attempt: Instant,
     watchdog: Watchdog,
 }
 
-impl Owner {
+impl StoreThread {
     fn run(&mut self, requests: &mpsc::Receiver<Request>) {
         while let Ok(first) = requests.recv() {
             let mut queued: VecDeque<Request> = std::iter::once(first).chain(requests.try_iter()).collect();
             while let Some(request) = queued.pop_front() {
-                self.answer(request, &mut queued);
+                self.execute(request, &mut queued);
             }
         }
     }
 
-    /// Answers a request, and those behind it that go into the same batch.
-    fn answer(&mut self, request: Request, queued: &mut VecDeque<Request>) {
+    /// Executes a request, together with queued ones that go into the same batch.
+    fn execute(&mut self, request: Request, queued: &mut VecDeque<Request>) {
         match request {
             Request::Append(messages, reply) => self.append(messages, reply, queued),
             Request::Remove(positions, reply) => self.remove(positions, reply, queued),
-            Request::PutBack(messages, reply) => send(reply, self.operate(|store| store.put_back(&messages))),
+            Request::PutBack(messages, reply) => {
+                send_reply(reply, self.operate(|store| store.put_back(&messages)))
+            }
             Request::Fetch { lane, after, limit, reply } => {
-                send(reply, self.operate(|store| store.fetch(lane, after, limit)));
+                send_reply(reply, self.operate(|store| store.fetch(lane, after, limit)));
             }
             Request::Due { until, limit, reply } => {
-                send(reply, self.operate(|store| store.due(until, limit)))
+                send_reply(reply, self.operate(|store| store.due(until, limit)))
             }
-            Request::Find(id, reply) => send(reply, self.operate(|store| store.find(&id))),
-            Request::Class(name, reply) => send(reply, self.operate(|store| store.class(&name))),
-            Request::Overview(reply) => send(reply, self.operate(|store| overview(store))),
-            Request::Usage(reply) => send(reply, self.operate(|store| Ok(store.usage()))),
+            Request::Find(id, reply) => send_reply(reply, self.operate(|store| store.find(&id))),
+            Request::Class(name, reply) => send_reply(reply, self.operate(|store| store.class(&name))),
+            Request::Overview(reply) => send_reply(reply, self.operate(|store| overview(store))),
+            Request::Usage(reply) => send_reply(reply, self.operate(|store| Ok(store.usage()))),
         }
     }
 
     fn append(
         &mut self,
         first: Vec<NewMessage>,
-        reply: Reply<Vec<Position>>,
+        reply: ReplySender<Vec<Position>>,
         queued: &mut VecDeque<Request>,
     ) {
         let mut messages = first;
         let mut replies = vec![(messages.len(), reply)];
         while let Some(Request::Append(next, _)) = queued.front()
-            && messages.len() + next.len() <= BATCH_MESSAGES
+            && messages.len() + next.len() <= MAX_BATCH_MESSAGES
             && let Some(Request::Append(next, reply)) = queued.pop_front()
         {
             replies.push((next.len(), reply));
@@ -251,51 +260,53 @@
             Ok(positions) => {
                 let mut positions = positions.into_iter();
                 for (count, reply) in replies {
-                    send(reply, Ok(positions.by_ref().take(count).collect()));
+                    send_reply(reply, Ok(positions.by_ref().take(count).collect()));
                 }
             }
             Err(StoreError::TooLarge(_)) if replies.len() > 1 => {
-                // One message is to blame for it, not its neighbours.
+                // Appends each request on its own, so that an oversized message fails only the request that
+                // contains it.
                 let mut messages = messages.into_iter();
                 for (count, reply) in replies {
                     let own: Vec<NewMessage> = messages.by_ref().take(count).collect();
-                    send(reply, self.operate(|store| store.append(&own)));
+                    send_reply(reply, self.operate(|store| store.append(&own)));
                 }
             }
-            Err(error) => replies.into_iter().for_each(|(_, reply)| send(reply, Err(error.clone()))),
+            Err(error) => replies.into_iter().for_each(|(_, reply)| send_reply(reply, Err(error.clone()))),
         }
     }
 
-    fn remove(&mut self, first: Vec<Position>, reply: Reply<()>, queued: &mut VecDeque<Request>) {
+    fn remove(&mut self, first: Vec<Position>, reply: ReplySender<()>, queued: &mut VecDeque<Request>) {
         let mut positions = first;
         let mut replies = vec![reply];
         while let Some(Request::Remove(next, _)) = queued.front()
-            && positions.len() + next.len() <= BATCH_MESSAGES
+            && positions.len() + next.len() <= MAX_BATCH_MESSAGES
             && let Some(Request::Remove(next, reply)) = queued.pop_front()
         {
             replies.push(reply);
             positions.extend(next);
         }
         let outcome = self.operate(|store| store.remove(&positions));
-        replies.into_iter().for_each(|reply| send(reply, outcome.clone()));
+        replies.into_iter().for_each(|reply| send_reply(reply, outcome.clone()));
     }
 
-    /// Runs one operation, on a store that is opened again if the last one left it unusable.
+    /// Runs one operation. Reopens the store before it if the store is unusable, and after it if it failed with an
+    /// I/O error.
     fn operate<T>(
         &mut self,
         operation: impl FnOnce(&mut dyn BacklogStore) -> Result<T, StoreError>,
     ) -> Result<T, StoreError> {
-        if self.store.is_err() && self.opened.elapsed() >= REOPEN_INTERVAL {
-            self.opened = Instant::now();
+        if self.store.is_err() && self.last_open_attempt.elapsed() >= REOPEN_INTERVAL {
+            self.last_open_attempt = Instant::now();
             self.store = self.watchdog.measure(&mut self.open);
         }
         let store = self.store.as_mut().map_err(|error| error.clone())?;
         let outcome = self.watchdog.measure(|| operation(store.as_mut()));
         if let Err(error @ (StoreError::Io(_) | StoreError::Closed)) = &outcome {
-            // Dropped first: a folder cannot be opened twice.
+            // The old store is dropped first, since a folder cannot be opened twice.
             self.store = Err(error.clone());
             self.store = self.watchdog.measure(&mut self.open);
-            self.opened = Instant::now();
+            self.last_open_attempt = Instant::now();
         }
         outcome
     }
@@ -310,9 +321,9 @@
     })
 }
 
-/// Whoever asked may have gone; then nobody needs the answer.
-fn send<T>(reply: Reply<T>, answer: Result<T, StoreError>) {
-    let _ = reply.send(answer);
+/// Sends a reply; the result is ignored because the requester may have stopped waiting.
+fn send_reply<T>(reply: ReplySender<T>, result: Result<T, StoreError>) {
+    let _ = reply.send(result);
 }
 
 impl From<oneshot::error::RecvError> for StoreError {
--- a/backlog/src/worker/tests.rs
+++ b/backlog/src/worker/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn requests_are_answered_in_their_order() {
+fn requests_are_answered_in_order() {
     let worker = start(&MemoryDisk::default());
     assert_eq!(wait(worker.class("payment".into())).unwrap(), ClassNumber(0));
     let positions = wait(worker.append(vec![message(0), message(1)])).unwrap();
@@ -39,9 +39,9 @@
     assert_eq!((overview.usage.messages, overview.class_names.len()), (2, 1));
 }
 
-/// What is queued while an operation stalls becomes one batch, and each request is answered with its own places.
+/// Requests queued while an operation stalls become one batch, and each reply has the positions of its own messages.
 #[test]
-fn queued_appends_and_removals_become_one_batch_each() {
+fn queued_appends_become_one_batch() {
     let disk = MemoryDisk::default();
     let worker = start(&disk);
     disk.inject_fault(0, Fault::Stall(Duration::from_millis(300)));
@@ -58,21 +58,21 @@
 }
 
 #[test]
-fn a_full_queue_refuses_and_never_waits() {
+fn a_full_queue_refuses_requests_without_blocking() {
     let disk = MemoryDisk::default();
     let worker = start(&disk);
     disk.inject_fault(0, Fault::Stall(Duration::from_millis(300)));
     let answers: Vec<_> = (0..64).map(|number| worker.append(vec![message(number)])).collect();
     let refused = answers.iter().filter(|answer| answer.is_err()).count();
     assert!(refused > 0 && refused <= 64 - 16, "{refused}");
-    let taken: usize =
+    let accepted: usize =
         answers.into_iter().filter_map(Result::ok).map(|answer| wait(Ok(answer)).unwrap().len()).sum();
-    assert_eq!(disk.messages().len(), taken);
-    assert_eq!(taken, 64 - refused);
+    assert_eq!(disk.messages().len(), accepted);
+    assert_eq!(accepted, 64 - refused);
 }
 
 #[test]
-fn after_an_error_the_store_is_opened_again() {
+fn the_store_is_reopened_after_an_io_error_or_a_crash() {
     let disk = MemoryDisk::default();
     let worker = start(&disk);
     disk.inject_fault(0, Fault::Error);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn what_was_queued_is_done_before_the_thread_ends() {
+fn queued_requests_complete_before_the_thread_ends() {
     let disk = MemoryDisk::default();
     let worker = start(&disk);
     let answers: Vec<_> = (0..5).map(|number| worker.append(vec![message(number)])).collect();
--- a/backlog/tests/crash.rs
+++ b/backlog/tests/crash.rs
@@ -1,5 +1,5 @@
-//! A process is killed in the middle of appends and removals: what it was told of is there exactly once, what it removed
-//! is gone, and a batch is there whole or not at all.
+//! Crash tests of the backlog: a process is killed during appends and removals. Afterwards each acknowledged
+//! message is present exactly once, removed messages are gone, and each batch is either complete or absent.
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::path::Path;
@@ -13,7 +13,7 @@
 
 const FOLDER_VARIABLE: &str = "BACKLOG_CRASH_TEST_FOLDER";
 const BATCH: u64 = 8;
-/// How many batches the child has told of when it is killed; the later ones lie behind flushes of the write buffers.
+/// Number of appends after which the child is killed; the higher numbers include flushes of the write buffers.
 const KILLED_AFTER: [usize; 4] = [1, 50, 700, 3000];
 
 fn open(folder: &Path) -> LsmStore {
@@ -24,7 +24,7 @@
         disk_bytes: MIN_DISK_BYTES,
         sync: false,
     };
-    LsmStore::open(config).expect("to open")
+    LsmStore::open(config).expect("the store opens")
 }
 
 fn message(number: u64) -> NewMessage {
@@ -41,39 +41,43 @@
     (index * BATCH..(index + 1) * BATCH).map(message).collect()
 }
 
-/// Not a test by itself: the child of the one below. Appends batch after batch and removes half of each again, and tells
-/// each step when it is done.
+/// Not a test by itself: the child process of the test below. It appends one batch after the other, removes half of
+/// each again, and prints each step when it is complete.
 #[test]
 fn child_that_is_killed() {
     let Some(folder) = std::env::var_os(FOLDER_VARIABLE) else { return };
     let mut store = open(Path::new(&folder));
     let mut output = std::io::stderr();
     for index in 0.. {
-        let positions = store.append(&batch(index)).expect("to append");
-        writeln!(output, "appended {index}").expect("to tell");
-        store.remove(&positions[..positions.len() / 2]).expect("to remove");
-        writeln!(output, "removed {index}").expect("to tell");
+        let positions = store.append(&batch(index)).expect("append succeeds");
+        writeln!(output, "appended {index}").expect("stderr is writable");
+        store.remove(&positions[..positions.len() / 2]).expect("remove succeeds");
+        writeln!(output, "removed {index}").expect("stderr is writable");
     }
 }
 
-/// Starts the child, kills it with SIGKILL once it has told of `batches`, and tells how many it appended and removed.
+/// Starts the child, kills it with SIGKILL once it has reported `batches` appends, and returns how many appends and
+/// removals it reported.
 fn run_and_kill(folder: &Path, batches: usize) -> (u64, u64) {
-    let mut child = Command::new(std::env::current_exe().expect("this program"))
+    let mut child = Command::new(std::env::current_exe().expect("the path of this executable"))
         .args(["--exact", "child_that_is_killed", "--nocapture"])
         .env(FOLDER_VARIABLE, folder)
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("a child");
+        .expect("the child starts");
     let (mut appended, mut removed) = (0, 0);
-    for line in BufReader::new(child.stderr.take().expect("its output")).lines().map_while(Result::ok) {
+    for line in BufReader::new(child.stderr.take().expect("the child's output is piped"))
+        .lines()
+        .map_while(Result::ok)
+    {
         appended += u64::from(line.starts_with("appended"));
         removed += u64::from(line.starts_with("removed"));
         if appended as usize == batches {
-            child.kill().expect("to kill");
+            child.kill().expect("the child is killed");
         }
     }
-    child.wait().expect("its end");
+    child.wait().expect("the child is waited for");
     (appended, removed)
 }
 
@@ -88,16 +92,16 @@
 }
 
 #[test]
-fn what_was_acknowledged_before_sigkill_is_there_exactly_once() {
+fn acknowledged_messages_survive_sigkill_exactly_once() {
     for batches in KILLED_AFTER {
         let folder = tempfile::tempdir().expect("a folder");
         let (appended, removed) = run_and_kill(folder.path(), batches);
         assert!(appended as usize >= batches);
         let store = open(folder.path());
-        let by_deadline = by_number(store.due(UnixMillis(u64::MAX), usize::MAX).expect("what is due"));
-        let lanes = store.lanes().expect("lanes");
+        let by_deadline = by_number(store.due(UnixMillis(u64::MAX), usize::MAX).expect("due succeeds"));
+        let lanes = store.lanes().expect("listing the lanes succeeds");
         let in_lanes =
-            lanes.iter().flat_map(|lane| store.fetch(lane.lane, None, usize::MAX).expect("to fetch"));
+            lanes.iter().flat_map(|lane| store.fetch(lane.lane, None, usize::MAX).expect("fetch succeeds"));
         assert_eq!(by_number(in_lanes.collect()), by_deadline);
         let counted: u64 = lanes.iter().map(|lane| lane.messages).sum();
         assert_eq!(counted, by_deadline.len() as u64);
@@ -121,13 +125,14 @@
         assert!(unacknowledged.is_empty() || unacknowledged == whole(appended), "{unacknowledged:?}");
         for (number, message) in &by_deadline {
             assert_eq!(*message, self::message(*number).stored_at(message.position.sequence));
-            assert_eq!(store.find(&message.id).expect("to find"), Some(message.position));
+            assert_eq!(store.find(&message.id).expect("find succeeds"), Some(message.position));
         }
     }
 }
 
-/// A scenario over the double that moves messages to disk, fetches them, replaces one and ends them. Tells the places
-/// that were acknowledged and not removed, or the crash.
+/// A scenario on the memory store that appends messages, fetches and removes some, puts some back and removes
+/// expired ones. `kept` is filled with the positions that are acknowledged and not removed; its values are false
+/// while a removal is in progress.
 fn scenario(store: &mut dyn BacklogStore, kept: &mut BTreeMap<Position, bool>) -> Result<(), StoreError> {
     for index in 0..3 {
         for position in store.append(&batch(index))? {
@@ -161,9 +166,9 @@
 }
 
 #[test]
-fn a_crash_at_each_step_of_the_double_keeps_what_was_acknowledged() {
+fn a_crash_at_each_operation_of_the_memory_store_keeps_acknowledged_messages() {
     let disk = MemoryDisk::default();
-    scenario(&mut disk.open(), &mut BTreeMap::new()).expect("no fault");
+    scenario(&mut disk.open(), &mut BTreeMap::new()).expect("the scenario succeeds without faults");
     let steps = disk.operations();
     assert_eq!(steps, 8);
     for (step, fault) in (0..steps).flat_map(|step| [(step, Fault::CrashBefore), (step, Fault::CrashAfter)]) {
@@ -176,7 +181,7 @@
         let there: Vec<Position> = messages.values().map(|message| message.position).collect();
         let certain = kept.iter().filter(|(_, certain)| **certain).map(|(position, _)| position);
         assert!(certain.clone().all(|position| there.contains(position)), "{fault:?} at {step}");
-        // A crash in a batch of the store may leave all of that batch, and no more.
+        // A crash during a batch may leave that whole batch without an acknowledgement, but nothing else.
         let extra = there.iter().filter(|position| !kept.contains_key(position)).count() as u64;
         assert!([0, 2, BATCH].contains(&extra), "{extra} extra, {fault:?} at {step}");
     }
