--- a/backlog/src/lsm_store/tests.rs
+++ b/backlog/src/lsm_store/tests.rs
@@ -66,7 +66,7 @@
 struct StorePair {
     folder: tempfile::TempDir,
     disk: Option<LsmStore>,
-    double: MemoryStore,
+    memory: MemoryStore,
     messages: Vec<StoredMessage>,
 }
 
@@ -74,7 +74,7 @@
     fn new() -> StorePair {
         let folder = tempfile::tempdir().unwrap();
         let disk = Some(open(folder.path()));
-        StorePair { folder, disk, double: MemoryDisk::default().open(), messages: Vec::new() }
+        StorePair { folder, disk, memory: MemoryDisk::default().open(), messages: Vec::new() }
     }
 
     fn picked(&self, picks: &[usize]) -> Vec<StoredMessage> {
@@ -92,7 +92,7 @@
                 let new: Vec<NewMessage> =
                     new.map(|(number, destination)| message(number, lane(destination), 20)).collect();
                 let positions = disk.append(&new).unwrap();
-                assert_eq!(self.double.append(&new).unwrap(), positions);
+                assert_eq!(self.memory.append(&new).unwrap(), positions);
                 let stored =
                     new.iter().zip(positions).map(|(message, position)| message.stored_at(position.sequence));
                 self.messages.extend(stored);
@@ -101,22 +101,22 @@
                 let positions: Vec<Position> =
                     self.picked(&picks).iter().map(|message| message.position).collect();
                 self.disk.as_mut().unwrap().remove(&positions).unwrap();
-                self.double.remove(&positions).unwrap();
+                self.memory.remove(&positions).unwrap();
             }
             Step::PutBack(picks, later) => {
                 let mut messages = self.picked(&picks);
                 messages.iter_mut().for_each(|message| message.deadline.0 += later);
                 self.disk.as_mut().unwrap().put_back(&messages).unwrap();
-                self.double.put_back(&messages).unwrap();
+                self.memory.put_back(&messages).unwrap();
             }
             Step::Fetch(destination, after, limit) => {
                 let lane = Lane { destination, class: ClassNumber((destination % 2) as u16) };
                 let found = disk.fetch(lane, after, limit).unwrap();
-                assert_eq!(found, self.double.fetch(lane, after, limit).unwrap());
+                assert_eq!(found, self.memory.fetch(lane, after, limit).unwrap());
             }
             Step::Due(until, limit) => {
                 let found = disk.due(UnixMillis(until), limit).unwrap();
-                assert_eq!(found, self.double.due(UnixMillis(until), limit).unwrap());
+                assert_eq!(found, self.memory.due(UnixMillis(until), limit).unwrap());
             }
             Step::Reopen => {
                 drop(self.disk.take());
@@ -130,13 +130,13 @@
         let disk = self.disk.as_ref().unwrap();
         assert_eq!(
             disk.due(UnixMillis(u64::MAX), 999).unwrap(),
-            self.double.due(UnixMillis(u64::MAX), 999).unwrap()
+            self.memory.due(UnixMillis(u64::MAX), 999).unwrap()
         );
-        assert_eq!(disk.usage().messages, self.double.usage().messages);
+        assert_eq!(disk.usage().messages, self.memory.usage().messages);
         for message in &self.messages {
-            assert_eq!(disk.find(&message.id).unwrap(), self.double.find(&message.id).unwrap());
+            assert_eq!(disk.find(&message.id).unwrap(), self.memory.find(&message.id).unwrap());
         }
-        let (on_disk, expected) = (disk.lanes().unwrap(), self.double.lanes().unwrap());
+        let (on_disk, expected) = (disk.lanes().unwrap(), self.memory.lanes().unwrap());
         assert_eq!(on_disk.len(), expected.len());
         for (found, expected) in on_disk.iter().zip(&expected) {
             assert_eq!(
@@ -145,7 +145,7 @@
             );
             assert!(found.first_sequence <= expected.first_sequence);
             let messages = disk.fetch(found.lane, None, 999).unwrap();
-            assert_eq!(messages, self.double.fetch(found.lane, None, 999).unwrap());
+            assert_eq!(messages, self.memory.fetch(found.lane, None, 999).unwrap());
         }
         assert_eq!(disk.corruptions(), []);
     }
@@ -298,7 +298,7 @@
     assert!(
         corruptions
             .iter()
-            .all(|damage| damage.position.is_some_and(|position| positions.contains(&position)))
+            .all(|corruption| corruption.position.is_some_and(|position| positions.contains(&position)))
     );
     assert!(
         served.len() < positions.len() && served.len() >= positions.len() - lost,
--- a/backlog/src/planner/destination.rs
+++ b/backlog/src/planner/destination.rs
@@ -84,7 +84,7 @@
         self.in_memory + self.requested
     }
 
-    /// The record holds nothing that must be kept.
+    /// True if the record contains nothing that must be retained.
     pub fn is_idle(&self) -> bool {
         self.occupancy() == 0 && !self.evicting && self.share.lanes.iter().all(|lane| lane.is_clear())
     }
--- a/backlog/src/planner/drain_rate.rs
+++ b/backlog/src/planner/drain_rate.rs
@@ -44,9 +44,9 @@
         }
         let Some(last) = self.last.replace(now) else { return };
         let elapsed = now.saturating_sub(last).as_secs_f64();
-        let kept = (-elapsed / DECAY).exp();
-        self.deliveries = self.deliveries * kept + 1.0;
-        self.seconds = self.seconds * kept + elapsed;
+        let weight = (-elapsed / DECAY).exp();
+        self.deliveries = self.deliveries * weight + 1.0;
+        self.seconds = self.seconds * weight + elapsed;
         self.measured_seconds += elapsed as f32;
         self.measured_deliveries = self.measured_deliveries.saturating_add(1);
     }
--- a/backlog/tests/crash.rs
+++ b/backlog/tests/crash.rs
@@ -87,7 +87,7 @@
     let count = messages.len();
     let messages: BTreeMap<u64, StoredMessage> =
         messages.into_iter().map(|message| (number(&message).expect("a number"), message)).collect();
-    assert_eq!(messages.len(), count, "a message is there twice");
+    assert_eq!(messages.len(), count, "a message is present twice");
     messages
 }
 
@@ -105,23 +105,23 @@
         assert_eq!(by_number(in_lanes.collect()), by_deadline);
         let counted: u64 = lanes.iter().map(|lane| lane.messages).sum();
         assert_eq!(counted, by_deadline.len() as u64);
-        let left = |index: u64| {
+        let remaining = |index: u64| {
             let numbers = index * BATCH..(index + 1) * BATCH;
             numbers.filter(|number| by_deadline.contains_key(number)).collect::<Vec<u64>>()
         };
         let whole = |index: u64| (index * BATCH..(index + 1) * BATCH).collect::<Vec<u64>>();
         let half = |index: u64| (index * BATCH + BATCH / 2..(index + 1) * BATCH).collect::<Vec<u64>>();
         for index in 0..removed {
-            assert_eq!(left(index), half(index), "batch {index} of {appended}, {removed} removed");
+            assert_eq!(remaining(index), half(index), "batch {index} of {appended}, {removed} removed");
         }
         for index in removed..appended {
             assert!(
-                left(index) == whole(index) || left(index) == half(index),
+                remaining(index) == whole(index) || remaining(index) == half(index),
                 "batch {index}: {:?}",
-                left(index)
+                remaining(index)
             );
         }
-        let unacknowledged = left(appended);
+        let unacknowledged = remaining(appended);
         assert!(unacknowledged.is_empty() || unacknowledged == whole(appended), "{unacknowledged:?}");
         for (number, message) in &by_deadline {
             assert_eq!(*message, self::message(*number).stored_at(message.position.sequence));
@@ -178,11 +178,11 @@
         let outcome = scenario(&mut disk.open(), &mut kept);
         assert!(matches!(outcome, Err(StoreError::Closed)), "{fault:?} at {step}");
         let messages = by_number(disk.messages());
-        let there: Vec<Position> = messages.values().map(|message| message.position).collect();
+        let present: Vec<Position> = messages.values().map(|message| message.position).collect();
         let certain = kept.iter().filter(|(_, certain)| **certain).map(|(position, _)| position);
-        assert!(certain.clone().all(|position| there.contains(position)), "{fault:?} at {step}");
+        assert!(certain.clone().all(|position| present.contains(position)), "{fault:?} at {step}");
         // A crash during a batch may leave that whole batch without an acknowledgement, but nothing else.
-        let extra = there.iter().filter(|position| !kept.contains_key(position)).count() as u64;
+        let extra = present.iter().filter(|position| !kept.contains_key(position)).count() as u64;
         assert!([0, 2, BATCH].contains(&extra), "{extra} extra, {fault:?} at {step}");
     }
 }
