--- a/backlog/src/memory_store.rs
+++ b/backlog/src/memory_store.rs
@@ -1,49 +1,53 @@
-//! A store in memory that fails as it is told to: the double of a store on disk for tests.
+//! A store in memory with fault injection, as a test double of the store on disk.
 //!
-//! A [`MemoryDisk`] is what outlasts a crash; a [`MemoryStore`] is a process's view of it. Every call of the trait that
-//! can fail is an operation with a number, counted from zero over the disk's whole life, so that a test can run a
-//! scenario once, read the number of its operations, and run it again with a fault at each of them.
+//! A [`MemoryDisk`] is the state that survives a crash; a [`MemoryStore`] is one process's access to it. Every call
+//! of the trait that can fail is an operation with a number, counted from zero over the lifetime of the disk. A
+//! test can thus run a scenario once, read the number of operations, and run it again with a fault at each of them.
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use crate::message::{ClassNumber, Lane, LaneSummary, NewMessage, Place, StoredMessage, UnixMillis, Usage};
-use crate::store::{BacklogStore, Damage, StoreError};
+use crate::message::{
+    ClassNumber, Lane, LaneSummary, NewMessage, Position, StoredMessage, UnixMillis, Usage,
+};
+use crate::store::{BacklogStore, Corruption, StoreError};
 
 #[cfg(test)]
 mod tests;
 
-/// What goes wrong with one operation.
+/// The fault injected into one operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails with [`StoreError::Io`] and does nothing.
+    /// It fails with [`StoreError::Io`] and has no effect.
     Error,
-    /// It fails with [`StoreError::Io`] after all of it was done.
+    /// It fails with [`StoreError::Io`] after it took effect.
     ErrorAfter,
-    /// It fails with [`StoreError::Full`] and does nothing. Only operations that need room can fail so; others succeed.
+    /// It fails with [`StoreError::Full`] and has no effect. This applies only to operations that need space;
+    /// others succeed.
     Full,
     /// It takes this much longer, then succeeds.
     Stall(Duration),
-    /// The process is killed before it: this and all later calls of the same store fail with [`StoreError::Closed`].
+    /// The process is killed before the operation: this and all later calls of the same store fail with
+    /// [`StoreError::Closed`].
     CrashBefore,
-    /// The process is killed after it was done, before the caller learns of it.
+    /// The process is killed after the operation took effect, but before it returns.
     CrashAfter,
 }
 
-/// The state that outlasts the process, and the faults planned. Clones are the same disk.
+/// The state that survives the process, and the injected faults. Clones share the same state.
 #[derive(Clone, Default)]
 pub struct MemoryDisk(Arc<Mutex<Contents>>);
 
 #[derive(Default)]
 struct Contents {
-    messages: BTreeMap<Place, StoredMessage>,
-    deadlines: BTreeSet<(UnixMillis, Place)>,
-    ids: HashMap<Box<str>, Place>,
+    messages: BTreeMap<Position, StoredMessage>,
+    deadlines: BTreeSet<(UnixMillis, Position)>,
+    ids: HashMap<Box<str>, Position>,
     classes: Vec<Box<str>>,
     next_sequence: u64,
-    unreadable: BTreeSet<Place>,
-    damages: Vec<Damage>,
+    unreadable: BTreeSet<Position>,
+    corruptions: Vec<Corruption>,
     operations: u64,
     faults: BTreeMap<u64, Fault>,
     limit: Option<u64>,
@@ -51,35 +55,35 @@
 }
 
 impl MemoryDisk {
-    /// Opens the store that the next process sees; those opened before are closed.
+    /// Opens the store for the next process; stores opened before are closed.
     pub fn open(&self) -> MemoryStore {
         let mut contents = self.contents();
         contents.generation += 1;
-        contents.damages.clear();
+        contents.corruptions.clear();
         MemoryStore { disk: self.clone(), generation: contents.generation }
     }
 
-    /// Plans a fault for the operation with this number.
-    pub fn fail(&self, operation: u64, fault: Fault) {
+    /// Injects a fault into the operation with this number.
+    pub fn inject_fault(&self, operation: u64, fault: Fault) {
         self.contents().faults.insert(operation, fault);
     }
 
-    /// How many operations there were.
+    /// Number of operations so far.
     pub fn operations(&self) -> u64 {
         self.contents().operations
     }
 
-    /// From now on an append beyond this many bytes fails with [`StoreError::Full`]; `None` lifts it.
+    /// Makes appends beyond this many bytes fail with [`StoreError::Full`] from now on; `None` removes the limit.
     pub fn limit_bytes(&self, limit: Option<u64>) {
         self.contents().limit = limit;
     }
 
-    /// Makes the message at `place` unreadable: it is reported and passed over.
-    pub fn damage(&self, place: Place) {
-        self.contents().unreadable.insert(place);
+    /// Makes the message at `position` unreadable: it is reported and skipped.
+    pub fn corrupt(&self, position: Position) {
+        self.contents().unreadable.insert(position);
     }
 
-    /// All messages that wait, without counting as an operation.
+    /// All stored messages; does not count as an operation.
     pub fn messages(&self) -> Vec<StoredMessage> {
         self.contents().messages.values().cloned().collect()
     }
@@ -91,33 +95,33 @@
 
 impl Contents {
     fn insert(&mut self, message: StoredMessage) {
-        self.take_out(message.place);
-        self.deadlines.insert((message.deadline, message.place));
-        self.ids.insert(message.id.clone(), message.place);
-        self.next_sequence = self.next_sequence.max(message.place.sequence + 1);
-        self.messages.insert(message.place, message);
+        self.remove(message.position);
+        self.deadlines.insert((message.deadline, message.position));
+        self.ids.insert(message.id.clone(), message.position);
+        self.next_sequence = self.next_sequence.max(message.position.sequence + 1);
+        self.messages.insert(message.position, message);
     }
 
-    fn take_out(&mut self, place: Place) {
-        self.unreadable.remove(&place);
-        let Some(message) = self.messages.remove(&place) else { return };
-        self.deadlines.remove(&(message.deadline, place));
-        if self.ids.get(&message.id) == Some(&place) {
+    fn remove(&mut self, position: Position) {
+        self.unreadable.remove(&position);
+        let Some(message) = self.messages.remove(&position) else { return };
+        self.deadlines.remove(&(message.deadline, position));
+        if self.ids.get(&message.id) == Some(&position) {
             self.ids.remove(&message.id);
         }
     }
 
-    /// The message at a place, unless it is damaged.
-    fn read(&mut self, place: Place) -> Option<StoredMessage> {
-        if self.unreadable.contains(&place) {
-            let (location, cause) = (format!("{place:?}"), "made unreadable".to_owned());
-            let damage = Damage { place: Some(place), location, cause };
-            if !self.damages.contains(&damage) {
-                self.damages.push(damage);
+    /// The message at a position, unless it is unreadable.
+    fn read(&mut self, position: Position) -> Option<StoredMessage> {
+        if self.unreadable.contains(&position) {
+            let (location, cause) = (format!("{position:?}"), "made unreadable".to_owned());
+            let corruption = Corruption { position: Some(position), location, cause };
+            if !self.corruptions.contains(&corruption) {
+                self.corruptions.push(corruption);
             }
             return None;
         }
-        self.messages.get(&place).cloned()
+        self.messages.get(&position).cloned()
     }
 
     fn bytes(&self) -> u64 {
@@ -125,18 +129,18 @@
     }
 }
 
-/// A process's view of a [`MemoryDisk`].
+/// One process's access to a [`MemoryDisk`].
 pub struct MemoryStore {
     disk: MemoryDisk,
     generation: u64,
 }
 
 impl MemoryStore {
-    /// Runs one operation with the fault that is planned for it.
-    fn operate<T>(
+    /// Runs one operation, with the fault injected into it if there is one.
+    fn run_operation<T>(
         &self,
-        needs_room: bool,
-        act: impl FnOnce(&mut Contents) -> Result<T, StoreError>,
+        needs_space: bool,
+        execute: impl FnOnce(&mut Contents) -> Result<T, StoreError>,
     ) -> Result<T, StoreError> {
         let mut contents = self.disk.contents();
         if contents.generation != self.generation {
@@ -151,8 +155,8 @@
             contents = self.disk.contents();
         }
         match fault {
-            Some(Fault::Error) => return Err(failed()),
-            Some(Fault::Full) if needs_room => {
+            Some(Fault::Error) => return Err(injected_error()),
+            Some(Fault::Full) if needs_space => {
                 let used = contents.bytes();
                 return Err(StoreError::Full { used, limit: used });
             }
@@ -162,9 +166,9 @@
             }
             _ => {}
         }
-        let outcome = act(&mut contents);
+        let outcome = execute(&mut contents);
         match fault {
-            Some(Fault::ErrorAfter) => Err(failed()),
+            Some(Fault::ErrorAfter) => Err(injected_error()),
             Some(Fault::CrashAfter) => {
                 contents.generation += 1;
                 Err(StoreError::Closed)
@@ -174,69 +178,70 @@
     }
 }
 
-fn failed() -> StoreError {
-    io::Error::other("a planned fault").into()
+fn injected_error() -> StoreError {
+    io::Error::other("an injected fault").into()
 }
 
 impl BacklogStore for MemoryStore {
-    fn append(&mut self, messages: &[NewMessage]) -> Result<Vec<Place>, StoreError> {
-        self.operate(true, |contents| {
+    fn append(&mut self, messages: &[NewMessage]) -> Result<Vec<Position>, StoreError> {
+        self.run_operation(true, |contents| {
             let used = contents.bytes();
             let more: u64 =
                 messages.iter().map(|message| (message.id.len() + message.payload.len()) as u64).sum();
             if let Some(limit) = contents.limit.filter(|limit| used + more > *limit) {
                 return Err(StoreError::Full { used, limit });
             }
-            let place = |message: &NewMessage| {
+            let position = |message: &NewMessage| {
                 let stored = message.stored_at(contents.next_sequence);
-                let place = stored.place;
+                let position = stored.position;
                 contents.insert(stored);
-                place
+                position
             };
-            Ok(messages.iter().map(place).collect())
+            Ok(messages.iter().map(position).collect())
         })
     }
 
     fn put_back(&mut self, messages: &[StoredMessage]) -> Result<(), StoreError> {
-        self.operate(true, |contents| {
+        self.run_operation(true, |contents| {
             messages.iter().for_each(|message| contents.insert(message.clone()));
             Ok(())
         })
     }
 
-    fn fetch(&self, lane: Lane, after: Option<u64>, most: usize) -> Result<Vec<StoredMessage>, StoreError> {
-        self.operate(false, |contents| {
+    fn fetch(&self, lane: Lane, after: Option<u64>, limit: usize) -> Result<Vec<StoredMessage>, StoreError> {
+        self.run_operation(false, |contents| {
             let first = after.map_or(0, |after| after.saturating_add(1));
-            let range = Place { lane, sequence: first }..=Place { lane, sequence: u64::MAX };
-            let places: Vec<Place> = contents.messages.range(range).map(|(place, _)| *place).collect();
-            Ok(places.into_iter().filter_map(|place| contents.read(place)).take(most).collect())
+            let range = Position { lane, sequence: first }..=Position { lane, sequence: u64::MAX };
+            let positions: Vec<Position> =
+                contents.messages.range(range).map(|(position, _)| *position).collect();
+            Ok(positions.into_iter().filter_map(|position| contents.read(position)).take(limit).collect())
         })
     }
 
-    fn remove(&mut self, places: &[Place]) -> Result<(), StoreError> {
-        self.operate(false, |contents| {
-            places.iter().for_each(|place| contents.take_out(*place));
+    fn remove(&mut self, positions: &[Position]) -> Result<(), StoreError> {
+        self.run_operation(false, |contents| {
+            positions.iter().for_each(|position| contents.remove(*position));
             Ok(())
         })
     }
 
-    fn due(&self, until: UnixMillis, most: usize) -> Result<Vec<StoredMessage>, StoreError> {
-        self.operate(false, |contents| {
+    fn due(&self, until: UnixMillis, limit: usize) -> Result<Vec<StoredMessage>, StoreError> {
+        self.run_operation(false, |contents| {
             let due = contents.deadlines.iter().take_while(|(deadline, _)| *deadline <= until);
-            let places: Vec<Place> = due.map(|(_, place)| *place).collect();
-            Ok(places.into_iter().filter_map(|place| contents.read(place)).take(most).collect())
+            let positions: Vec<Position> = due.map(|(_, position)| *position).collect();
+            Ok(positions.into_iter().filter_map(|position| contents.read(position)).take(limit).collect())
         })
     }
 
-    fn find(&self, id: &str) -> Result<Option<Place>, StoreError> {
-        self.operate(false, |contents| {
+    fn find(&self, id: &str) -> Result<Option<Position>, StoreError> {
+        self.run_operation(false, |contents| {
             let found = contents.ids.get(id).copied();
-            Ok(found.filter(|place| contents.read(*place).is_some()))
+            Ok(found.filter(|position| contents.read(*position).is_some()))
         })
     }
 
     fn class(&mut self, name: &str) -> Result<ClassNumber, StoreError> {
-        self.operate(true, |contents| {
+        self.run_operation(true, |contents| {
             let found = contents.classes.iter().position(|class| &**class == name);
             let index = found.unwrap_or_else(|| {
                 contents.classes.push(name.into());
@@ -247,25 +252,25 @@
     }
 
     fn class_names(&self) -> Result<Vec<Box<str>>, StoreError> {
-        self.operate(false, |contents| Ok(contents.classes.clone()))
+        self.run_operation(false, |contents| Ok(contents.classes.clone()))
     }
 
     fn lanes(&self) -> Result<Vec<LaneSummary>, StoreError> {
-        self.operate(false, |contents| {
+        self.run_operation(false, |contents| {
             let mut lanes: Vec<LaneSummary> = Vec::new();
-            for (place, message) in &contents.messages {
+            for (position, message) in &contents.messages {
                 match lanes.last_mut() {
-                    Some(lane) if lane.lane == place.lane => {
+                    Some(lane) if lane.lane == position.lane => {
                         lane.messages += 1;
                         lane.bytes += message.counted_bytes();
-                        lane.arrived_from = lane.arrived_from.min(message.arrived);
+                        lane.oldest_arrival = lane.oldest_arrival.min(message.arrived);
                     }
                     _ => lanes.push(LaneSummary {
-                        lane: place.lane,
+                        lane: position.lane,
                         messages: 1,
                         bytes: message.counted_bytes(),
-                        first_sequence: place.sequence,
-                        arrived_from: message.arrived,
+                        first_sequence: position.sequence,
+                        oldest_arrival: message.arrived,
                     }),
                 }
             }
@@ -278,7 +283,7 @@
         Usage { disk_bytes: contents.bytes(), messages: contents.messages.len() as u64 }
     }
 
-    fn damages(&self) -> Vec<Damage> {
-        self.disk.contents().damages.clone()
+    fn corruptions(&self) -> Vec<Corruption> {
+        self.disk.contents().corruptions.clone()
     }
 }
--- a/backlog/src/worker/tests.rs
+++ b/backlog/src/worker/tests.rs
@@ -20,63 +20,63 @@
     Worker::start(Box::new(move || Ok(Box::new(disk.open()))), 16).unwrap()
 }
 
-fn wait<T>(answer: Result<Answer<T>, Busy>) -> Result<T, StoreError> {
+fn wait<T>(answer: Result<ReplyReceiver<T>, Busy>) -> Result<T, StoreError> {
     answer?.blocking_recv()?
 }
 
 #[test]
-fn requests_are_answered_in_their_order() {
+fn requests_are_answered_in_order() {
     let worker = start(&MemoryDisk::default());
     assert_eq!(wait(worker.class("payment".into())).unwrap(), ClassNumber(0));
-    let places = wait(worker.append(vec![message(0), message(1)])).unwrap();
+    let positions = wait(worker.append(vec![message(0), message(1)])).unwrap();
     let messages = wait(worker.fetch(LANE, None, 9)).unwrap();
-    assert_eq!(messages.iter().map(|message| message.place).collect::<Vec<_>>(), places);
-    assert_eq!(wait(worker.find("id-1".into())).unwrap(), Some(places[1]));
-    wait(worker.remove(places)).unwrap();
+    assert_eq!(messages.iter().map(|message| message.position).collect::<Vec<_>>(), positions);
+    assert_eq!(wait(worker.find("id-1".into())).unwrap(), Some(positions[1]));
+    wait(worker.remove(positions)).unwrap();
     wait(worker.put_back(messages)).unwrap();
     assert_eq!(wait(worker.due(UnixMillis(1000), 9)).unwrap().len(), 1);
     let overview = wait(worker.overview()).unwrap();
     assert_eq!((overview.usage.messages, overview.class_names.len()), (2, 1));
 }
 
-/// What is queued while an operation stalls becomes one batch, and each request is answered with its own places.
+/// Requests queued while an operation stalls become one batch, and each reply has the positions of its own messages.
 #[test]
-fn queued_appends_and_removals_become_one_batch_each() {
+fn queued_appends_become_one_batch() {
     let disk = MemoryDisk::default();
     let worker = start(&disk);
-    disk.fail(0, Fault::Stall(Duration::from_millis(300)));
+    disk.inject_fault(0, Fault::Stall(Duration::from_millis(300)));
     let first = worker.append(vec![message(0)]);
     while worker.watchdog().running().is_none() {
         thread::yield_now();
     }
     let answers: Vec<_> = (1..6).map(|number| worker.append(vec![message(number)])).collect();
     assert_eq!(wait(first).unwrap()[0].sequence, 0);
-    let places: Vec<Place> = answers.into_iter().flat_map(|answer| wait(answer).unwrap()).collect();
-    assert_eq!(places.iter().map(|place| place.sequence).collect::<Vec<_>>(), [1, 2, 3, 4, 5]);
+    let positions: Vec<Position> = answers.into_iter().flat_map(|answer| wait(answer).unwrap()).collect();
+    assert_eq!(positions.iter().map(|position| position.sequence).collect::<Vec<_>>(), [1, 2, 3, 4, 5]);
     assert_eq!(disk.operations(), 2);
     assert!(worker.watchdog().slowest() >= Duration::from_millis(300));
 }
 
 #[test]
-fn a_full_queue_refuses_and_never_waits() {
+fn a_full_queue_refuses_requests_without_blocking() {
     let disk = MemoryDisk::default();
     let worker = start(&disk);
-    disk.fail(0, Fault::Stall(Duration::from_millis(300)));
+    disk.inject_fault(0, Fault::Stall(Duration::from_millis(300)));
     let answers: Vec<_> = (0..64).map(|number| worker.append(vec![message(number)])).collect();
     let refused = answers.iter().filter(|answer| answer.is_err()).count();
     assert!(refused > 0 && refused <= 64 - 16, "{refused}");
-    let taken: usize =
+    let accepted: usize =
         answers.into_iter().filter_map(Result::ok).map(|answer| wait(Ok(answer)).unwrap().len()).sum();
-    assert_eq!(disk.messages().len(), taken);
-    assert_eq!(taken, 64 - refused);
+    assert_eq!(disk.messages().len(), accepted);
+    assert_eq!(accepted, 64 - refused);
 }
 
 #[test]
-fn after_an_error_the_store_is_opened_again() {
+fn the_store_is_reopened_after_an_io_error_or_a_crash() {
     let disk = MemoryDisk::default();
     let worker = start(&disk);
-    disk.fail(0, Fault::Error);
-    disk.fail(2, Fault::CrashAfter);
+    disk.inject_fault(0, Fault::Error);
+    disk.inject_fault(2, Fault::CrashAfter);
     assert!(matches!(wait(worker.append(vec![message(0)])), Err(StoreError::Io(_))));
     wait(worker.append(vec![message(1)])).unwrap();
     assert!(matches!(wait(worker.append(vec![message(2)])), Err(StoreError::Closed)));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn what_was_queued_is_done_before_the_thread_ends() {
+fn queued_requests_complete_before_the_thread_ends() {
     let disk = MemoryDisk::default();
     let worker = start(&disk);
     let answers: Vec<_> = (0..5).map(|number| worker.append(vec![message(number)])).collect();
--- a/relay/src/backlog.rs
+++ b/relay/src/backlog.rs
@@ -7,13 +7,13 @@
 use std::future::Future;
 use std::time::{Duration, Instant, SystemTime};
 
-use onyxglade_backlog::lsm_store::{Config, LEAST_MEMORY_BYTES, LsmStore};
-use onyxglade_backlog::message::{ClassNumber, Lane, NewMessage, Place, StoredMessage, UnixMillis};
+use onyxglade_backlog::lsm_store::{Config, LsmStore, MIN_MEMORY_BYTES};
+use onyxglade_backlog::message::{ClassNumber, Lane, NewMessage, Position, StoredMessage, UnixMillis};
 use onyxglade_backlog::planner::{
-    Action, Arrival, Event, LaneCount, MESSAGE_MEMORY, Planner, Settings, StoreFault,
+    Action, ArrivalId, Event, LaneCount, MESSAGE_MEMORY_BYTES, Planner, Settings, StoreFault,
 };
 use onyxglade_backlog::store::{BacklogStore, StoreError};
-use onyxglade_backlog::worker::{Answer, Busy, Overview, Watchdog, Worker};
+use onyxglade_backlog::worker::{Busy, Overview, ReplyReceiver, Watchdog, Worker};
 use slatethread::MsgId;
 use tokio::sync::Notify;
 use tokio::time::sleep;
@@ -53,7 +53,7 @@
     worker: RefCell<Option<Worker>>,
     planner: RefCell<Planner>,
     started: Instant,
-    last_arrival: Cell<Arrival>,
+    last_arrival: Cell<ArrivalId>,
     classes: HashMap<String, ClassNumber>,
     /// Number of requests in flight, by destination.
     calls_in_flight: RefCell<HashMap<u64, u32>>,
@@ -61,7 +61,7 @@
     fetched: RefCell<HashMap<u64, BTreeSet<MsgId>>>,
     /// Messages that were read and are about to be removed, because they move to memory or their deadline has passed. They are
     /// skipped if they are read again in the meantime.
-    reserved: RefCell<HashSet<Place>>,
+    reserved: RefCell<HashSet<Position>>,
     /// IDs of refused messages that the store may nevertheless have, until that is known.
     in_doubt: RefCell<HashSet<String>>,
     quota: u64,
@@ -114,8 +114,8 @@
         }
         let fetched = journaled.iter().filter_map(|open| open.place).collect();
         ask(worker.remove(fetched)).await?;
-        let Overview { lanes, damages, .. } = ask(worker.overview()).await?;
-        for damage in &damages {
+        let Overview { lanes, corruptions, .. } = ask(worker.overview()).await?;
+        for damage in &corruptions {
             let (location, cause) = (&damage.location, &damage.cause);
             tracing::error!(location, cause, "the backlog is damaged; the messages there are skipped");
         }
@@ -132,7 +132,7 @@
         }
         let lanes = lanes.iter().map(|lane| LaneCount { lane: lane.lane, messages: lane.messages }).collect();
         let earliest_end = earliest.first().map(|message| time_until(message.deadline));
-        let actions = planner.handle(Duration::ZERO, Event::Opened { lanes, earliest_end });
+        let actions = planner.handle(Duration::ZERO, Event::Opened { lanes, earliest_deadline_in: earliest_end });
         let backlog = Backlog {
             watchdog: worker.watchdog(),
             figures,
@@ -175,7 +175,7 @@
     }
 
     /// Reports the arrival of a request. Returns its arrival number, and the actions for it and for others.
-    pub fn arrived(&self, lane: Lane, time_left: Duration) -> (Arrival, Vec<Action>) {
+    pub fn arrived(&self, lane: Lane, time_left: Duration) -> (ArrivalId, Vec<Action>) {
         let arrival = self.last_arrival.get() + 1;
         self.last_arrival.set(arrival);
         (arrival, self.handle(Event::Arrived { arrival, lane, time_left }))
@@ -208,7 +208,7 @@
 
     /// Whether messages of a destination are on disk or being written.
     pub fn has_queued(&self, destination: u64) -> bool {
-        let figures = self.planner.borrow().figures(self.now(), destination);
+        let figures = self.planner.borrow().stats(self.now(), destination);
         figures.is_some_and(|figures| figures.on_disk > 0)
     }
 
@@ -230,7 +230,7 @@
             *count += 1;
             *count
         };
-        self.handle(Event::CallsOut { destination, count })
+        self.handle(Event::CallsInFlight { destination, count })
     }
 
     /// Reverses [`Backlog::call_began`].
@@ -245,7 +245,7 @@
             }
             count
         };
-        self.handle(Event::CallsOut { destination, count })
+        self.handle(Event::CallsInFlight { destination, count })
     }
 
     /// Adds a fetched request that the decision module now has.
@@ -272,7 +272,7 @@
     /// Queues an operation for the store's thread. It is in the queue when this returns, before the future is polled.
     fn ask<T, R>(&self, operation: R) -> impl Future<Output = Result<T, StoreError>> + use<T, R>
     where
-        R: FnOnce(&Worker) -> Result<Answer<T>, Busy>,
+        R: FnOnce(&Worker) -> Result<ReplyReceiver<T>, Busy>,
     {
         let answer = match &*self.worker.borrow() {
             Some(worker) => operation(worker).map_err(StoreError::from),
@@ -286,7 +286,7 @@
     ///
     /// # Errors
     /// The message is not in the store, or that cannot be determined.
-    pub async fn append(&self, message: NewMessage) -> Result<Place, StoreError> {
+    pub async fn append(&self, message: NewMessage) -> Result<Position, StoreError> {
         let id = message.id.clone();
         let appended = self.ask(|worker| worker.append(vec![message])).await;
         match appended.map(|places| places.first().copied()) {
@@ -298,7 +298,7 @@
     }
 
     /// The place of the message with this ID.
-    pub async fn find(&self, id: &str) -> Result<Option<Place>, StoreError> {
+    pub async fn find(&self, id: &str) -> Result<Option<Position>, StoreError> {
         self.ask(|worker| worker.find(id.into())).await
     }
 
@@ -313,7 +313,7 @@
         loop {
             let read = self.ask(|worker| worker.fetch(lane, after, max as usize)).await?;
             let exhausted = read.len() < max as usize;
-            after = read.last().map(|message| message.place.sequence);
+            after = read.last().map(|message| message.position.sequence);
             let reserved = self.reserve_all(read);
             if exhausted || !reserved.is_empty() {
                 return Ok((reserved, exhausted));
@@ -334,7 +334,7 @@
     /// store's operations: a reservation is released only after the removal, and a later read does not return the message.
     fn reserve_all(&self, read: Vec<StoredMessage>) -> Vec<StoredMessage> {
         let mut reserved = self.reserved.borrow_mut();
-        read.into_iter().filter(|message| reserved.insert(message.place)).collect()
+        read.into_iter().filter(|message| reserved.insert(message.position)).collect()
     }
 
     /// Sets whether it is in doubt that the store has a refused message.
@@ -353,18 +353,18 @@
     }
 
     /// Reserves a message by its place; false if it is already reserved.
-    pub fn reserve(&self, place: Place) -> bool {
+    pub fn reserve(&self, place: Position) -> bool {
         self.reserved.borrow_mut().insert(place)
     }
 
     /// Releases reserved messages, after they were removed or when they stay in the store.
-    pub fn release(&self, messages: impl IntoIterator<Item = Place>) {
+    pub fn release(&self, messages: impl IntoIterator<Item = Position>) {
         let mut reserved = self.reserved.borrow_mut();
         messages.into_iter().for_each(|place| _ = reserved.remove(&place));
     }
 
     /// Removes messages; those that are already removed are ignored.
-    pub async fn remove(&self, places: Vec<Place>) -> Result<(), StoreError> {
+    pub async fn remove(&self, places: Vec<Position>) -> Result<(), StoreError> {
         self.ask(|worker| worker.remove(places)).await
     }
 
@@ -411,7 +411,7 @@
     if matches!(error, StoreError::Full { .. }) { StoreFault::Full } else { StoreFault::Failing }
 }
 
-async fn ask<T>(operation: Result<Answer<T>, Busy>) -> Result<T, StoreError> {
+async fn ask<T>(operation: Result<ReplyReceiver<T>, Busy>) -> Result<T, StoreError> {
     operation?.await?
 }
 
@@ -441,7 +441,7 @@
 }
 
 fn store_memory(settings: &config::BacklogConfig) -> u64 {
-    (settings.memory_bytes / STORE_MEMORY_DIVISOR).max(LEAST_MEMORY_BYTES)
+    (settings.memory_bytes / STORE_MEMORY_DIVISOR).max(MIN_MEMORY_BYTES)
 }
 
 fn planner_settings(
@@ -451,7 +451,7 @@
 ) -> Settings {
     let left = settings.memory_bytes.saturating_sub(store_memory(settings));
     let messages = max_in_memory.map_or(u64::MAX, |max| u64::from(max) * WINDOWS_SHARE.0 / WINDOWS_SHARE.1);
-    let window_memory = left.min(messages.saturating_mul(MESSAGE_MEMORY));
+    let window_memory = left.min(messages.saturating_mul(MESSAGE_MEMORY_BYTES));
     Settings { window_memory, class_worth, ..Settings::default() }
 }
 
--- a/relay/src/config/backlog.rs
+++ b/relay/src/config/backlog.rs
@@ -1,5 +1,5 @@
 //! The section `[backlog]`: a queue on disk for requests that cannot be sent soon.
-use onyxglade_backlog::lsm_store::{LEAST_DISK_BYTES, LEAST_MEMORY_BYTES};
+use onyxglade_backlog::lsm_store::{MIN_DISK_BYTES, MIN_MEMORY_BYTES};
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -8,8 +8,8 @@
 
 const MB: u64 = 1024 * 1024;
 /// One half is the minimum of the store, the other half is for the windows of the destinations.
-const MIN_MEMORY_MB: u64 = 2 * LEAST_MEMORY_BYTES / MB;
-const MIN_DISK_MB: u64 = LEAST_DISK_BYTES / MB;
+const MIN_MEMORY_MB: u64 = 2 * MIN_MEMORY_BYTES / MB;
+const MIN_DISK_MB: u64 = MIN_DISK_BYTES / MB;
 const DEFAULT_MEMORY_MB: u64 = 32;
 const DEFAULT_DISK_MB: u64 = 8192;
 /// Name of the file that is created and removed to test whether the folder is writable.
--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -4,8 +4,8 @@
 //! Moving a request between journal and backlog always has the same order: it is recorded in its new place, then
 //! removed from its old one, and processed in the new place only after that. `docs/backlog.md` describes the state that
 //! a crash leaves after each step.
-use onyxglade_backlog::message::{ClassNumber, Lane, NewMessage, Place, StoredMessage};
-use onyxglade_backlog::planner::{Action, Event, LaneCount, Outcome as MemoryOutcome, RefusalReason};
+use onyxglade_backlog::message::{ClassNumber, Lane, NewMessage, Position, StoredMessage};
+use onyxglade_backlog::planner::{Action, Event, LaneCount, RefusalReason, Outcome as MemoryOutcome};
 use onyxglade_backlog::store::StoreError;
 use slatethread::MsgId;
 use std::cell::Cell;
@@ -43,7 +43,7 @@
 #[derive(Default)]
 struct Journaled {
     /// Their places on disk, to be freed.
-    places: Vec<Place>,
+    places: Vec<Position>,
     /// The requests now in the journal.
     requests: Vec<(Key, QueuedRequest)>,
     /// Notices for messages that cannot be decoded.
@@ -149,7 +149,7 @@
     pub(super) fn attempt_failed(self: &Rc<Self>, destination: u64, wait: Option<Duration>) {
         let Some(backlog) = self.backlog() else { return };
         let event = match wait {
-            Some(wait) => Event::WaitTold { destination, until: backlog.planner_time(Instant::now() + wait) },
+            Some(wait) => Event::BackoffRequested { destination, until: backlog.planner_time(Instant::now() + wait) },
             None => Event::AttemptFailed { destination },
         };
         self.handle_backlog_event(&backlog, event);
@@ -160,9 +160,9 @@
         for action in actions {
             let (core, backlog) = (self.clone(), backlog.clone());
             match action {
-                Action::Fetch { lane, most } => drop(actix_rt::spawn(core.fetch(backlog, lane, most))),
-                Action::Park { destination } => drop(actix_rt::spawn(core.park(backlog, destination))),
-                Action::ReadExpired { most } => drop(actix_rt::spawn(core.end_expired(backlog, most))),
+                Action::Fetch { lane, limit } => drop(actix_rt::spawn(core.fetch(backlog, lane, limit))),
+                Action::Evict { destination } => drop(actix_rt::spawn(core.park(backlog, destination))),
+                Action::ReadExpired { limit } => drop(actix_rt::spawn(core.end_expired(backlog, limit))),
                 Action::ProbeStore => drop(actix_rt::spawn(core.probe_store(backlog))),
                 Action::HealthChanged { health } => {
                     tracing::warn!(
@@ -349,7 +349,7 @@
 
     /// Removes a stored message whose submitter has disconnected, unless it is being fetched into memory: then its id
     /// stays open until it ends there.
-    async fn withdraw(self: &Rc<Self>, backlog: &Rc<Backlog>, id: &str, place: Place) {
+    async fn withdraw(self: &Rc<Self>, backlog: &Rc<Backlog>, id: &str, place: Position) {
         if !backlog.reserve(place) {
             return;
         }
@@ -367,7 +367,7 @@
             Ok(claimed) => claimed,
             Err(error) => return self.fetch_failed(&backlog, lane, &error),
         };
-        let claimed_places: Vec<_> = claimed.iter().map(|message| message.place).collect();
+        let claimed_places: Vec<_> = claimed.iter().map(|message| message.position).collect();
         let Journaled { places, requests, unreadable } = self.journal_fetched(claimed);
         if places.is_empty() && !claimed_places.is_empty() {
             backlog.release(claimed_places);
@@ -412,14 +412,14 @@
                 Err(error) => {
                     let id = message.id.into_string();
                     tracing::error!(id, %error, "a message of the backlog cannot be decoded; it fails");
-                    journaled.places.push(message.place);
+                    journaled.places.push(message.position);
                     journaled.unreadable.push(Notice { id, end: NoticeEnd::Failed { status: None } });
                     continue;
                 }
             };
-            match journal.record_fetched(&request, message.place) {
+            match journal.record_fetched(&request, message.position) {
                 Ok(Some(key)) => {
-                    journaled.places.push(message.place);
+                    journaled.places.push(message.position);
                     journaled.requests.push((key, request));
                 }
                 Ok(None) => break,
@@ -437,7 +437,7 @@
 
     /// Removes messages, retrying until that succeeds: they are in the journal now and must not be fetched again. False
     /// if another process has taken over, which removes them by their places in the journal.
-    async fn remove_with_retry(&self, backlog: &Backlog, places: &[Place]) -> bool {
+    async fn remove_with_retry(&self, backlog: &Backlog, places: &[Position]) -> bool {
         let failure = "cannot remove messages from the backlog";
         self.retry_store_operation(failure, async || backlog.remove(places.to_vec()).await).await
     }
@@ -470,10 +470,10 @@
             self.close_id(&id, None);
         }
         let mut returned = BTreeMap::<ClassNumber, u32>::new();
-        messages.iter().for_each(|message| *returned.entry(message.place.lane.class).or_default() += 1);
+        messages.iter().for_each(|message| *returned.entry(message.position.lane.class).or_default() += 1);
         let returned = returned.into_iter().collect();
         backlog.figures.put_back.inc_by(messages.len() as u64);
-        self.handle_backlog_event(&backlog, Event::Parked { destination, returned });
+        self.handle_backlog_event(&backlog, Event::Evicted { destination, returned });
     }
 
     /// Puts messages back on disk, retrying until that succeeds. False if another process has taken over, which has the
@@ -516,17 +516,17 @@
         let notices: Vec<_> = expired.iter().map(|message| self.expiry_notice(message)).collect();
         let deliveries = notices.into_iter().map(|notice| self.clone().notify_with_retry(notice));
         futures_util::future::join_all(deliveries).await;
-        let places: Vec<_> = expired.iter().map(|message| message.place).collect();
+        let places: Vec<_> = expired.iter().map(|message| message.position).collect();
         if !places.is_empty() && !self.remove_with_retry(&backlog, &places).await {
             return;
         }
         backlog.figures.expired.inc_by(places.len() as u64);
         backlog.release(places);
         let mut ended = BTreeMap::<Lane, u64>::new();
-        expired.iter().for_each(|message| *ended.entry(message.place.lane).or_default() += 1);
+        expired.iter().for_each(|message| *ended.entry(message.position.lane).or_default() += 1);
         let ended = ended.into_iter().map(|(lane, messages)| LaneCount { lane, messages }).collect();
         let earliest_end = backlog.earliest_end().await.ok().flatten();
-        self.handle_backlog_event(&backlog, Event::ExpiredRead { ended, more, earliest_end });
+        self.handle_backlog_event(&backlog, Event::ExpiredRead { expired: message_ended, more, earliest_deadline_in: earliest_end },);
     }
 
     /// The notice of an expired message: a requeue notice if submitting it again is harmless, otherwise a failure.
@@ -584,9 +584,9 @@
 }
 
 /// Converts a request to the stored message that puts it back.
-fn to_stored_message(request: &QueuedRequest, place: Place) -> StoredMessage {
+fn to_stored_message(request: &QueuedRequest, place: Position) -> StoredMessage {
     StoredMessage {
-        place,
+        position: place_arrival,
         arrived: unix_millis(clock::now()),
         deadline: unix_millis(request.job.deadline),
         id: request.job.id.as_str().into(),
--- a/relay/src/core/backlog/tests.rs
+++ b/relay/src/core/backlog/tests.rs
@@ -351,7 +351,7 @@
 
 fn crash_at(operation: u64, fault: Fault) -> bool {
     let site = Site::new();
-    site.disk.fail(operation, fault);
+    site.disk.inject_fault(operation, fault);
     let crashed = site.run(true, history).is_none();
     site.finish();
     site.check_ends(is_short_lived);
@@ -393,7 +393,7 @@
     let site = Site::new();
     site.run(false, async |process| {
         with_backlog(process).await;
-        site.disk.fail(site.disk.operations(), Fault::Stall(Duration::from_millis(300)));
+        site.disk.inject_fault(site.disk.operations(), Fault::Stall(Duration::from_millis(300)));
         let disconnected = process.core.admit(process.job("gone", CLASS, LONG_TTL));
         assert!(tokio::time::timeout(Duration::from_millis(20), disconnected).await.is_err());
         let again = tokio::time::timeout(TIMEOUT, process.admit("gone", LONG_TTL)).await;
@@ -412,8 +412,8 @@
         with_backlog(process).await;
         // The next operation looks up the id.
         let append = site.disk.operations() + 1;
-        site.disk.fail(append, Fault::ErrorAfter);
-        site.disk.fail(append + 1, Fault::Error);
+        site.disk.inject_fault(append, Fault::ErrorAfter);
+        site.disk.inject_fault(append + 1, Fault::Error);
         assert_eq!(process.admit("doubt", LONG_TTL).await, refused_decision(STORE_RETRY_AFTER).answer());
         process.until("resolved doubt", || !process.backlog.is_in_doubt("doubt")).await;
         assert!(site.disk.messages().iter().all(|message| &*message.id != "doubt"));
@@ -430,7 +430,7 @@
         with_backlog(process).await;
         process.core.apply_rules(rules(&[CLASS]), 1);
         let waiting = site.disk.messages();
-        let lane = waiting[0].place.lane;
+        let lane = waiting[0].position.lane;
         process.core.clone().fetch(process.backlog.clone(), lane, 512).await;
         assert_eq!(site.disk.messages(), waiting);
         process.core.apply_rules(rules(&[CLASS]), JOURNAL_BYTES);
--- a/relay/src/journal.rs
+++ b/relay/src/journal.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::SystemTime;
 
-use onyxglade_backlog::message::Place;
+use onyxglade_backlog::message::Position;
 use slatethread::Class;
 
 use crate::clock::FolderClock;
@@ -56,7 +56,7 @@
     /// How it ended, if that was decided; the notice may not have been delivered.
     pub pending_notice: Option<Notice>,
     /// Its place in the backlog, which may still have it.
-    pub place: Option<Place>,
+    pub place: Option<Position>,
 }
 
 /// An open job, with what a rewrite of the file needs.
@@ -66,7 +66,7 @@
     rules: Option<Class>,
     claims: ClaimHistory,
     pending_notice: Option<Notice>,
-    place: Option<Place>,
+    place: Option<Position>,
 }
 
 /// Bytes reserved per job for the records that may follow its own after a rewrite.
@@ -302,7 +302,7 @@
     }
 
     /// Applies a record with a request's place in the backlog.
-    fn replay_place(&mut self, key: Key, frame: &Bytes, place: Place) {
+    fn replay_place(&mut self, key: Key, frame: &Bytes, place: Position) {
         let Some(live) = self.live.get_mut(&key) else { return };
         live.place = Some(place);
         live.frames = [&live.frames[..], frame].concat().into();
--- a/relay/src/journal/queued.rs
+++ b/relay/src/journal/queued.rs
@@ -9,7 +9,7 @@
 use std::io;
 use thiserror::Error;
 
-use onyxglade_backlog::message::Place;
+use onyxglade_backlog::message::Position;
 use slatethread::Class;
 
 use super::{ClaimHistory, Journal, Key, Record, RecordedClaim, RecordedRules, encode};
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// The file cannot be written; then the backlog still owns the request.
-    pub fn record_fetched(&mut self, request: &QueuedRequest, place: Place) -> io::Result<Option<Key>> {
+    pub fn record_fetched(&mut self, request: &QueuedRequest, place: Position) -> io::Result<Option<Key>> {
         let key = self.next;
         let mut frames = encode(&self.job_record(key, &request.job));
         frames.extend(encode(&Record::Rules(key, request.rules.clone())));
@@ -120,7 +120,7 @@
 
     /// A copy of an open request for the backlog, and its place there; `None` if it was not fetched from the backlog or has
     /// been removed.
-    pub fn put_back_copy(&self, key: Key, job: &Job) -> Option<(QueuedRequest, Place)> {
+    pub fn put_back_copy(&self, key: Key, job: &Job) -> Option<(QueuedRequest, Position)> {
         let live = self.live.get(&key)?;
         let mut request = QueuedRequest::new(job.clone(), live.rules.as_ref()?);
         request.claims = live.claims.clone();
--- a/relay/src/journal/receipt.rs
+++ b/relay/src/journal/receipt.rs
@@ -1,5 +1,5 @@
 //! Receipts for recorded facts. A submitter is notified that a message is accepted, or how it ended, only with such a receipt.
-use onyxglade_backlog::message::Place;
+use onyxglade_backlog::message::Position;
 
 use super::Key;
 use crate::job::{Notice, NoticeEnd};
@@ -14,7 +14,7 @@
     }
 
     /// The backlog on disk has stored the message at a place.
-    pub fn in_backlog(_stored: &Place) -> Self {
+    pub fn in_backlog(_stored: &Position) -> Self {
         Acceptance(None)
     }
 
