--- a/relay/src/backlog.rs
+++ b/relay/src/backlog.rs
@@ -132,7 +132,8 @@
         }
         let lanes = lanes.iter().map(|lane| LaneCount { lane: lane.lane, messages: lane.messages }).collect();
         let earliest_end = earliest.first().map(|message| time_until(message.deadline));
-        let actions = planner.handle(Duration::ZERO, Event::Opened { lanes, earliest_deadline_in: earliest_end });
+        let actions =
+            planner.handle(Duration::ZERO, Event::Opened { lanes, earliest_deadline_in: earliest_end });
         let backlog = Backlog {
             watchdog: worker.watchdog(),
             figures,
--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -5,7 +5,7 @@
 //! removed from its old one, and processed in the new place only after that. `docs/backlog.md` describes the state that
 //! a crash leaves after each step.
 use onyxglade_backlog::message::{ClassNumber, Lane, NewMessage, Position, StoredMessage};
-use onyxglade_backlog::planner::{Action, Event, LaneCount, RefusalReason, Outcome as MemoryOutcome};
+use onyxglade_backlog::planner::{Action, Event, LaneCount, Outcome as MemoryOutcome, RefusalReason};
 use onyxglade_backlog::store::StoreError;
 use slatethread::MsgId;
 use std::cell::Cell;
@@ -149,7 +149,9 @@
     pub(super) fn attempt_failed(self: &Rc<Self>, destination: u64, wait: Option<Duration>) {
         let Some(backlog) = self.backlog() else { return };
         let event = match wait {
-            Some(wait) => Event::BackoffRequested { destination, until: backlog.planner_time(Instant::now() + wait) },
+            Some(wait) => {
+                Event::BackoffRequested { destination, until: backlog.planner_time(Instant::now() + wait) }
+            }
             None => Event::AttemptFailed { destination },
         };
         self.handle_backlog_event(&backlog, event);
@@ -526,7 +528,10 @@
         expired.iter().for_each(|message| *ended.entry(message.position.lane).or_default() += 1);
         let ended = ended.into_iter().map(|(lane, messages)| LaneCount { lane, messages }).collect();
         let earliest_end = backlog.earliest_end().await.ok().flatten();
-        self.handle_backlog_event(&backlog, Event::ExpiredRead { expired: message_ended, more, earliest_deadline_in: earliest_end },);
+        self.handle_backlog_event(
+            &backlog,
+            Event::ExpiredRead { expired: ended, more, earliest_deadline_in: earliest_end },
+        );
     }
 
     /// The notice of an expired message: a requeue notice if submitting it again is harmless, otherwise a failure.
@@ -586,7 +591,7 @@
 /// Converts a request to the stored message that puts it back.
 fn to_stored_message(request: &QueuedRequest, place: Position) -> StoredMessage {
     StoredMessage {
-        position: place_arrival,
+        position: place,
         arrived: unix_millis(clock::now()),
         deadline: unix_millis(request.job.deadline),
         id: request.job.id.as_str().into(),
--- a/relay/src/journal/record.rs
+++ b/relay/src/journal/record.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, SystemTime};
 
 use onyxglade_backlog::message::{ClassNumber, Lane, Position};
-use slatethread::{Class, Effect, DedupScope};
+use slatethread::{Class, DedupScope, Effect};
 
 use super::Key;
 use crate::job::{Job, Notice};
