--- a/instances/src/catalog.rs
+++ b/instances/src/catalog.rs
@@ -10,7 +10,7 @@
 
 /// Which list it is. The generation alone does not say: a list service that lost its memory counts anew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Edition {
+pub struct ListVersion {
     /// As the list service counts.
     pub generation: u64,
     /// Of all that is in it: the sum of the first 8 bytes of each entry's SHA-256.
@@ -21,9 +21,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
     /// The list that it is from; none where the entries are all there are.
-    pub base: Option<Edition>,
+    pub base: Option<ListVersion>,
     /// The list that it leads to.
-    pub edition: Edition,
+    pub version: ListVersion,
     /// What is in it, or has changed.
     pub entries: Vec<Entry>,
 }
@@ -39,7 +39,7 @@
     generation: u64,
     digest: u64,
     entries: BTreeMap<String, String>,
-    steps: VecDeque<(Edition, Vec<Entry>)>,
+    steps: VecDeque<(ListVersion, Vec<Entry>)>,
 }
 
 fn hash(name: &str, text: &str) -> u64 {
@@ -49,28 +49,28 @@
 
 impl Catalog {
     /// Which list it is.
-    pub fn edition(&self) -> Edition {
-        Edition { generation: self.generation, digest: self.digest }
+    pub fn version(&self) -> ListVersion {
+        ListVersion { generation: self.generation, digest: self.digest }
     }
 
     /// What it would be with a difference from it, or from nothing; none where it is not the one that the difference is from,
     /// or what comes out is not the list that the difference is to lead to.
-    pub fn with(&self, difference: &Difference) -> Option<Catalog> {
-        if difference.base.is_some_and(|base| base != self.edition()) {
+    pub fn apply(&self, difference: &Difference) -> Option<Catalog> {
+        if difference.base.is_some_and(|base| base != self.version()) {
             return None;
         }
-        let (generation, whole) = (difference.edition.generation, difference.base.is_none());
-        let next = self.told(generation, whole, difference.entries.clone());
-        (next.edition() == difference.edition).then_some(next)
+        let (generation, whole) = (difference.version.generation, difference.base.is_none());
+        let next = self.updated(generation, whole, difference.entries.clone());
+        (next.version() == difference.version).then_some(next)
     }
 
     /// What it would be as the list service tells it: all that there is, or what changed.
-    pub fn told(&self, generation: u64, whole: bool, entries: Vec<Entry>) -> Catalog {
+    pub fn updated(&self, generation: u64, whole: bool, entries: Vec<Entry>) -> Catalog {
         let mut next = self.clone();
         let step = if whole { next.replace(entries) } else { next.change(entries) };
         next.generation = generation;
-        if next.edition() != self.edition() {
-            next.steps.push_back((self.edition(), step));
+        if next.version() != self.version() {
+            next.steps.push_back((self.version(), step));
         }
         let most = next.entries.len() + LEAST_REMEMBERED;
         let remembered =
@@ -112,15 +112,15 @@
     }
 
     /// Whether what changed since such a list is remembered.
-    pub fn remembers(&self, held: Edition) -> bool {
-        held == self.edition() || self.steps.iter().any(|(from, _)| *from == held)
+    pub fn has_changes_since(&self, held: ListVersion) -> bool {
+        held == self.version() || self.steps.iter().any(|(from, _)| *from == held)
     }
 
     /// What who holds such a list has not: changes where they are remembered, else all.
-    pub fn since(&self, held: Option<Edition>) -> Difference {
-        let edition = self.edition();
+    pub fn changes_since(&self, held: Option<ListVersion>) -> Difference {
+        let version = self.version();
         let steps = held.and_then(|held| {
-            if held == edition {
+            if held == version {
                 return Some(Vec::new());
             }
             let first = self.steps.iter().rposition(|(from, _)| *from == held)?;
@@ -129,10 +129,10 @@
             Some(all.collect::<BTreeMap<_, _>>().into_iter().collect())
         });
         match steps {
-            Some(entries) => Difference { base: held, edition, entries },
+            Some(entries) => Difference { base: held, version, entries },
             None => {
                 let all = self.entries.iter().map(|(name, text)| (name.clone(), Some(text.clone())));
-                Difference { base: None, edition, entries: all.collect() }
+                Difference { base: None, version, entries: all.collect() }
             }
         }
     }
--- a/instances/src/count.rs
+++ b/instances/src/count.rs
@@ -15,21 +15,21 @@
 
 /// How many instances limits are divided by.
 #[derive(Clone, Debug)]
-pub struct Count {
+pub struct InstanceCount {
     counted: f64,
     there: u32,
     /// When fewer may be counted next.
     fewer_at: At,
 }
 
-impl Count {
+impl InstanceCount {
     /// At first, as many as were told, this one among them.
     pub fn new(told: u32, now: At) -> Self {
-        Count { counted: f64::from(told.max(1)), there: 1, fewer_at: now + SURE }
+        InstanceCount { counted: f64::from(told.max(1)), there: 1, fewer_at: now + SURE }
     }
 
     /// So many are there, this one among them.
-    pub fn there(&mut self, now: At, there: u32) {
+    pub fn set_alive(&mut self, now: At, there: u32) {
         // Some came back, and others may yet; or some went for the first time since all were there.
         if there > self.there || self.counted <= f64::from(self.there) {
             self.fewer_at = self.fewer_at.max(now + SURE);
@@ -39,7 +39,7 @@
     }
 
     /// The time has come, or something has: how many are counted now.
-    pub fn counted(&mut self, now: At) -> u32 {
+    pub fn effective(&mut self, now: At) -> u32 {
         let there = f64::from(self.there);
         while self.counted > there && now >= self.fewer_at {
             let over = (self.counted - there) * (1.0 - STEP_PART);
--- a/instances/src/count/tests.rs
+++ b/instances/src/count/tests.rs
@@ -7,18 +7,18 @@
 
 #[test]
 fn half_of_all_are_given_up_within_a_minute_and_a_restart_changes_nothing() {
-    let mut count = Count::new(300, secs(0.0));
-    count.there(secs(1.0), 300);
-    count.there(secs(30.0), 90);
-    assert_eq!(count.counted(secs(45.0)), 300, "they may come back");
-    count.there(secs(45.0), 300);
-    assert_eq!((count.counted(secs(46.0)), count.due()), (300, None));
-    count.there(secs(100.0), 150);
-    let at = |count: &mut Count, s| count.counted(secs(s));
+    let mut count = InstanceCount::new(300, secs(0.0));
+    count.set_alive(secs(1.0), 300);
+    count.set_alive(secs(30.0), 90);
+    assert_eq!(count.effective(secs(45.0)), 300, "they may come back");
+    count.set_alive(secs(45.0), 300);
+    assert_eq!((count.effective(secs(46.0)), count.due()), (300, None));
+    count.set_alive(secs(100.0), 150);
+    let at = |count: &mut InstanceCount, s| count.effective(secs(s));
     assert_eq!(at(&mut count, 119.0), 300);
     assert!(at(&mut count, 155.0) <= 225 && at(&mut count, 155.0) >= 200);
     assert!(at(&mut count, 260.0) < 160);
-    count.there(secs(261.0), 301);
+    count.set_alive(secs(261.0), 301);
     assert_eq!(at(&mut count, 261.0), 301, "at once");
 }
 
@@ -30,17 +30,17 @@
         views in prop::collection::vec((0.0f64..60.0, 1u32..400), 1..30),
     ) {
         let mut now = 0.0;
-        let mut count = Count::new(told, secs(now));
+        let mut count = InstanceCount::new(told, secs(now));
         let mut most = told;
         for (pause, there) in views {
             now += pause;
             most = most.max(there);
-            count.there(secs(now), there);
-            let counted = count.counted(secs(now));
+            count.set_alive(secs(now), there);
+            let counted = count.effective(secs(now));
             prop_assert!(counted >= there && counted <= most);
             prop_assert!(count.due().is_some() || counted == there);
         }
         let there = count.there;
-        prop_assert_eq!(count.counted(secs(now + 600.0)), there);
+        prop_assert_eq!(count.effective(secs(now + 600.0)), there);
     }
 }
--- a/instances/src/lists.rs
+++ b/instances/src/lists.rs
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 use crate::At;
-use crate::catalog::{Catalog, Difference, Edition, Entry};
+use crate::catalog::{Catalog, Difference, Entry, ListVersion};
+use crate::list_messages::{Heartbeat, ListStatus, ListUpdate};
 use crate::rank;
-use crate::said::{Beat, News, Told};
-use crate::view::Word;
+use crate::view::LinkMessage;
 
 /// Each side of a link says so often what it holds.
 const BEAT: Duration = Duration::from_millis(400);
@@ -55,19 +55,19 @@
 pub struct ListsConfig {
     /// This instance's address.
     pub me: SocketAddr,
-    /// As for [`crate::Config`].
+    /// As for [`crate::SwimConfig`].
     pub seeds: Vec<SocketAddr>,
     /// About how many instances there are.
     pub expected: u32,
     /// The list is to be no older than this. Half of it is let pass before others than the first ask.
     pub must_ask_in: Duration,
     /// Longest list that is taken, in bytes of its entries.
-    pub longest: usize,
+    pub max_bytes: usize,
 }
 
 /// What happened.
 #[derive(Clone, Debug)]
-pub enum Heard {
+pub enum ListsInput {
     /// Who is there, without this instance.
     Members(Vec<SocketAddr>),
     /// A link stands, to whom this instance wanted one or from somebody.
@@ -78,15 +78,15 @@
         to: Option<SocketAddr>,
     },
     /// A link could not be had.
-    Unopened(SocketAddr),
+    OpenFailed(SocketAddr),
     /// A link has ended.
     Closed(u64),
     /// Something was said on a link.
-    Said(u64, Word),
+    Received(u64, LinkMessage),
     /// The list service is being called.
-    Asked,
+    CallStarted,
     /// It answered.
-    Answered {
+    CallAnswered {
         /// When the call began.
         began: At,
         /// As it counts.
@@ -97,70 +97,70 @@
         entries: Vec<Entry>,
     },
     /// It did not, or its answer broke off; then what it had to tell is had at once.
-    Failed {
+    CallFailed {
         /// The answer broke off.
         torn: bool,
     },
     /// It is time: see [`Lists::due`].
-    Time,
+    TimerDue,
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Todo {
+pub enum ListsOutput {
     /// A link is to be had.
     Open(SocketAddr),
     /// A link is to be ended.
     Close(u64),
     /// A word is to be sent on a link.
-    Say(u64, Word),
+    Send(u64, LinkMessage),
     /// Whether the list service is to be called, from now on.
-    Turn(bool),
-    /// The list that is held is another: see [`Lists::since`].
-    Changed,
+    Poll(bool),
+    /// The list that is held is another: see [`Lists::changes_since`].
+    ListChanged,
 }
 
 /// A list and when the list service said that it is the one: at or after `from`, and at or before `to`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct KnownList {
     /// Which list.
-    pub edition: Edition,
+    pub version: ListVersion,
     /// How often the service had lost its memory by then, as far as that was seen.
-    pub memory: u64,
+    pub resets: u64,
     /// See above.
-    pub from: At,
+    pub earliest: At,
     /// See above.
-    pub to: At,
+    pub latest: At,
     /// Who asked the service.
     pub origin: SocketAddr,
     /// Over how many others its word came.
     pub hops: u8,
 }
 
-impl Known {
+impl KnownList {
     /// Whether it is the service's later word: surely, or it may be and comes later as the service counts.
-    fn supersedes(&self, other: &Known) -> bool {
-        if self.from >= other.to {
-            return self.edition != other.edition;
+    fn supersedes(&self, other: &KnownList) -> bool {
+        if self.earliest >= other.latest {
+            return self.version != other.version;
         }
-        let counted = |known: &Known| (known.memory, known.edition);
-        self.edition != other.edition && self.to > other.from && counted(self) > counted(other)
+        let counted = |known: &KnownList| (known.resets, known.version);
+        self.version != other.version && self.latest > other.earliest && counted(self) > counted(other)
     }
 
-    fn confirm(&mut self, by: &Known) {
-        self.memory = self.memory.max(by.memory);
-        if by.from > self.from {
-            (self.from, self.origin, self.hops) = (by.from, by.origin, by.hops);
+    fn confirm(&mut self, by: &KnownList) {
+        self.resets = self.resets.max(by.resets);
+        if by.earliest > self.earliest {
+            (self.earliest, self.origin, self.hops) = (by.earliest, by.origin, by.hops);
         }
-        self.to = self.to.max(by.to);
+        self.latest = self.latest.max(by.latest);
     }
 
-    fn told(&self, now: At) -> Told {
-        Told {
-            edition: self.edition,
-            memory: self.memory,
-            oldest: now.saturating_sub(self.from),
-            newest: now.saturating_sub(self.to),
+    fn told(&self, now: At) -> ListStatus {
+        ListStatus {
+            version: self.version,
+            resets: self.resets,
+            max_age: now.saturating_sub(self.earliest),
+            min_age: now.saturating_sub(self.latest),
             origin: self.origin,
             hops: self.hops,
         }
@@ -177,11 +177,11 @@
     /// The last number heard; 0 is none.
     echo: u64,
     /// What the far side holds, with the time of that.
-    told: Option<Known>,
+    told: Option<KnownList>,
     /// Which list it holds, as it says.
-    holds: Option<Edition>,
+    holds: Option<ListVersion>,
     /// The list that was last sent there.
-    sent: Option<Edition>,
+    sent: Option<ListVersion>,
     /// When the list was last asked for there.
     wanted: Option<At>,
     /// Parts of what is being said there.
@@ -202,13 +202,13 @@
     parents: Vec<SocketAddr>,
     assumed: bool,
     catalog: Catalog,
-    held: Option<Known>,
+    held: Option<KnownList>,
     /// The service's last word to this instance itself.
-    direct: Option<Known>,
+    direct: Option<KnownList>,
     /// That word does not fit what is held: all of the list is to be asked for.
     doubt: bool,
     /// The call that is out: the list that it asks from, if not for all.
-    asking: Option<Option<Edition>>,
+    asking: Option<Option<ListVersion>>,
     failures: u32,
     not_before: At,
     /// When this instance asks in place of those who do not have the service's word.
@@ -219,9 +219,9 @@
     /// Who could not be had: until when, and the pause.
     away: HashMap<SocketAddr, (At, Duration)>,
     /// Lists that others went on passing on and the service did not know of, and until when they are not heeded.
-    false_ones: HashMap<Edition, At>,
+    false_ones: HashMap<ListVersion, At>,
     /// What different ones say, and since when.
-    odd: Option<(BTreeSet<Edition>, At)>,
+    odd: Option<(BTreeSet<ListVersion>, At)>,
     choose_at: At,
     beat_at: At,
 }
@@ -265,18 +265,18 @@
     }
 
     /// What is held.
-    pub fn held(&self) -> Option<Known> {
+    pub fn current(&self) -> Option<KnownList> {
         self.held
     }
 
     /// What who holds such a list has not.
-    pub fn since(&self, held: Option<Edition>) -> Difference {
-        self.catalog.since(held)
+    pub fn changes_since(&self, held: Option<ListVersion>) -> Difference {
+        self.catalog.changes_since(held)
     }
 
     /// The generation from which the list service is to be asked on; none where all of the list is.
-    pub fn index(&self) -> Option<u64> {
-        self.held.filter(|_| !self.doubt).map(|held| held.edition.generation)
+    pub fn watch_index(&self) -> Option<u64> {
+        self.held.filter(|_| !self.doubt).map(|held| held.version.generation)
     }
 
     /// Links that stand, those that this instance wanted and those that others did.
@@ -286,26 +286,28 @@
     }
 
     /// Takes what happened at a time of this machine's monotonic clock.
-    pub fn handle(&mut self, now: At, heard: Heard) -> Vec<Todo> {
+    pub fn handle(&mut self, now: At, heard: ListsInput) -> Vec<ListsOutput> {
         let mut todo = Vec::new();
         match heard {
-            Heard::Members(members) => {
+            ListsInput::Members(members) => {
                 self.members = members;
                 self.put_in_order();
             }
-            Heard::Opened { link, to } => self.opened(now, link, to, &mut todo),
-            Heard::Unopened(to) => {
+            ListsInput::Opened { link, to } => self.opened(now, link, to, &mut todo),
+            ListsInput::OpenFailed(to) => {
                 self.opening.remove(&to);
                 self.put_away(now, to);
             }
-            Heard::Closed(link) => self.closed(now, link),
-            Heard::Said(link, word) => self.said(now, link, word, &mut todo),
-            Heard::Asked => self.asking = Some(self.held.filter(|_| !self.doubt).map(|held| held.edition)),
-            Heard::Answered { began, generation, whole, entries } => {
+            ListsInput::Closed(link) => self.closed(now, link),
+            ListsInput::Received(link, word) => self.said(now, link, word, &mut todo),
+            ListsInput::CallStarted => {
+                self.asking = Some(self.held.filter(|_| !self.doubt).map(|held| held.version))
+            }
+            ListsInput::CallAnswered { began, generation, whole, entries } => {
                 self.answered(now, began, (generation, whole, entries), &mut todo);
             }
-            Heard::Failed { torn } => self.failed(now, torn),
-            Heard::Time => self.beat(now, &mut todo),
+            ListsInput::CallFailed { torn } => self.failed(now, torn),
+            ListsInput::TimerDue => self.beat(now, &mut todo),
         }
         if self.assumed && now >= self.begun + SEEDS_ASSUMED {
             self.assumed = false;
@@ -332,21 +334,21 @@
         self.config.must_ask_in / 2
     }
 
-    fn is_fresh(&self, known: &Known, now: At) -> bool {
-        now < known.from + self.stale()
+    fn is_fresh(&self, known: &KnownList, now: At) -> bool {
+        now < known.earliest + self.stale()
     }
 
-    fn is_false(&self, known: &Known, now: At) -> bool {
-        self.false_ones.get(&known.edition).is_some_and(|until| now < *until)
+    fn is_false(&self, known: &KnownList, now: At) -> bool {
+        self.false_ones.get(&known.version).is_some_and(|until| now < *until)
     }
 
     /// Whose word counts: the service's own to this instance; else that of those it chose to hear, who come before it, as long as one of
     /// the first has the word; else, since then it may come from anywhere, that of all; where none of it is fresh, all of that too.
-    fn heeded(&self, now: At) -> Vec<(Option<u64>, Known)> {
+    fn heeded(&self, now: At) -> Vec<(Option<u64>, KnownList)> {
         if let Some(direct) = self.direct.filter(|direct| self.is_fresh(direct, now)) {
             return vec![(None, direct)];
         }
-        let told = |fits: &dyn Fn(&Link, &Known) -> bool| -> Vec<_> {
+        let told = |fits: &dyn Fn(&Link, &KnownList) -> bool| -> Vec<_> {
             let told = self.links.iter().filter_map(|(number, link)| Some((Some(*number), link, link.told?)));
             let told = told.filter(|(.., known)| !self.is_false(known, now));
             told.filter(|(_, link, known)| fits(link, known))
@@ -364,11 +366,11 @@
     }
 
     /// Takes up what counts: what is held is confirmed, and what supersedes it is asked for, of one who has it.
-    fn take(&mut self, now: At, todo: &mut Vec<Todo>) {
+    fn take(&mut self, now: At, todo: &mut Vec<ListsOutput>) {
         let heeded = self.heeded(now);
         if let Some(held) = &mut self.held {
-            let edition = held.edition;
-            heeded.iter().filter(|(_, known)| known.edition == edition).for_each(|(_, k)| held.confirm(k));
+            let version = held.version;
+            heeded.iter().filter(|(_, known)| known.version == version).for_each(|(_, k)| held.confirm(k));
         }
         self.look_for_odd(now, &heeded);
         let held = self.held;
@@ -383,18 +385,18 @@
         let best = best.map(|(number, _)| *number).min_by_key(at);
         if let Some((number, link)) = best.and_then(|number| Some((number, self.links.get_mut(&number)?))) {
             link.wanted = Some(now);
-            todo.push(Todo::Say(number, Word::Want(held.map(|held| held.edition))));
+            todo.push(ListsOutput::Send(number, LinkMessage::ListRequest(held.map(|held| held.version))));
         }
     }
 
     /// Whether those who are heard pass on different lists, and go on doing so. Who hears the service itself keeps to what it
     /// found before.
-    fn look_for_odd(&mut self, now: At, heeded: &[(Option<u64>, Known)]) {
+    fn look_for_odd(&mut self, now: At, heeded: &[(Option<u64>, KnownList)]) {
         if heeded.first().is_some_and(|(link, _)| link.is_none()) {
             return;
         }
         let fresh = heeded.iter().filter(|(_, known)| self.is_fresh(known, now));
-        let said: BTreeSet<_> = fresh.map(|(_, known)| known.edition).collect();
+        let said: BTreeSet<_> = fresh.map(|(_, known)| known.version).collect();
         match &mut self.odd {
             _ if said.len() < 2 => self.odd = None,
             // It may be another one each time.
@@ -405,7 +407,7 @@
         }
     }
 
-    fn opened(&mut self, now: At, number: u64, to: Option<SocketAddr>, todo: &mut Vec<Todo>) {
+    fn opened(&mut self, now: At, number: u64, to: Option<SocketAddr>, todo: &mut Vec<ListsOutput>) {
         if let Some(to) = to {
             self.opening.remove(&to);
         }
@@ -423,7 +425,7 @@
         };
         self.links.insert(number, link);
         if to.is_some() {
-            todo.push(Todo::Say(number, Word::Follow));
+            todo.push(ListsOutput::Send(number, LinkMessage::Subscribe));
             self.beat_on(now, number, todo);
         }
     }
@@ -435,9 +437,9 @@
     }
 
     /// Ends a link as one that cannot be had.
-    fn end(&mut self, now: At, number: u64, todo: &mut Vec<Todo>) {
+    fn end(&mut self, now: At, number: u64, todo: &mut Vec<ListsOutput>) {
         self.closed(now, number);
-        todo.push(Todo::Close(number));
+        todo.push(ListsOutput::Close(number));
     }
 
     fn put_away(&mut self, now: At, who: SocketAddr) {
@@ -446,7 +448,7 @@
         self.away.insert(who, (until, pause));
     }
 
-    fn beat(&mut self, now: At, todo: &mut Vec<Todo>) {
+    fn beat(&mut self, now: At, todo: &mut Vec<ListsOutput>) {
         if now < self.beat_at {
             return;
         }
@@ -465,7 +467,7 @@
         }
     }
 
-    fn beat_on(&mut self, now: At, number: u64, todo: &mut Vec<Todo>) {
+    fn beat_on(&mut self, now: At, number: u64, todo: &mut Vec<ListsOutput>) {
         let told = self.held.map(|held| held.told(now));
         let Some(link) = self.links.get_mut(&number) else { return };
         // The first is a lot, so that nothing that was said on another link echoes one of this.
@@ -475,17 +477,20 @@
         if link.beats.len() > ECHOED {
             link.beats.pop_front();
         }
-        todo.push(Todo::Say(number, Word::Beat(Beat { number: next, echo: link.echo, told })));
+        todo.push(ListsOutput::Send(
+            number,
+            LinkMessage::Heartbeat(Heartbeat { sequence: next, echo: link.echo, status: told }),
+        ));
     }
 
-    fn said(&mut self, now: At, number: u64, word: Word, todo: &mut Vec<Todo>) {
+    fn said(&mut self, now: At, number: u64, word: LinkMessage, todo: &mut Vec<ListsOutput>) {
         let Some(link) = self.links.get_mut(&number) else { return };
         link.heard = now;
         match word {
-            Word::Beat(beat) => {
-                let first = std::mem::replace(&mut link.echo, beat.number) == 0;
-                link.holds = beat.told.map(|told| told.edition);
-                link.told = beat.told.and_then(|told| link.known(now, beat.echo, &told));
+            LinkMessage::Heartbeat(beat) => {
+                let first = std::mem::replace(&mut link.echo, beat.sequence) == 0;
+                link.holds = beat.status.map(|told| told.version);
+                link.told = beat.status.and_then(|told| link.known(now, beat.echo, &told));
                 if let (Some(to), Some(_)) = (link.to, link.told) {
                     self.away.remove(&to);
                 }
@@ -495,34 +500,36 @@
                     self.beat_on(now, number, todo);
                 }
             }
-            Word::Want(base) => self.send(now, number, base, todo),
-            Word::News(news) => self.news(now, number, news, todo),
+            LinkMessage::ListRequest(base) => self.send(now, number, base, todo),
+            LinkMessage::ListUpdate(news) => self.news(now, number, news, todo),
             // A link has been followed already, and whole views are asked for on links of their own.
-            Word::Follow | Word::Ask | Word::View(_) => self.end(now, number, todo),
+            LinkMessage::Subscribe | LinkMessage::ViewRequest | LinkMessage::View(_) => {
+                self.end(now, number, todo)
+            }
         }
     }
 
     /// Sends what is held to who is known not to have it, if it was not sent there already: changes, or all to who holds
     /// nothing. Anybody else is told of it and asks. False if nothing was sent though there is something.
-    fn pass_on(&mut self, now: At, number: u64, todo: &mut Vec<Todo>) -> bool {
+    fn pass_on(&mut self, now: At, number: u64, todo: &mut Vec<ListsOutput>) -> bool {
         let (Some(held), Some(link)) = (self.held, self.links.get(&number)) else { return true };
-        let edition = held.edition;
-        if link.echo == 0 || link.holds == Some(edition) || link.sent == Some(edition) {
+        let version = held.version;
+        if link.echo == 0 || link.holds == Some(version) || link.sent == Some(version) {
             return true;
         }
         let base = link.holds.or(link.sent);
-        let sends = base.is_none_or(|base| self.catalog.remembers(base));
+        let sends = base.is_none_or(|base| self.catalog.has_changes_since(base));
         if sends {
             self.send(now, number, base, todo);
         }
         sends
     }
 
-    fn send(&mut self, now: At, number: u64, base: Option<Edition>, todo: &mut Vec<Todo>) {
+    fn send(&mut self, now: At, number: u64, base: Option<ListVersion>, todo: &mut Vec<ListsOutput>) {
         let (Some(held), Some(link)) = (self.held, self.links.get_mut(&number)) else { return };
-        link.sent = Some(held.edition);
+        link.sent = Some(held.version);
         let (echo, told) = (link.echo, held.told(now));
-        let difference = self.catalog.since(base);
+        let difference = self.catalog.changes_since(base);
         let mut parts = vec![Vec::new()];
         let mut bytes = 0;
         for entry in difference.entries {
@@ -535,45 +542,46 @@
         }
         let count = parts.len();
         for (n, entries) in parts.into_iter().enumerate() {
-            let news = News { echo, told, base: difference.base, entries, last: n + 1 == count };
-            todo.push(Todo::Say(number, Word::News(news)));
+            let news =
+                ListUpdate { echo, status: told, base: difference.base, entries, last: n + 1 == count };
+            todo.push(ListsOutput::Send(number, LinkMessage::ListUpdate(news)));
         }
     }
 
-    fn news(&mut self, now: At, number: u64, news: News, todo: &mut Vec<Todo>) {
+    fn news(&mut self, now: At, number: u64, news: ListUpdate, todo: &mut Vec<ListsOutput>) {
         let Some(link) = self.links.get_mut(&number) else { return };
         link.coming_bytes += news.entries.iter().map(size).sum::<usize>();
-        if link.coming_bytes > self.config.longest {
+        if link.coming_bytes > self.config.max_bytes {
             return self.end(now, number, todo);
         }
         link.coming.extend(news.entries);
         if !news.last {
             return;
         }
-        (link.coming_bytes, link.holds) = (0, Some(news.told.edition));
+        (link.coming_bytes, link.holds) = (0, Some(news.status.version));
         let entries = std::mem::take(&mut link.coming);
-        let Some(known) = link.known(now, news.echo, &news.told) else { return };
+        let Some(known) = link.known(now, news.echo, &news.status) else { return };
         link.told = Some(known);
         let counts = self.heeded(now).iter().any(|(from, _)| *from == Some(number));
         if !counts || self.held.is_some_and(|held| !known.supersedes(&held)) {
             return;
         }
         let whole = news.base.is_none();
-        let difference = Difference { base: news.base, edition: known.edition, entries };
-        match self.catalog.with(&difference) {
+        let difference = Difference { base: news.base, version: known.version, entries };
+        match self.catalog.apply(&difference) {
             Some(catalog) => {
                 (self.catalog, self.held) = (catalog, Some(known));
                 self.spread(now, todo);
             }
             // It was from another list than is held by now; a whole one that is not what it says is none.
             None if whole => self.end(now, number, todo),
-            None => todo.push(Todo::Say(number, Word::Want(None))),
+            None => todo.push(ListsOutput::Send(number, LinkMessage::ListRequest(None))),
         }
     }
 
     /// What is held is another list: all who may not have it hear of it at once.
-    fn spread(&mut self, now: At, todo: &mut Vec<Todo>) {
-        todo.push(Todo::Changed);
+    fn spread(&mut self, now: At, todo: &mut Vec<ListsOutput>) {
+        todo.push(ListsOutput::ListChanged);
         for number in self.links.keys().copied().collect::<Vec<_>>() {
             if !self.pass_on(now, number, todo) {
                 self.beat_on(now, number, todo);
@@ -586,35 +594,36 @@
     fn memory(&self, began: At, generation: u64) -> u64 {
         let told = self.links.values().filter_map(|link| link.told);
         match self.held {
-            Some(held) if generation >= held.edition.generation => held.memory,
+            Some(held) if generation >= held.version.generation => held.resets,
             // A loss that others saw before is not counted again.
-            Some(held) => told.map(|told| told.memory).fold(held.memory.saturating_add(1), u64::max),
+            Some(held) => told.map(|told| told.resets).fold(held.resets.saturating_add(1), u64::max),
             None => {
-                let before = told.filter(|told| began >= told.to);
-                let lost = |told: &Known| u64::from(generation < told.edition.generation);
-                before.map(|told| told.memory.saturating_add(lost(&told))).max().unwrap_or(0)
+                let before = told.filter(|told| began >= told.latest);
+                let lost = |told: &KnownList| u64::from(generation < told.version.generation);
+                before.map(|told| told.resets.saturating_add(lost(&told))).max().unwrap_or(0)
             }
         }
     }
 
-    fn answered(&mut self, now: At, began: At, said: (u64, bool, Vec<Entry>), todo: &mut Vec<Todo>) {
+    fn answered(&mut self, now: At, began: At, said: (u64, bool, Vec<Entry>), todo: &mut Vec<ListsOutput>) {
         let (generation, whole, entries) = said;
-        let base = self.asking.replace(self.held.map(|held| held.edition)).flatten();
+        let base = self.asking.replace(self.held.map(|held| held.version)).flatten();
         (self.failures, self.not_before, self.ask_at) = (0, now, None);
-        if !whole && base != Some(self.catalog.edition()) {
+        if !whole && base != Some(self.catalog.version()) {
             // Others' word came meanwhile, and the next call asks on from that.
             return;
         }
-        let fell = !whole && generation < self.catalog.edition().generation;
-        let catalog = self.catalog.told(generation, whole, entries);
+        let fell = !whole && generation < self.catalog.version().generation;
+        let catalog = self.catalog.updated(generation, whole, entries);
         let origin = self.config.me;
-        let memory = self.memory(began, generation);
-        let known = Known { edition: catalog.edition(), memory, from: began, to: now, origin, hops: 0 };
+        let resets = self.memory(began, generation);
+        let known =
+            KnownList { version: catalog.version(), resets, earliest: began, latest: now, origin, hops: 0 };
         self.direct = Some(known);
         match &mut self.held {
             // It lost its memory: what changed since says nothing of what is left.
             _ if fell => self.doubt = true,
-            Some(held) if held.edition == known.edition => {
+            Some(held) if held.version == known.version => {
                 held.confirm(&known);
                 self.doubt = false;
             }
@@ -632,11 +641,11 @@
     }
 
     /// Of the lists that others went on passing on, those that come after what the service says now were never told by it.
-    fn deny(&mut self, now: At, generation: u64, said: BTreeSet<Edition>) {
+    fn deny(&mut self, now: At, generation: u64, said: BTreeSet<ListVersion>) {
         self.false_ones.retain(|_, until| now < *until);
         let room = MOST_FALSE - self.false_ones.len().min(MOST_FALSE);
-        let false_ones = said.into_iter().filter(|edition| edition.generation > generation).take(room);
-        self.false_ones.extend(false_ones.map(|edition| (edition, now + FALSE)));
+        let false_ones = said.into_iter().filter(|version| version.generation > generation).take(room);
+        self.false_ones.extend(false_ones.map(|version| (version, now + FALSE)));
     }
 
     fn failed(&mut self, now: At, torn: bool) {
@@ -663,10 +672,10 @@
         self.config.seeds.contains(&self.config.me) || 2 * self.order.len() >= self.config.expected as usize
     }
 
-    fn take_turn(&mut self, now: At, todo: &mut Vec<Todo>) {
+    fn take_turn(&mut self, now: At, todo: &mut Vec<ListsOutput>) {
         let due = match self.held {
             None => self.begun + GRACE,
-            Some(held) => (held.from + self.stale()).max(self.begun + GRACE),
+            Some(held) => (held.earliest + self.stale()).max(self.begun + GRACE),
         };
         let odd = self.odd.as_ref().is_some_and(|(_, since)| now >= *since + ODD);
         let first = self.place < rank::FIRST && self.is_placed();
@@ -695,7 +704,7 @@
                 // Others' word counts again at once: this instance's own would hide what is news meanwhile.
                 (self.asking, self.direct) = (None, None);
             }
-            todo.push(Todo::Turn(turn));
+            todo.push(ListsOutput::Poll(turn));
         }
     }
 
@@ -713,7 +722,7 @@
     }
 
     /// Links to whom this instance is to hear.
-    fn choose(&mut self, now: At, todo: &mut Vec<Todo>) {
+    fn choose(&mut self, now: At, todo: &mut Vec<ListsOutput>) {
         let may = |one: &&SocketAddr| self.away.get(*one).is_none_or(|(until, _)| now >= *until);
         let chosen: Vec<_> = self.parents.iter().filter(may).take(rank::PARENTS).copied().collect();
         let linked: Vec<_> =
@@ -728,7 +737,7 @@
         }
         for one in absent.into_iter().take(room) {
             self.opening.insert(one);
-            todo.push(Todo::Open(one));
+            todo.push(ListsOutput::Open(one));
         }
         let spoken =
             linked.iter().filter(|(.., told)| told.is_some_and(|told| self.is_fresh(&told, now))).count();
@@ -736,7 +745,7 @@
             let left = linked.iter().find(|(_, to, _)| !chosen.contains(to)).or(linked.last());
             if let Some((number, ..)) = left {
                 self.links.remove(number);
-                todo.push(Todo::Close(*number));
+                todo.push(ListsOutput::Close(*number));
             }
         }
     }
@@ -745,12 +754,12 @@
 impl Link {
     /// What the far side says, on this instance's clock; none where it echoes nothing that was said here: then it is not known
     /// when it was said, nor by whom.
-    fn known(&self, now: At, echo: u64, told: &Told) -> Option<Known> {
+    fn known(&self, now: At, echo: u64, told: &ListStatus) -> Option<KnownList> {
         let (_, said) = self.beats.iter().find(|(number, _)| *number == echo)?;
-        let from = said.saturating_sub(told.oldest);
-        let to = now.saturating_sub(told.newest).max(from);
-        let Told { edition, memory, origin, hops, .. } = *told;
-        Some(Known { edition, memory, from, to, origin, hops: hops.saturating_add(1) })
+        let earliest = said.saturating_sub(told.max_age);
+        let latest = now.saturating_sub(told.min_age).max(earliest);
+        let ListStatus { version, resets, origin, hops, .. } = *told;
+        Some(KnownList { version, resets, earliest, latest, origin, hops: hops.saturating_add(1) })
     }
 }
 
--- a/instances/src/seal.rs
+++ b/instances/src/seal.rs
@@ -52,21 +52,21 @@
 
 /// Why a frame is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsealed {
+pub enum FrameError {
     /// It is no frame of ours, or of another version.
-    Form,
+    Malformed,
     /// Its tag is not the key's.
-    Tag,
+    WrongTag,
     /// It was sent too long ago, or in the future, by this machine's clock.
-    Time,
+    ClockSkew,
     /// It came before.
     Replay,
     /// There are too many senders already.
-    Crowded,
+    TooManySenders,
 }
 
 /// Frames of one process, and what it remembers of others'.
-pub struct Sealed {
+pub struct FrameAuthenticator {
     key: Key,
     sender: u64,
     counter: u64,
@@ -81,10 +81,10 @@
     last: At,
 }
 
-impl Sealed {
+impl FrameAuthenticator {
     /// Frames under a key, by a sender whose number nobody else has.
     pub fn new(key: Key, sender: u64) -> Self {
-        Sealed { key, sender, counter: 0, senders: HashMap::new() }
+        FrameAuthenticator { key, sender, counter: 0, senders: HashMap::new() }
     }
 
     /// A frame with a payload, sent at a time of the wall clock.
@@ -102,32 +102,32 @@
     }
 
     /// The payload of a frame that came at a time of this machine's clocks.
-    pub fn open<'a>(&mut self, frame: &'a [u8], now: At, unix: Duration) -> Result<&'a [u8], Unsealed> {
+    pub fn open<'a>(&mut self, frame: &'a [u8], now: At, unix: Duration) -> Result<&'a [u8], FrameError> {
         if frame.len() < HEAD + TAG || frame[0] != VERSION {
-            return Err(Unsealed::Form);
+            return Err(FrameError::Malformed);
         }
         let (body, tag) = frame.split_at(frame.len() - TAG);
         let whole = hmac::sign(&self.key.0, body);
         // Whoever times this learns nothing: comparing is over all bytes, whatever they are.
         let differs = whole.as_ref()[..TAG].iter().zip(tag).fold(0, |differs, (a, b)| differs | (a ^ b));
         if differs != 0 {
-            return Err(Unsealed::Tag);
+            return Err(FrameError::WrongTag);
         }
         let number = |at: usize| u64::from_be_bytes(body[at..at + 8].try_into().expect("eight bytes"));
         let (sender, sent, counter) = (number(1), Duration::from_millis(number(9)), number(17));
         if sent.abs_diff(unix) > SKEW {
-            return Err(Unsealed::Time);
+            return Err(FrameError::ClockSkew);
         }
         self.heard(sender, counter, now)?;
         Ok(&body[HEAD..])
     }
 
     /// Books a frame; each is taken once, as long as its time would let it pass.
-    fn heard(&mut self, sender: u64, counter: u64, now: At) -> Result<(), Unsealed> {
+    fn heard(&mut self, sender: u64, counter: u64, now: At) -> Result<(), FrameError> {
         if !self.senders.contains_key(&sender) && self.senders.len() >= SENDERS {
             self.senders.retain(|_, heard| now < heard.last + 2 * SKEW);
             if self.senders.len() >= SENDERS {
-                return Err(Unsealed::Crowded);
+                return Err(FrameError::TooManySenders);
             }
         }
         let heard = self.senders.entry(sender).or_insert(Heard { highest: 0, before: 0, last: now });
@@ -140,7 +140,7 @@
         } else {
             let back = heard.highest - counter;
             if back == 0 || back > WINDOW || heard.before & (1 << (back - 1)) != 0 {
-                return Err(Unsealed::Replay);
+                return Err(FrameError::Replay);
             }
             heard.before |= 1 << (back - 1);
         }
--- a/instances/src/seal/tests.rs
+++ b/instances/src/seal/tests.rs
@@ -8,8 +8,8 @@
     Key::read(&[byte; 32]).expect("long enough")
 }
 
-fn pair() -> (Sealed, Sealed) {
-    (Sealed::new(key(7), 1), Sealed::new(key(7), 2))
+fn pair() -> (FrameAuthenticator, FrameAuthenticator) {
+    (FrameAuthenticator::new(key(7), 1), FrameAuthenticator::new(key(7), 2))
 }
 
 #[test]
@@ -17,14 +17,14 @@
     let (mut a, mut b) = pair();
     let frame = a.seal(b"hello", UNIX);
     assert_eq!(b.open(&frame, At::ZERO, UNIX), Ok(&b"hello"[..]));
-    assert_eq!(b.open(&frame, At::ZERO, UNIX), Err(Unsealed::Replay));
-    let other = Sealed::new(key(8), 3).seal(b"hello", UNIX);
-    assert_eq!(b.open(&other, At::ZERO, UNIX), Err(Unsealed::Tag));
-    assert_eq!(b.open(b"", At::ZERO, UNIX), Err(Unsealed::Form));
+    assert_eq!(b.open(&frame, At::ZERO, UNIX), Err(FrameError::Replay));
+    let other = FrameAuthenticator::new(key(8), 3).seal(b"hello", UNIX);
+    assert_eq!(b.open(&other, At::ZERO, UNIX), Err(FrameError::WrongTag));
+    assert_eq!(b.open(b"", At::ZERO, UNIX), Err(FrameError::Malformed));
     for place in 1..frame.len() {
         let mut spoilt = a.seal(b"hello", UNIX);
         spoilt[place] ^= 1;
-        assert_eq!(b.open(&spoilt, At::ZERO, UNIX), Err(Unsealed::Tag), "byte {place}");
+        assert_eq!(b.open(&spoilt, At::ZERO, UNIX), Err(FrameError::WrongTag), "byte {place}");
     }
 }
 
@@ -41,12 +41,12 @@
 
 #[test]
 fn senders_are_bounded_and_forgotten_once_their_frames_are_too_old() {
-    let mut b = Sealed::new(key(7), 0);
+    let mut b = FrameAuthenticator::new(key(7), 0);
     for sender in 1..=SENDERS as u64 {
-        assert!(b.open(&Sealed::new(key(7), sender).seal(b"x", UNIX), At::ZERO, UNIX).is_ok());
+        assert!(b.open(&FrameAuthenticator::new(key(7), sender).seal(b"x", UNIX), At::ZERO, UNIX).is_ok());
     }
-    let one_more = Sealed::new(key(7), 1 << 40).seal(b"x", UNIX);
-    assert_eq!(b.open(&one_more, At::ZERO, UNIX), Err(Unsealed::Crowded));
+    let one_more = FrameAuthenticator::new(key(7), 1 << 40).seal(b"x", UNIX);
+    assert_eq!(b.open(&one_more, At::ZERO, UNIX), Err(FrameError::TooManySenders));
     assert!(b.open(&one_more, 2 * SKEW, UNIX).is_ok());
     assert_eq!(b.senders.len(), 1);
 }
@@ -60,7 +60,7 @@
 /// Found by the test below: the highest so far was forgotten when the next one was just as far on as the window is wide.
 #[test]
 fn a_frame_at_the_windows_far_end_is_not_taken_again() {
-    let mut b = Sealed::new(key(7), 0);
+    let mut b = FrameAuthenticator::new(key(7), 0);
     let taken = [321, 385, 321, 320].map(|counter| b.heard(1, counter, At::ZERO).is_ok());
     assert_eq!(taken, [true, true, false, false]);
 }
@@ -70,7 +70,7 @@
     /// In whatever order frames come, each is taken at most once; those within the window are taken.
     #[test]
     fn each_frame_is_taken_at_most_once(order in prop::collection::vec(1u64..400, 1..400)) {
-        let mut b = Sealed::new(key(7), 0);
+        let mut b = FrameAuthenticator::new(key(7), 0);
         let (mut taken, mut highest) = (HashSet::new(), 0);
         for counter in order {
             let fresh = b.heard(1, counter, At::ZERO).is_ok();
--- a/instances/src/simulation/lists.rs
+++ b/instances/src/simulation/lists.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use super::{LINK_FRAME, address, number, secs};
-use crate::{At, Catalog, Edition, Entry, Heard, Lists, ListsConfig, Todo, Word};
+use super::{LINK_FRAME_OVERHEAD, address, number, secs};
+use crate::{At, Catalog, Entry, LinkMessage, ListVersion, Lists, ListsConfig, ListsInput, ListsOutput};
 
 const MUST_ASK_IN: Duration = Duration::from_secs(8);
 /// A watch waits for so long, and a call is given up after that and two seconds.
@@ -25,11 +25,11 @@
         to: usize,
     },
     /// A word on a link.
-    Word {
+    Message {
         link: u64,
         from: usize,
         to: usize,
-        word: Word,
+        word: LinkMessage,
     },
     Closed {
         link: u64,
@@ -47,7 +47,7 @@
     /// Its state machine.
     pub lists: Lists,
     /// Whether it is to call the list service.
-    pub turn: bool,
+    pub polling: bool,
     /// The call that is out, its number and when it began.
     call: Option<(u64, At)>,
 }
@@ -56,12 +56,12 @@
 pub struct Service {
     generation: u64,
     /// Counts the times that it lost its memory.
-    pub memory: u64,
+    pub resets: u64,
     entries: BTreeMap<String, String>,
     changes: Vec<(u64, Entry)>,
     free_at: At,
     /// Time that a call for the whole list takes.
-    pub whole: Duration,
+    pub full_call_time: Duration,
     /// It refuses every call.
     pub down: bool,
     /// Calls for the whole list, and calls that failed. Watches that go on are not counted.
@@ -82,17 +82,17 @@
     /// The instances by number; none where no process runs.
     pub nodes: Vec<Option<Node>>,
     lives: Vec<u64>,
-    /// When each is to hear of the time next, and in which life.
+    /// When each is to hear of the time next, and in which incarnation.
     due: Vec<(u64, At)>,
     /// Who is about to hear that others have come or gone.
     to_see: Vec<bool>,
     /// Instances whose process is stopped.
-    pub stopped: HashSet<usize>,
+    pub paused: HashSet<usize>,
     unread: HashMap<usize, Vec<Step>>,
     /// Instances on different sides do not hear each other.
-    pub side: Vec<u32>,
+    pub partition: Vec<u32>,
     /// Those whose way to the service is cut.
-    pub unserved: HashSet<usize>,
+    pub cut_off: HashSet<usize>,
     links: HashMap<u64, (usize, usize)>,
     /// When the last word on a link arrives, so that none overtakes another.
     arrives: HashMap<(u64, usize), At>,
@@ -103,13 +103,13 @@
     /// Entries among them.
     pub entries_sent: Vec<u64>,
     /// Time that each instance's state machine took, by this machine's clock.
-    pub handling: Vec<Duration>,
-    /// How long ago each list was the service's, by edition.
-    ages: HashMap<Edition, usize>,
+    pub handling_time: Vec<Duration>,
+    /// How long ago each list was the service's, by version.
+    ages: HashMap<ListVersion, usize>,
     /// The last list that each holds, and when it came to hold it.
     held: Vec<Option<(usize, At)>>,
     /// Lists that gave way to older ones.
-    pub backwards: Vec<(At, usize)>,
+    pub regressions: Vec<(At, usize)>,
     /// Least and greatest delay of a word, in seconds.
     pub delay: (f64, f64),
 }
@@ -134,19 +134,19 @@
             lives: vec![0; count],
             due: vec![(0, At::ZERO); count],
             to_see: vec![false; count],
-            stopped: HashSet::new(),
+            paused: HashSet::new(),
             unread: HashMap::new(),
-            side: vec![0; count],
-            unserved: HashSet::new(),
+            partition: vec![0; count],
+            cut_off: HashSet::new(),
             links: HashMap::new(),
             arrives: HashMap::new(),
             service: Service {
                 generation: MEMORY,
-                memory: 0,
+                resets: 0,
                 entries,
                 changes: Vec::new(),
                 free_at: At::ZERO,
-                whole: secs(0.08),
+                full_call_time: secs(0.08),
                 down: false,
                 calls: 0,
                 watches: 0,
@@ -154,10 +154,10 @@
             },
             sent: vec![0; count],
             entries_sent: vec![0; count],
-            handling: vec![Duration::ZERO; count],
+            handling_time: vec![Duration::ZERO; count],
             ages: HashMap::new(),
             held: vec![None; count],
-            backwards: Vec::new(),
+            regressions: Vec::new(),
             delay: (0.001, 0.01),
         };
         (0..10).for_each(|n| net.change(n));
@@ -182,7 +182,7 @@
     /// An entry changes at the service.
     pub fn change(&mut self, n: usize) {
         let service = &self.service;
-        let text = format!("{}/{}", service.memory, service.generation + 1);
+        let text = format!("{}/{}", service.resets, service.generation + 1);
         self.change_to(format!("n{n}"), text);
     }
 
@@ -193,19 +193,19 @@
         service.entries.insert(name.clone(), text.clone());
         service.changes.push((service.generation, (name, Some(text))));
         let whole = service.entries.iter().map(|(n, t)| (n.clone(), Some(t.clone()))).collect();
-        let edition = Catalog::default().told(service.generation, true, whole).edition();
-        self.ages.insert(edition, self.ages.len());
+        let version = Catalog::default().updated(service.generation, true, whole).version();
+        self.ages.insert(version, self.ages.len());
         for (who, call, index) in std::mem::take(&mut self.service.waiting) {
             self.answer(who, call, Some(index), self.now);
         }
     }
 
     /// It lost its memory, and counts anew.
-    pub fn forget(&mut self) {
+    pub fn reset_service(&mut self) {
         let service = &mut self.service;
-        service.memory += 1;
+        service.resets += 1;
         // Always lower than before, as far as a play goes: that it counts anew from where it was could not be seen.
-        (service.generation, service.changes) = (MEMORY - service.memory * 1000, Vec::new());
+        (service.generation, service.changes) = (MEMORY - service.resets * 1000, Vec::new());
         (0..3).for_each(|n| self.change(n));
     }
 
@@ -216,13 +216,13 @@
             seeds: (0..3.min(self.nodes.len())).map(address).collect(),
             expected: self.nodes.len() as u32,
             must_ask_in: MUST_ASK_IN,
-            longest: 1 << 20,
+            max_bytes: 1 << 20,
         };
         self.lives[n] += 1;
         let lists = Lists::new(config, self.random.random(), self.now);
-        self.nodes[n] = Some(Node { lists, turn: false, call: None });
+        self.nodes[n] = Some(Node { lists, polling: false, call: None });
         (self.held[n], self.to_see[n]) = (None, false);
-        self.seen();
+        self.membership_changed();
         self.put(self.now, Step::Time(n, self.lives[n]));
     }
 
@@ -230,18 +230,18 @@
     pub fn kill(&mut self, n: usize) {
         self.nodes[n] = None;
         self.unread.remove(&n);
-        self.stopped.remove(&n);
+        self.paused.remove(&n);
         let of: Vec<_> =
             self.links.iter().filter(|(_, (a, b))| *a == n || *b == n).map(|(l, p)| (*l, *p)).collect();
         for (link, (a, b)) in of {
             self.links.remove(&link);
             self.put(self.now, Step::Closed { link, at: if a == n { b } else { a } });
         }
-        self.seen();
+        self.membership_changed();
     }
 
     /// Who is there has changed: all hear of it some time later.
-    pub fn seen(&mut self) {
+    pub fn membership_changed(&mut self) {
         for n in 0..self.nodes.len() {
             if self.nodes[n].is_some() && !std::mem::replace(&mut self.to_see[n], true) {
                 let after = secs(self.random.random_range(0.3..2.5));
@@ -251,55 +251,55 @@
     }
 
     /// An instance handles an event, and the network carries out what it wants.
-    pub fn give(&mut self, n: usize, heard: Heard) {
+    pub fn handle(&mut self, n: usize, heard: ListsInput) {
         let now = self.now;
         let Some(node) = &mut self.nodes[n] else { return };
         let began = Instant::now();
         let todo = node.lists.handle(now, heard);
-        self.handling[n] += began.elapsed();
+        self.handling_time[n] += began.elapsed();
         for what in todo {
             match what {
-                Todo::Open(to) => {
+                ListsOutput::Open(to) => {
                     let to = number(to).filter(|m| *m < self.nodes.len()).expect("known");
                     self.turn += 1;
                     let (link, delay) = (self.turn, self.delay());
                     self.put(now + delay, Step::Open { link, from: (n, self.lives[n]), to });
                 }
-                Todo::Close(link) => {
+                ListsOutput::Close(link) => {
                     if let Some((a, b)) = self.links.remove(&link) {
                         let delay = self.delay();
                         self.put(now + delay, Step::Closed { link, at: if a == n { b } else { a } });
                     }
                 }
-                Todo::Say(link, word) => {
+                ListsOutput::Send(link, word) => {
                     let Some(&(a, b)) = self.links.get(&link) else { continue };
                     // As it goes over the wire.
                     let bytes = word.encode();
-                    self.sent[n] += (LINK_FRAME + bytes.len()) as u64;
-                    if let Word::News(news) = &word {
+                    self.sent[n] += (LINK_FRAME_OVERHEAD + bytes.len()) as u64;
+                    if let LinkMessage::ListUpdate(news) = &word {
                         self.entries_sent[n] += news.entries.len() as u64;
                     }
-                    let word = Word::decode(&bytes).expect("a word");
+                    let word = LinkMessage::decode(&bytes).expect("a word");
                     let (to, delay) = (if a == n { b } else { a }, self.delay());
                     let last = self.arrives.entry((link, to)).or_default();
                     *last = (*last).max(now + delay);
                     let at = *last;
-                    self.put(at, Step::Word { link, from: n, to, word });
+                    self.put(at, Step::Message { link, from: n, to, word });
                 }
-                Todo::Turn(turn) => {
+                ListsOutput::Poll(poll) => {
                     let node = self.nodes[n].as_mut().expect("live");
-                    node.turn = turn;
-                    if !turn {
+                    node.polling = poll;
+                    if !poll {
                         node.call = None;
                     }
                 }
-                Todo::Changed => {
-                    let held = self.nodes[n].as_ref().and_then(|node| node.lists.held()).expect("changed");
-                    let age = self.ages.get(&held.edition).copied();
+                ListsOutput::ListChanged => {
+                    let held = self.nodes[n].as_ref().and_then(|node| node.lists.current()).expect("changed");
+                    let age = self.ages.get(&held.version).copied();
                     if let (Some((before, _)), Some(age)) = (self.held[n], age)
                         && age < before
                     {
-                        self.backwards.push((now, n));
+                        self.regressions.push((now, n));
                     }
                     self.held[n] = age.map(|age| (age, now));
                 }
@@ -316,18 +316,18 @@
     /// Calls the service, if it is this one's turn and no call is out.
     fn ask(&mut self, n: usize) {
         let Some(node) = &mut self.nodes[n] else { return };
-        if !node.turn || node.call.is_some() {
+        if !node.polling || node.call.is_some() {
             return;
         }
-        let first = node.lists.index();
+        let first = node.lists.watch_index();
         self.turn += 1;
         let (call, now) = (self.turn, self.now);
         node.call = Some((call, now));
         // Nothing but the time of the call is said here, and its turn cannot end by that.
-        let todo = node.lists.handle(now, Heard::Asked);
-        assert!(!todo.iter().any(|t| matches!(t, Todo::Turn(false))));
+        let todo = node.lists.handle(now, ListsInput::CallStarted);
+        assert!(!todo.iter().any(|t| matches!(t, ListsOutput::Poll(false))));
         self.service.calls += 1;
-        if self.unserved.contains(&n) {
+        if self.cut_off.contains(&n) {
             let after = if first.is_some() { WAIT + PATIENCE } else { 3 * PATIENCE };
             return self.put(now + after, Step::Service { who: n, call, answer: None });
         }
@@ -335,7 +335,7 @@
             return self.put(now + secs(0.002), Step::Service { who: n, call, answer: None });
         }
         let Some(index) = first else {
-            self.service.free_at = self.service.free_at.max(now) + self.service.whole;
+            self.service.free_at = self.service.free_at.max(now) + self.service.full_call_time;
             return self.answer(n, call, None, self.service.free_at);
         };
         // A watch that goes on costs nothing; they all do here, but the first.
@@ -380,88 +380,96 @@
     fn step(&mut self, step: Step) {
         let n = match &step {
             Step::Time(n, _) | Step::Members(n, _) | Step::Closed { at: n, .. } => *n,
-            Step::Open { to: n, .. } | Step::Word { to: n, .. } | Step::Service { who: n, .. } => *n,
+            Step::Open { to: n, .. } | Step::Message { to: n, .. } | Step::Service { who: n, .. } => *n,
         };
-        if self.stopped.contains(&n) && !matches!(step, Step::Open { .. }) {
+        if self.paused.contains(&n) && !matches!(step, Step::Open { .. }) {
             return self.unread.entry(n).or_default().push(step);
         }
         match step {
-            Step::Time(n, life) if life == self.lives[n] => {
+            Step::Time(n, incarnation) if incarnation == self.lives[n] => {
                 // An earlier one may have dealt with it.
                 if self.nodes[n].as_ref().is_some_and(|node| node.lists.due() <= self.now) {
-                    self.give(n, Heard::Time);
+                    self.handle(n, ListsInput::TimerDue);
                 }
             }
-            Step::Members(n, life) if life == self.lives[n] => {
+            Step::Members(n, incarnation) if incarnation == self.lives[n] => {
                 self.to_see[n] = false;
-                let there = |m: &usize| self.nodes[*m].is_some() && self.side[*m] == self.side[n] && *m != n;
+                let there = |m: &usize| {
+                    self.nodes[*m].is_some() && self.partition[*m] == self.partition[n] && *m != n
+                };
                 let members = (0..self.nodes.len()).filter(there).map(address).collect();
-                self.give(n, Heard::Members(members));
+                self.handle(n, ListsInput::Members(members));
             }
             Step::Time(..) | Step::Members(..) => {}
-            Step::Open { link, from: (from, life), to } => {
-                if self.nodes[from].is_none() || self.lives[from] != life {
+            Step::Open { link, from: (from, incarnation), to } => {
+                if self.nodes[from].is_none() || self.lives[from] != incarnation {
                     return;
                 }
-                if self.nodes[to].is_none() || self.stopped.contains(&to) || self.side[from] != self.side[to]
+                if self.nodes[to].is_none()
+                    || self.paused.contains(&to)
+                    || self.partition[from] != self.partition[to]
                 {
-                    return self.give(from, Heard::Unopened(address(to)));
+                    return self.handle(from, ListsInput::OpenFailed(address(to)));
                 }
                 self.links.insert(link, (from, to));
-                self.give(to, Heard::Opened { link, to: None });
-                self.give(from, Heard::Opened { link, to: Some(address(to)) });
+                self.handle(to, ListsInput::Opened { link, to: None });
+                self.handle(from, ListsInput::Opened { link, to: Some(address(to)) });
             }
-            Step::Word { link, from, to, word } => {
+            Step::Message { link, from, to, word } => {
                 if !self.links.contains_key(&link) {
                     return;
                 }
-                if self.side[from] != self.side[to] {
+                if self.partition[from] != self.partition[to] {
                     // It is sent again until the way is whole.
                     let again = self.now + secs(0.2);
-                    return self.put(again, Step::Word { link, from, to, word });
+                    return self.put(again, Step::Message { link, from, to, word });
                 }
                 // The relay's socket layer follows a link at its first word.
-                if word != Word::Follow {
-                    self.give(to, Heard::Said(link, word));
+                if word != LinkMessage::Subscribe {
+                    self.handle(to, ListsInput::Received(link, word));
                 }
             }
-            Step::Closed { link, at } => self.give(at, Heard::Closed(link)),
+            Step::Closed { link, at } => self.handle(at, ListsInput::Closed(link)),
             Step::Service { who, call, answer } => {
                 let Some(node) = &mut self.nodes[who] else { return };
                 let Some((_, began)) = node.call.filter(|(out, _)| *out == call) else { return };
                 node.call = None;
                 self.service.waiting.retain(|(_, waits, _)| *waits != call);
-                let cut = self.unserved.contains(&who) || self.service.down;
+                let cut = self.cut_off.contains(&who) || self.service.down;
                 match answer.filter(|_| !cut) {
                     Some((generation, whole, entries)) => {
-                        self.give(who, Heard::Answered { began, generation, whole, entries });
+                        self.handle(who, ListsInput::CallAnswered { began, generation, whole, entries });
                     }
-                    None => self.give(who, Heard::Failed { torn: false }),
+                    None => self.handle(who, ListsInput::CallFailed { torn: false }),
                 }
             }
         }
     }
 
     /// A stopped process goes on, and reads what came meanwhile.
-    pub fn go_on(&mut self, n: usize) {
-        self.stopped.remove(&n);
+    pub fn resume(&mut self, n: usize) {
+        self.paused.remove(&n);
         for step in self.unread.remove(&n).unwrap_or_default() {
             self.step(step);
         }
     }
 
     /// Who of those that run does not hold the service's present list.
-    pub fn behind(&self) -> Vec<usize> {
+    pub fn outdated(&self) -> Vec<usize> {
         let newest = self.ages.len() - 1;
-        let live = (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some() && !self.stopped.contains(n));
+        let live = (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some() && !self.paused.contains(n));
         live.filter(|n| self.held[*n].is_none_or(|(age, _)| age != newest)).collect()
     }
 
     /// Runs until nobody is behind; gives how long that took.
-    pub fn until_all_hold(&mut self, most_s: f64) -> f64 {
+    pub fn run_until_converged(&mut self, most_s: f64) -> f64 {
         let from = self.now;
-        while !self.behind().is_empty() {
-            assert!(self.now < from + secs(most_s), "after {most_s} s these are behind: {:?}", self.behind());
+        while !self.outdated().is_empty() {
+            assert!(
+                self.now < from + secs(most_s),
+                "after {most_s} s these are behind: {:?}",
+                self.outdated()
+            );
             self.run(0.05);
         }
         (self.now - from).as_secs_f64()
--- a/instances/src/simulation/membership.rs
+++ b/instances/src/simulation/membership.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use super::{LINK_FRAME, UNIX, address, key, number, secs};
-use crate::{At, Change, Config, Input, Member, Output, Swim, View, Word};
+use super::{LINK_FRAME_OVERHEAD, UNIX, address, key, number, secs};
+use crate::{At, LinkMessage, Member, MembershipChange, Swim, SwimConfig, SwimInput, SwimOutput, View};
 
 /// Something that reaches an instance.
 enum Step {
@@ -27,34 +27,34 @@
     pub swims: Vec<Option<Swim>>,
     /// Counts the processes of each instance: what was set for an earlier one is over.
     lives: Vec<u64>,
-    /// When each is to hear of the time next, and in which life.
+    /// When each is to hear of the time next, and in which incarnation.
     due: Vec<Option<(u64, At)>>,
     /// Instances whose process is stopped.
-    pub stopped: HashSet<usize>,
+    pub paused: HashSet<usize>,
     /// What came while an instance was stopped.
     pub unread: HashMap<usize, Vec<Vec<u8>>>,
     /// Instances on different sides do not hear each other.
-    pub side: Vec<u32>,
+    pub partition: Vec<u32>,
     /// Share of datagrams that are lost.
-    pub lost: f64,
+    pub loss_rate: f64,
     /// Least and greatest delay of a datagram, in seconds.
     pub delay: (f64, f64),
     /// The wall clock of each, against the true one, in seconds.
-    pub skew: Vec<f64>,
+    pub clock_skew: Vec<f64>,
     /// Every change of a view: when, whose, which.
-    pub changes: Vec<(At, usize, Change)>,
+    pub changes: Vec<(At, usize, MembershipChange)>,
     /// How many instances are seeds: the first ones.
     pub seeds: usize,
     /// Bytes of questions and of whole views that each instance sent over links.
-    pub linked: Vec<u64>,
+    pub link_bytes: Vec<u64>,
     /// Datagrams that each instance sent, by whichever of its processes.
     pub datagrams: Vec<u64>,
     /// Their bytes.
     pub datagram_bytes: Vec<u64>,
     /// Time that each instance's state machine took, by this machine's clock.
-    pub handling: Vec<Duration>,
-    /// What an instance tells of itself; its life and address are set by the network.
-    pub described: fn(usize) -> Member,
+    pub handling_time: Vec<Duration>,
+    /// What an instance tells of itself; its incarnation and address are set by the network.
+    pub describe: fn(usize) -> Member,
 }
 
 impl Network {
@@ -68,31 +68,32 @@
             swims: (0..count).map(|_| None).collect(),
             lives: vec![0; count],
             due: vec![None; count],
-            stopped: HashSet::new(),
+            paused: HashSet::new(),
             unread: HashMap::new(),
-            side: vec![0; count],
-            lost: 0.0,
+            partition: vec![0; count],
+            loss_rate: 0.0,
             delay: (0.001, 0.01),
-            skew: vec![0.0; count],
+            clock_skew: vec![0.0; count],
             changes: Vec::new(),
             seeds: 3,
-            linked: vec![0; count],
+            link_bytes: vec![0; count],
             datagrams: vec![0; count],
             datagram_bytes: vec![0; count],
-            handling: vec![Duration::ZERO; count],
-            described: |n| Member {
+            handling_time: vec![Duration::ZERO; count],
+            describe: |n| Member {
                 name: format!("i{n}"),
                 zone: format!("z{}", n % 3),
-                ..Member::at(address(n))
+                ..Member::with_address(address(n))
             },
         }
     }
 
     /// A process of an instance starts.
     pub fn start(&mut self, n: usize) {
-        let life = (UNIX + self.now).as_millis() as u64;
-        let member = Member { life, address: address(n), ..(self.described)(n) };
-        let config = Config { seeds: (0..self.seeds).map(address).collect(), size: self.swims.len() as u32 };
+        let incarnation = (UNIX + self.now).as_millis() as u64;
+        let member = Member { incarnation, address: address(n), ..(self.describe)(n) };
+        let config =
+            SwimConfig { seeds: (0..self.seeds).map(address).collect(), size: self.swims.len() as u32 };
         self.lives[n] += 1;
         self.swims[n] = Some(Swim::new(member, config, key(), self.random.random(), self.now));
         self.timer(n);
@@ -114,35 +115,38 @@
 
     /// The wall clock of an instance.
     pub fn unix(&self, n: usize) -> Duration {
-        UNIX + self.now + secs(60.0) - secs(60.0 - self.skew[n])
+        UNIX + self.now + secs(60.0) - secs(60.0 - self.clock_skew[n])
     }
 
     /// An instance handles an input, and the network carries out what it wants.
-    pub fn give(&mut self, n: usize, input: Input) {
+    pub fn handle(&mut self, n: usize, input: SwimInput) {
         let unix = self.unix(n);
         let Some(swim) = &mut self.swims[n] else { return };
         let began = Instant::now();
         let outputs = swim.handle(self.now, unix, input);
-        self.handling[n] += began.elapsed();
+        self.handling_time[n] += began.elapsed();
         for output in outputs {
             match output {
-                Output::Changed(change) => self.changes.push((self.now, n, change)),
-                Output::Compare(with) => {
+                SwimOutput::Changed(change) => self.changes.push((self.now, n, change)),
+                SwimOutput::FetchView(with) => {
                     let with = number(with).filter(|m| *m < self.swims.len());
-                    let with = with.filter(|m| self.side[*m] == self.side[n] && !self.stopped.contains(m));
+                    let with =
+                        with.filter(|m| self.partition[*m] == self.partition[n] && !self.paused.contains(m));
                     if let Some(with) = with.filter(|m| self.swims[*m].is_some()) {
                         let (view, bytes) = self.answer(with);
-                        self.linked[n] += (LINK_FRAME + Word::Ask.encode().len()) as u64;
-                        self.linked[with] += (LINK_FRAME + bytes) as u64;
+                        self.link_bytes[n] +=
+                            (LINK_FRAME_OVERHEAD + LinkMessage::ViewRequest.encode().len()) as u64;
+                        self.link_bytes[with] += (LINK_FRAME_OVERHEAD + bytes) as u64;
                         let delay = self.random.random_range(self.delay.0..self.delay.1);
                         self.put(self.now + secs(2.0 * delay), Step::View(n, view));
                     }
                 }
-                Output::Send { to, bytes } => {
+                SwimOutput::Send { to, bytes } => {
                     self.datagrams[n] += 1;
                     self.datagram_bytes[n] += bytes.len() as u64;
                     let Some(to) = number(to).filter(|m| *m < self.swims.len()) else { continue };
-                    let lost = self.random.random_bool(self.lost) || self.side[n] != self.side[to];
+                    let lost =
+                        self.random.random_bool(self.loss_rate) || self.partition[n] != self.partition[to];
                     if !lost {
                         let delay = self.random.random_range(self.delay.0..self.delay.1);
                         self.put(self.now + secs(delay), Step::Arrives(to, bytes));
@@ -157,10 +161,10 @@
     fn answer(&mut self, n: usize) -> (View, usize) {
         let began = Instant::now();
         let view = self.swims[n].as_ref().expect("one that runs").view();
-        let word = Word::View(view);
+        let word = LinkMessage::View(view);
         let bytes = word.encode().len();
-        self.handling[n] += began.elapsed();
-        let Word::View(view) = word else { unreachable!("made above") };
+        self.handling_time[n] += began.elapsed();
+        let LinkMessage::View(view) = word else { unreachable!("made above") };
         (view, bytes)
     }
 
@@ -171,41 +175,41 @@
             let ((at, _), step) = entry.remove_entry();
             self.now = self.now.max(at);
             match step {
-                Step::Time(n, life) if life == self.lives[n] && !self.stopped.contains(&n) => {
+                Step::Time(n, incarnation) if incarnation == self.lives[n] && !self.paused.contains(&n) => {
                     // An earlier wake may have dealt with it.
                     if self.swims[n].as_ref().and_then(Swim::due).is_some_and(|due| due <= self.now) {
-                        self.give(n, Input::Time);
+                        self.handle(n, SwimInput::TimerDue);
                     }
                 }
                 Step::Time(..) => {}
-                Step::Arrives(n, bytes) if self.stopped.contains(&n) => {
+                Step::Arrives(n, bytes) if self.paused.contains(&n) => {
                     self.unread.entry(n).or_default().push(bytes);
                 }
-                Step::Arrives(n, bytes) => self.give(n, Input::Datagram(&bytes)),
+                Step::Arrives(n, bytes) => self.handle(n, SwimInput::Datagram(&bytes)),
                 // A link to one that is stopped gives up long before that goes on.
-                Step::View(n, _) if self.stopped.contains(&n) => {}
-                Step::View(n, view) => self.give(n, Input::View(&view)),
+                Step::View(n, _) if self.paused.contains(&n) => {}
+                Step::View(n, view) => self.handle(n, SwimInput::View(&view)),
             }
         }
         self.now = end;
     }
 
     /// A process goes on: the clock is looked at first, and nothing of what came has been read yet.
-    pub fn wake(&mut self, n: usize) {
-        self.stopped.remove(&n);
-        self.give(n, Input::Time);
+    pub fn resume_unread(&mut self, n: usize) {
+        self.paused.remove(&n);
+        self.handle(n, SwimInput::TimerDue);
     }
 
     /// A stopped process goes on, and then reads what came meanwhile.
-    pub fn go_on(&mut self, n: usize) {
-        self.wake(n);
+    pub fn resume(&mut self, n: usize) {
+        self.resume_unread(n);
         for bytes in self.unread.remove(&n).unwrap_or_default() {
-            self.give(n, Input::Datagram(&bytes));
+            self.handle(n, SwimInput::Datagram(&bytes));
         }
     }
 
     /// Who sees whom, as pairs that are wrong.
-    pub fn wrong(&self) -> Vec<(usize, usize)> {
+    pub fn wrong_views(&self) -> Vec<(usize, usize)> {
         let live: Vec<_> = (0..self.swims.len()).filter(|n| self.swims[*n].is_some()).collect();
         let mut wrong = Vec::new();
         for &n in &live {
@@ -220,7 +224,7 @@
     }
 
     /// How often anybody was taken for gone since a time.
-    pub fn downs(&self, from: At) -> usize {
-        self.changes.iter().filter(|(at, _, c)| *at >= from && matches!(c, Change::Down(_))).count()
+    pub fn down_count(&self, from: At) -> usize {
+        self.changes.iter().filter(|(at, _, c)| *at >= from && matches!(c, MembershipChange::Down(_))).count()
     }
 }
--- a/instances/src/simulation/mod.rs
+++ b/instances/src/simulation/mod.rs
@@ -13,8 +13,8 @@
 /// The address of the first instance.
 const FIRST_ADDRESS: u32 = 0x7f20_0001;
 
-/// Bytes of a frame on a link besides its payload: the length, then what [`crate::Sealed`] adds.
-pub const LINK_FRAME: usize = 4 + 41;
+/// Bytes of a frame on a link besides its payload: the length, then what [`crate::FrameAuthenticator`] adds.
+pub const LINK_FRAME_OVERHEAD: usize = 4 + 41;
 
 /// A time or a span from seconds.
 pub fn secs(s: f64) -> At {
--- a/instances/src/swim.rs
+++ b/instances/src/swim.rs
@@ -14,8 +14,8 @@
 use std::num::{NonZeroU8, NonZeroU32, NonZeroUsize};
 use std::time::Duration;
 
-use crate::seal::{Key, Sealed};
-use crate::view::{View, Word};
+use crate::seal::{FrameAuthenticator, Key};
+use crate::view::{LinkMessage, View};
 use crate::{At, Member};
 
 /// Largest payload of a datagram: with its frame it fits where 1,400 bytes do.
@@ -45,7 +45,7 @@
 
 /// What an instance is told of the others beforehand.
 #[derive(Clone, Debug)]
-pub struct Config {
+pub struct SwimConfig {
     /// Addresses at which others may be found.
     pub seeds: Vec<SocketAddr>,
     /// About how many instances there will be: sets how long one is only suspected (4 periods of a second times the logarithm, to the
@@ -55,20 +55,20 @@
 
 /// What happened.
 #[derive(Clone, Copy, Debug)]
-pub enum Input<'a> {
+pub enum SwimInput<'a> {
     /// A datagram came.
     Datagram(&'a [u8]),
     /// The whole view of another has come over a link.
     View(&'a View),
     /// It is time: see [`Swim::due`].
-    Time,
+    TimerDue,
     /// This instance leaves; nothing else is to follow.
     Leave,
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Output {
+pub enum SwimOutput {
     /// A datagram is to be sent.
     Send {
         /// Where to.
@@ -77,27 +77,27 @@
         bytes: Vec<u8>,
     },
     /// The whole view of this instance is to be had over a link.
-    Compare(SocketAddr),
+    FetchView(SocketAddr),
     /// The view has changed.
-    Changed(Change),
+    Changed(MembershipChange),
 }
 
 /// A change of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum MembershipChange {
     /// An instance is there.
     Up(Member),
     /// It is there no more.
     Down(Member),
     /// It is there as another process than before, or with other words about itself.
-    Again(Member),
-    /// Others took this instance for gone; it goes on under its next life.
+    Updated(Member),
+    /// Others took this instance for gone; it goes on under its next incarnation.
     Refuted(u64),
 }
 
 /// An instance as it is seen.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct MemberStatus {
     /// What it tells of itself.
     pub member: Member,
     /// It has not answered of late, and is not yet taken for gone.
@@ -106,19 +106,19 @@
 
 /// What has come and gone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct SwimCounters {
     /// Datagrams and their bytes, sent.
     pub sent: u64,
     /// See `sent`.
     pub sent_bytes: u64,
     /// Datagrams taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// Those that were none of the key's, came again, or were too old.
-    pub strange: u64,
+    pub unauthenticated: u64,
     /// Those with the key's tag that could not be read or told of members that cannot be.
-    pub unfit: u64,
+    pub malformed: u64,
     /// Times at which this process found itself to have been stopped.
-    pub slept: u64,
+    pub pauses: u64,
 }
 
 /// Checks what is read of members.
@@ -146,7 +146,7 @@
 
     fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Member>, Unsound> {
         let header: Header<Member> = self.0.decode_header(buf).map_err(|_| Unsound)?;
-        if header.src.is_sound() { Ok(header) } else { Err(Unsound) }
+        if header.src.is_valid() { Ok(header) } else { Err(Unsound) }
     }
 
     fn encode_member(&mut self, member: &foca::Member<Member>, buf: impl BufMut) -> Result<(), Unsound> {
@@ -155,7 +155,7 @@
 
     fn decode_member(&mut self, buf: impl Buf) -> Result<foca::Member<Member>, Unsound> {
         let member: foca::Member<Member> = self.0.decode_member(buf).map_err(|_| Unsound)?;
-        if member.id().is_sound() { Ok(member) } else { Err(Unsound) }
+        if member.id().is_valid() { Ok(member) } else { Err(Unsound) }
     }
 }
 
@@ -170,9 +170,9 @@
 pub struct Swim {
     foca: Foca<Member, Checked, StdRng, NoCustomBroadcast>,
     key: Key,
-    sealed: Sealed,
+    sealed: FrameAuthenticator,
     /// Frames of links are another sender's: one that takes its time there must not be overtaken by datagrams and count as a replay.
-    linked: Sealed,
+    linked: FrameAuthenticator,
     /// What is due, by its time and its turn.
     due: BTreeMap<(At, u64), Due>,
     turn: u64,
@@ -183,13 +183,13 @@
     /// Another's view has come since this process last began or went on.
     compared: bool,
     left: bool,
-    counts: Counts,
+    counts: SwimCounters,
 }
 
 impl Swim {
     /// The view of an instance that has just started. The seed feeds its lots and its number as a sender, so it must be another
     /// for each process.
-    pub fn new(me: Member, config: Config, key: Key, seed: u64, now: At) -> Self {
+    pub fn new(me: Member, config: SwimConfig, key: Key, seed: u64, now: At) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let size = NonZeroU32::new(config.size.max(3)).expect("above 0");
         let some = |n| NonZeroUsize::new(n).expect("above 0");
@@ -205,12 +205,12 @@
             ..foca::Config::new_lan(size)
         };
         let suspicion = protocol.suspect_to_down_after;
-        let sealed = Sealed::new(key.clone(), random.random());
-        let linked = Sealed::new(key.clone(), random.random());
+        let sealed = FrameAuthenticator::new(key.clone(), random.random());
+        let linked = FrameAuthenticator::new(key.clone(), random.random());
         let seeds = config.seeds.into_iter().filter(|seed| *seed != me.address).collect();
         let foca = Foca::new(me, protocol, StdRng::seed_from_u64(random.random()), Checked(PostcardCodec));
         let due = BTreeMap::from([((now, 0), Due::Seek), ((now + COMPARE_FIRST, 1), Due::Compare)]);
-        let (compared, left, counts) = (false, false, Counts::default());
+        let (compared, left, counts) = (false, false, SwimCounters::default());
         Swim { foca, key, sealed, linked, due, turn: 1, seeds, random, suspicion, compared, left, counts }
     }
 
@@ -220,29 +220,29 @@
     }
 
     /// Takes what happened at a time of this machine's clocks: the monotonic one, and the wall's.
-    pub fn handle(&mut self, now: At, unix: Duration, input: Input) -> Vec<Output> {
+    pub fn handle(&mut self, now: At, unix: Duration, input: SwimInput) -> Vec<SwimOutput> {
         let mut outputs = Vec::new();
         if self.left {
             return outputs;
         }
         match input {
-            Input::Datagram(frame) => match self.sealed.open(frame, now, unix) {
-                Err(_) => self.counts.strange += 1,
+            SwimInput::Datagram(frame) => match self.sealed.open(frame, now, unix) {
+                Err(_) => self.counts.unauthenticated += 1,
                 Ok(payload) => {
                     let mut said = AccumulatingRuntime::new();
                     let read = self.foca.handle_data(payload, &mut said);
-                    *(if read.is_ok() { &mut self.counts.taken } else { &mut self.counts.unfit }) += 1;
+                    *(if read.is_ok() { &mut self.counts.accepted } else { &mut self.counts.malformed }) += 1;
                     self.take(now, unix, said, &mut outputs);
                 }
             },
-            Input::View(view) => {
+            SwimInput::View(view) => {
                 self.compared = true;
                 let mut said = AccumulatingRuntime::new();
                 // Its only error is that this instance has left.
                 let _ = self.foca.apply_many(view.0.iter().cloned(), true, &mut said);
                 self.take(now, unix, said, &mut outputs);
             }
-            Input::Time => {
+            SwimInput::TimerDue => {
                 self.wake(now);
                 while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
                     let mut said = AccumulatingRuntime::new();
@@ -255,7 +255,7 @@
                     self.take(now, unix, said, &mut outputs);
                 }
             }
-            Input::Leave => {
+            SwimInput::Leave => {
                 let mut said = AccumulatingRuntime::new();
                 // Its only error is that it has left already.
                 let _ = self.foca.leave_cluster(&mut said);
@@ -271,7 +271,7 @@
     /// for a while, so suspicions begin anew, and somebody's whole view is had before they end.
     fn wake(&mut self, now: At) {
         let Some(first) = self.due().filter(|first| now > *first + SLEPT) else { return };
-        self.counts.slept += 1;
+        self.counts.pauses += 1;
         let off = now - first + TRIP;
         let due = std::mem::take(&mut self.due).into_iter().map(|((at, turn), what)| {
             let at = match what {
@@ -292,7 +292,7 @@
         if !absent.is_empty() {
             let seed = absent[self.random.random_range(0..absent.len())];
             // Its only error is that the announcement does not fit a datagram, which it always does.
-            let _ = self.foca.announce(Member::at(seed), said);
+            let _ = self.foca.announce(Member::with_address(seed), said);
         }
         let pause = if there.is_empty() { SEEK_ALONE } else { SEEK };
         let pause = pause.mul_f64(self.random.random_range(0.5..1.5));
@@ -300,12 +300,12 @@
     }
 
     /// Asks one that is there for its view.
-    fn compare(&mut self, now: At) -> Option<Output> {
+    fn compare(&mut self, now: At) -> Option<SwimOutput> {
         let pause = if self.compared { COMPARE } else { COMPARE_FIRST };
         let pause = pause.mul_f64(self.random.random_range(0.5..1.5));
         self.put(now + pause, Due::Compare);
         let there: Vec<_> = self.foca.iter_members().map(|m| m.id().address).collect();
-        (!there.is_empty()).then(|| Output::Compare(there[self.random.random_range(0..there.len())]))
+        (!there.is_empty()).then(|| SwimOutput::FetchView(there[self.random.random_range(0..there.len())]))
     }
 
     /// All that is known of members, this instance among them, for one that asks over a link.
@@ -315,23 +315,23 @@
     }
 
     /// A frame for a link.
-    pub fn seal(&mut self, word: &Word, unix: Duration) -> Vec<u8> {
+    pub fn seal(&mut self, word: &LinkMessage, unix: Duration) -> Vec<u8> {
         self.linked.seal(&word.encode(), unix)
     }
 
     /// Frames of a link that stands: a sender of its own, since what waits on one link must not count as a replay after another's.
-    pub fn sealed(&mut self) -> Sealed {
-        Sealed::new(self.key.clone(), self.random.random())
+    pub fn link_authenticator(&mut self) -> FrameAuthenticator {
+        FrameAuthenticator::new(self.key.clone(), self.random.random())
     }
 
     /// What a frame from a link says; none where it is not the key's, came before, or says nothing that can be.
-    pub fn open(&mut self, frame: &[u8], now: At, unix: Duration) -> Option<Word> {
+    pub fn open(&mut self, frame: &[u8], now: At, unix: Duration) -> Option<LinkMessage> {
         let Ok(payload) = self.linked.open(frame, now, unix) else {
-            self.counts.strange += 1;
+            self.counts.unauthenticated += 1;
             return None;
         };
-        let word = Word::decode(payload);
-        self.counts.unfit += u64::from(word.is_none());
+        let word = LinkMessage::decode(payload);
+        self.counts.malformed += u64::from(word.is_none());
         word
     }
 
@@ -346,31 +346,39 @@
         now: At,
         unix: Duration,
         mut said: AccumulatingRuntime<Member>,
-        outputs: &mut Vec<Output>,
+        outputs: &mut Vec<SwimOutput>,
     ) {
         while let Some((to, payload)) = said.to_send() {
             let bytes = self.sealed.seal(&payload, unix);
             self.counts.sent += 1;
             self.counts.sent_bytes += bytes.len() as u64;
-            outputs.push(Output::Send { to: to.address, bytes });
+            outputs.push(SwimOutput::Send { to: to.address, bytes });
         }
         while let Some((after, timer)) = said.to_schedule() {
             self.put(now + after, Due::Protocol(timer));
         }
         while let Some(heard) = said.to_notify() {
             outputs.extend(match heard {
-                OwnedNotification::MemberUp(member) => Some(Output::Changed(Change::Up(member))),
-                OwnedNotification::MemberDown(member) => Some(Output::Changed(Change::Down(member))),
-                OwnedNotification::Rename(_, member) => Some(Output::Changed(Change::Again(member))),
-                OwnedNotification::Rejoin(me) => Some(Output::Changed(Change::Refuted(me.life))),
+                OwnedNotification::MemberUp(member) => {
+                    Some(SwimOutput::Changed(MembershipChange::Up(member)))
+                }
+                OwnedNotification::MemberDown(member) => {
+                    Some(SwimOutput::Changed(MembershipChange::Down(member)))
+                }
+                OwnedNotification::Rename(_, member) => {
+                    Some(SwimOutput::Changed(MembershipChange::Updated(member)))
+                }
+                OwnedNotification::Rejoin(me) => {
+                    Some(SwimOutput::Changed(MembershipChange::Refuted(me.incarnation)))
+                }
                 _ => None,
             });
         }
     }
 
     /// Who is there, without this instance itself, by address.
-    pub fn members(&self) -> Vec<Seen> {
-        let seen = |m: &foca::Member<Member>| Seen {
+    pub fn members(&self) -> Vec<MemberStatus> {
+        let seen = |m: &foca::Member<Member>| MemberStatus {
             member: m.id().clone(),
             suspected: m.state() == foca::State::Suspect,
         };
@@ -385,7 +393,7 @@
     }
 
     /// What has come and gone.
-    pub fn counts(&self) -> Counts {
+    pub fn counters(&self) -> SwimCounters {
         self.counts
     }
 }
--- a/instances/tests/network.rs
+++ b/instances/tests/network.rs
@@ -10,7 +10,7 @@
         net.start(n);
     }
     net.run(10.0);
-    assert_eq!(net.wrong(), [], "all that started see each other");
+    assert_eq!(net.wrong_views(), [], "all that started see each other");
     net
 }
 
@@ -20,10 +20,10 @@
         let mut net = fleet(9, seed);
         net.swims[4] = None;
         net.run(12.0);
-        assert_eq!(net.wrong(), [], "seed {seed}");
+        assert_eq!(net.wrong_views(), [], "seed {seed}");
         net.start(4);
         net.run(5.0);
-        assert_eq!(net.wrong(), [], "back under its name, with a later life");
+        assert_eq!(net.wrong_views(), [], "back under its name, with a later incarnation");
     }
 }
 
@@ -35,16 +35,16 @@
     net.run(3.0);
     (0..210).for_each(|n| net.start(n));
     net.run(20.0);
-    assert_eq!(net.wrong(), []);
+    assert_eq!(net.wrong_views(), []);
 }
 
 #[test]
 fn who_leaves_is_missed_at_once() {
     let mut net = fleet(9, 1);
-    net.give(4, Input::Leave);
+    net.handle(4, SwimInput::Leave);
     net.swims[4] = None;
     net.run(2.0);
-    assert_eq!(net.wrong(), []);
+    assert_eq!(net.wrong_views(), []);
 }
 
 #[test]
@@ -52,21 +52,27 @@
     for seed in 0..5 {
         let mut net = fleet(30, seed);
         let from = net.now;
-        net.stopped.insert(7);
+        net.paused.insert(7);
         net.run(3.0);
-        net.go_on(7);
+        net.resume(7);
         net.run(15.0);
-        assert_eq!((net.wrong(), net.downs(from)), (vec![], 0), "seed {seed}: suspected, and refuted");
+        assert_eq!(
+            (net.wrong_views(), net.down_count(from)),
+            (vec![], 0),
+            "seed {seed}: suspected, and refuted"
+        );
         // Stopped for longer than suspicion lasts it is missed; it misses nobody, and comes back.
         let from = net.now;
-        net.stopped.insert(7);
+        net.paused.insert(7);
         net.run(20.0);
-        assert!(net.wrong().iter().any(|(_, m)| *m == 7), "seed {seed}: still seen");
-        net.go_on(7);
+        assert!(net.wrong_views().iter().any(|(_, m)| *m == 7), "seed {seed}: still seen");
+        net.resume(7);
         net.run(25.0);
-        assert_eq!(net.wrong(), [], "seed {seed}");
-        let by_it =
-            net.changes.iter().filter(|(at, n, c)| *at >= from && *n == 7 && matches!(c, Change::Down(_)));
+        assert_eq!(net.wrong_views(), [], "seed {seed}");
+        let by_it = net
+            .changes
+            .iter()
+            .filter(|(at, n, c)| *at >= from && *n == 7 && matches!(c, MembershipChange::Down(_)));
         assert_eq!(by_it.count(), 0, "seed {seed}: it took others for dead");
     }
 }
@@ -75,7 +81,7 @@
 fn a_suspicion_that_was_refuted_while_this_process_was_stopped_is_not_acted_on() {
     for seed in 0..40 {
         let mut net = fleet(9, seed);
-        net.side[5] = 1;
+        net.partition[5] = 1;
         let suspects = |net: &Net| {
             let seen = net.swims[7].as_ref().expect("live").members();
             seen.iter().any(|s| s.suspected && s.member.address == address(5))
@@ -84,17 +90,17 @@
             net.run(0.05);
         }
         // It is well again at once, and says so while the other is stopped.
-        net.side[5] = 0;
-        net.stopped.insert(7);
+        net.partition[5] = 0;
+        net.paused.insert(7);
         net.run(6.0);
-        let of_it = |c: &Change| matches!(c, Change::Down(m) if m.address == address(5));
+        let of_it = |c: &MembershipChange| matches!(c, MembershipChange::Down(m) if m.address == address(5));
         let before = net.changes.len();
-        net.wake(7);
+        net.resume_unread(7);
         assert!(
             !net.changes[before..].iter().any(|(.., c)| of_it(c)),
             "seed {seed}: acted on before it was heard"
         );
-        net.go_on(7);
+        net.resume(7);
         // What lay unread may hold others' word that it was gone, and their next that it is there; both are heard by now.
         let from = net.now;
         net.run(10.0);
@@ -107,52 +113,52 @@
 fn a_partition_of_minutes_heals_by_itself_and_halves_that_start_apart_meet() {
     for seed in 0..3 {
         let mut net = fleet(9, seed);
-        (0..4).for_each(|n| net.side[n] = 1);
+        (0..4).for_each(|n| net.partition[n] = 1);
         net.run(180.0);
-        assert!(net.wrong().len() >= 2 * 4 * 5, "seed {seed}: they do not miss each other");
-        net.side.fill(0);
+        assert!(net.wrong_views().len() >= 2 * 4 * 5, "seed {seed}: they do not miss each other");
+        net.partition.fill(0);
         net.run(60.0);
-        assert_eq!(net.wrong(), [], "seed {seed}");
+        assert_eq!(net.wrong_views(), [], "seed {seed}");
         // The seeds are all on one side: the other half knows nobody at all until it can reach them.
         let mut net = Net::new(8, seed);
-        net.side = vec![0, 0, 0, 0, 1, 1, 1, 1];
+        net.partition = vec![0, 0, 0, 0, 1, 1, 1, 1];
         (0..8).for_each(|n| net.start(n));
         net.run(20.0);
-        net.side.fill(0);
+        net.partition.fill(0);
         net.run(20.0);
-        assert_eq!(net.wrong(), [], "seed {seed}");
+        assert_eq!(net.wrong_views(), [], "seed {seed}");
     }
 }
 
 #[test]
 fn clocks_that_are_half_a_minute_off_do_no_harm() {
     let mut net = Net::new(6, 1);
-    net.skew = vec![0.0, 30.0, -30.0, 45.0, 0.0, 0.0];
+    net.clock_skew = vec![0.0, 30.0, -30.0, 45.0, 0.0, 0.0];
     (0..6).for_each(|n| net.start(n));
     net.run(10.0);
-    assert_eq!(net.wrong(), []);
+    assert_eq!(net.wrong_views(), []);
 }
 
 #[test]
 fn strangers_replays_and_members_that_cannot_be_change_nothing() {
     let mut net = fleet(3, 1);
     let before: Vec<_> = net.swims.iter().flatten().map(Swim::members).collect();
-    let member = Member { name: "x".into(), ..Member::at(address(9)) };
-    let config = Config { seeds: vec![address(0)], size: 3 };
+    let member = Member { name: "x".into(), ..Member::with_address(address(9)) };
+    let config = SwimConfig { seeds: vec![address(0)], size: 3 };
     let other = Key::read(&[6; 32]).expect("long enough");
     let mut stranger = Swim::new(member.clone(), config.clone(), other, 9, net.now);
     let mut unsound = Swim::new(Member { name: "x".repeat(99), ..member }, config, key(), 10, net.now);
     let unix = net.unix(0);
     for swim in [&mut stranger, &mut unsound] {
-        for output in swim.handle(net.now, unix, Input::Time) {
-            let Output::Send { bytes, .. } = output else { continue };
-            net.give(0, Input::Datagram(&bytes));
+        for output in swim.handle(net.now, unix, SwimInput::TimerDue) {
+            let SwimOutput::Send { bytes, .. } = output else { continue };
+            net.handle(0, SwimInput::Datagram(&bytes));
         }
     }
-    net.give(0, Input::Datagram(b""));
-    net.give(0, Input::Datagram(&[1; 2000]));
-    let counts = net.swims[0].as_ref().expect("live").counts();
-    assert_eq!((counts.strange, counts.unfit), (3, 1));
+    net.handle(0, SwimInput::Datagram(b""));
+    net.handle(0, SwimInput::Datagram(&[1; 2000]));
+    let counts = net.swims[0].as_ref().expect("live").counters();
+    assert_eq!((counts.unauthenticated, counts.malformed), (3, 1));
     let after: Vec<_> = net.swims.iter().flatten().map(Swim::members).collect();
     assert_eq!(before, after);
 }
@@ -166,11 +172,11 @@
         (0..count).for_each(|n| net.start(n));
         net.run(20.0);
         let sent = |net: &Net| {
-            net.linked.iter().sum::<u64>()
-                + net.swims.iter().flatten().map(|s| s.counts().sent_bytes).sum::<u64>()
+            net.link_bytes.iter().sum::<u64>()
+                + net.swims.iter().flatten().map(|s| s.counters().sent_bytes).sum::<u64>()
         };
         let started = sent(&net);
-        assert_eq!(net.wrong(), [], "{count}");
+        assert_eq!(net.wrong_views(), [], "{count}");
         net.run(30.0);
         let bytes = sent(&net) - started;
         let (quiet, begin) = (bytes as f64 / count as f64 / 30.0, started as f64 / count as f64 / 20.0);
@@ -193,31 +199,31 @@
         for (n, kind, tenths) in faults {
             match kind {
                 0 => net.swims[n] = None,
-                1 => drop(net.stopped.insert(n)),
-                2 => net.side[n] = 1 - net.side[n],
-                3 => (net.lost, net.delay) = (0.3, (0.05, 0.4)),
+                1 => drop(net.paused.insert(n)),
+                2 => net.partition[n] = 1 - net.partition[n],
+                3 => (net.loss_rate, net.delay) = (0.3, (0.05, 0.4)),
                 _ if net.swims[n].is_none() => net.start(n),
                 _ => {}
             }
             net.run(f64::from(tenths) / 10.0);
         }
-        (net.lost, net.delay) = (0.0, (0.001, 0.01));
-        net.side.fill(0);
+        (net.loss_rate, net.delay) = (0.0, (0.001, 0.01));
+        net.partition.fill(0);
         for n in 0..6 {
             if net.swims[n].is_none() {
-                net.stopped.remove(&n);
+                net.paused.remove(&n);
                 net.unread.remove(&n);
-            } else if net.stopped.contains(&n) {
-                net.go_on(n);
+            } else if net.paused.contains(&n) {
+                net.resume(n);
             }
         }
         // Who is taken for gone is reminded by lot among all that are: mostly within seconds, seldom after a minute and a half.
         for _ in 0..30 {
             net.run(10.0);
-            if net.wrong().is_empty() {
+            if net.wrong_views().is_empty() {
                 break;
             }
         }
-        prop_assert_eq!(net.wrong(), vec![]);
+        prop_assert_eq!(net.wrong_views(), vec![]);
     }
 }
--- a/lab/src/capacity/lists.rs
+++ b/lab/src/capacity/lists.rs
@@ -7,7 +7,7 @@
 //! length is varied with a few instances. Bytes are those of frames on links, without the headers of IP and TCP.
 use onyxglade_instances::simulation::lists::Network;
 use onyxglade_instances::simulation::{address, secs};
-use onyxglade_instances::{At, Entry, Heard, Lists, ListsConfig};
+use onyxglade_instances::{At, Entry, Lists, ListsConfig, ListsInput};
 use std::time::Duration;
 
 use super::fit::Law;
@@ -121,9 +121,9 @@
 
 /// Runs until all hold the present list; gives the seconds since a time.
 fn until_all_hold(net: &mut Network, from: At) -> Result<f64, Fault> {
-    while !net.behind().is_empty() {
+    while !net.outdated().is_empty() {
         if net.now > from + secs(GIVEN_UP) {
-            let reason = format!("{} instances hold an older list after {GIVEN_UP} s", net.behind().len());
+            let reason = format!("{} instances hold an older list after {GIVEN_UP} s", net.outdated().len());
             return Err(Fault::Measurement { subject: "lists", reason });
         }
         net.run(LOOK);
@@ -160,9 +160,9 @@
     let (copies, copies_worst) = mean_and_worst(&vec![0; count], &net.entries_sent);
     let start_calls = f64::from(net.service.calls);
     let (before, calls) = (net.sent.clone(), net.service.calls + net.service.watches);
-    let (handled, meter): (Duration, _) = (net.handling.iter().sum(), CpuMeter::start());
+    let (handled, meter): (Duration, _) = (net.handling_time.iter().sum(), CpuMeter::start());
     net.run(REST);
-    let handling = net.handling.iter().sum::<Duration>() - handled;
+    let handling = net.handling_time.iter().sum::<Duration>() - handled;
     let rest_cpu = meter.share_of(handling).as_secs_f64() / count as f64 / REST;
     let (rest, rest_worst) = mean_and_worst(&before, &net.sent);
     let (rest, rest_worst) = (rest / REST, rest_worst / REST);
@@ -259,7 +259,7 @@
         seeds: vec![me],
         expected: 1,
         must_ask_in: Duration::from_secs(8),
-        longest: usize::MAX,
+        max_bytes: usize::MAX,
     };
     Lists::new(config, seed, At::ZERO)
 }
@@ -267,9 +267,9 @@
 /// The list service answers; gives how long that was dealt with.
 fn answer(lists: &mut Lists, generation: u64, whole: bool, entries: Vec<Entry>) -> Duration {
     let now = secs(generation as f64);
-    lists.handle(now, Heard::Asked);
+    lists.handle(now, ListsInput::CallStarted);
     let began = std::time::Instant::now();
-    lists.handle(now, Heard::Answered { began: now, generation, whole, entries });
+    lists.handle(now, ListsInput::CallAnswered { began: now, generation, whole, entries });
     began.elapsed()
 }
 
--- a/lab/src/capacity/membership.rs
+++ b/lab/src/capacity/membership.rs
@@ -7,7 +7,7 @@
 //! does not see the present process of another that runs, or sees one that does not.
 use onyxglade_instances::simulation::membership::Network;
 use onyxglade_instances::simulation::{address, secs};
-use onyxglade_instances::{At, Change, Input, Member};
+use onyxglade_instances::{At, Member, MembershipChange, SwimInput};
 use std::thread;
 
 use super::fit::Law;
@@ -108,7 +108,7 @@
 pub(super) fn resident_bytes(count: usize, seed: u64) -> u64 {
     hollow_instances::resident_bytes_of(|| {
         let mut network = Network::new(count, seed);
-        network.described = described;
+        network.describe = described;
         (0..count).for_each(|n| network.start(n));
         network.run(FIRST_MOMENTS + SETTLING);
         network.changes = Vec::new();
@@ -176,7 +176,7 @@
         region: format!("region-{}", region_of(n)),
         version: env!("CARGO_PKG_VERSION").to_owned(),
         capacity: 400,
-        ..Member::at(address(n))
+        ..Member::with_address(address(n))
     }
 }
 
@@ -194,7 +194,7 @@
 impl Fleet {
     fn new(count: usize, seed: u64) -> Fleet {
         let mut network = Network::new(count, seed);
-        network.described = described;
+        network.describe = described;
         Fleet { network, seen: vec![vec![None; count]; count], lives: vec![None; count], wrong: 0 }
     }
 
@@ -225,7 +225,7 @@
     fn start(&mut self, who: &[usize]) {
         for &n in who {
             self.network.start(n);
-            let life = self.network.swims[n].as_ref().expect("started").me().life;
+            let life = self.network.swims[n].as_ref().expect("started").me().incarnation;
             self.live(n, Some(life));
         }
     }
@@ -240,13 +240,13 @@
 
     /// A process ends as on SIGTERM.
     fn leave(&mut self, n: usize) {
-        self.network.give(n, Input::Leave);
+        self.network.handle(n, SwimInput::Leave);
         self.kill(&[n]);
     }
 
     /// Parts the regions, or joins them.
     fn part(&mut self, parted: bool) {
-        for (n, side) in self.network.side.iter_mut().enumerate() {
+        for (n, side) in self.network.partition.iter_mut().enumerate() {
             *side = if parted { region_of(n) as u32 } else { 0 };
         }
     }
@@ -260,9 +260,11 @@
     fn look(&mut self) {
         for (_, viewer, change) in std::mem::take(&mut self.network.changes) {
             let (viewed, seen) = match change {
-                Change::Up(member) | Change::Again(member) => (member.address, Some(member.life)),
-                Change::Down(member) => (member.address, None),
-                Change::Refuted(_) => continue,
+                MembershipChange::Up(member) | MembershipChange::Updated(member) => {
+                    (member.address, Some(member.incarnation))
+                }
+                MembershipChange::Down(member) => (member.address, None),
+                MembershipChange::Refuted(_) => continue,
             };
             let viewed =
                 onyxglade_instances::simulation::number(viewed).expect("an address of the simulation");
@@ -297,10 +299,10 @@
     fn sent(&self) -> Vec<Sent> {
         let network = &self.network;
         let of = |n: usize| Sent {
-            linked: network.linked[n],
+            linked: network.link_bytes[n],
             datagrams: network.datagrams[n],
             datagram_bytes: network.datagram_bytes[n],
-            handling: network.handling[n],
+            handling: network.handling_time[n],
         };
         (0..self.lives.len()).map(of).collect()
     }
@@ -386,7 +388,7 @@
 
     /// The views as the instances themselves give them agree, too.
     fn check(&self) -> Result<(), Fault> {
-        match self.network.wrong().len() {
+        match self.network.wrong_views().len() {
             0 => Ok(()),
             wrong => {
                 let reason = format!("{wrong} pairs of views are wrong though all changes were told");
--- a/relay/src/config/instances.rs
+++ b/relay/src/config/instances.rs
@@ -1,5 +1,5 @@
 //! The section `[instances]`: how an instance talks to the others.
-use onyxglade_instances::{Key, LONGEST, fits};
+use onyxglade_instances::{Key, MAX_TEXT_BYTES, is_valid_text};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -102,8 +102,8 @@
             ("zone", Some(self.zone.as_str())),
             ("region", Some(self.region.as_str())),
         ];
-        for (key, _) in texts.iter().filter(|(_, text)| text.is_some_and(|text| !fits(text))) {
-            let fault = format!("at most {LONGEST} bytes, without control characters");
+        for (key, _) in texts.iter().filter(|(_, text)| text.is_some_and(|text| !is_valid_text(text))) {
+            let fault = format!("at most {MAX_TEXT_BYTES} bytes, without control characters");
             faults.add(format!("instances.{key}"), fault);
         }
     }
--- a/relay/src/config/tests.rs
+++ b/relay/src/config/tests.rs
@@ -1,4 +1,4 @@
-use onyxglade_instances::LONGEST;
+use onyxglade_instances::MAX_TEXT_BYTES;
 use slatethread::Effect;
 
 use super::*;
@@ -59,7 +59,7 @@
     let told = told.instances.expect("it talks to others");
     assert_eq!((told.seeds.len(), &*told.zone, told.expected, told.advertise), (1, "a", 3, None));
     assert!(own_text("").expect("sound").instances.is_none(), "off unless the file says otherwise");
-    let long = format!("zone = \"{}\"", "z".repeat(LONGEST + 1));
+    let long = format!("zone = \"{}\"", "z".repeat(MAX_TEXT_BYTES + 1));
     for (more, fault) in [
         ("seeds = [\"here\"]", "instances.seeds[0]"),
         ("advertise = \"0.0.0.0:7946\"", "instances.advertise"),
--- a/relay/src/instances/link.rs
+++ b/relay/src/instances/link.rs
@@ -1,6 +1,6 @@
 //! Links between instances: a frame asks, a frame answers, and the link ends; or the first frame says that it is to stand. One bad
 //! peer costs its own connection and no more: each has its time, its length and its place among few.
-use onyxglade_instances::{LONGEST_FRAME, View, Word};
+use onyxglade_instances::{LinkMessage, MAX_FRAME_BYTES, View};
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
@@ -56,11 +56,11 @@
 async fn answer(instances: &Instances, mut stream: TcpStream) -> io::Result<Option<TcpStream>> {
     let frame = read(&mut stream, LONGEST_ASK).await?;
     match (instances.open(&frame), instances.known()) {
-        (Some(Word::Ask), Some(view)) => {
-            write(&mut stream, &instances.seal(&Word::View(view))).await?;
+        (Some(LinkMessage::ViewRequest), Some(view)) => {
+            write(&mut stream, &instances.seal(&LinkMessage::View(view))).await?;
             Ok(None)
         }
-        (Some(Word::Follow), _) if instances.shared.is_some() => Ok(Some(stream)),
+        (Some(LinkMessage::Subscribe), _) if instances.shared.is_some() => Ok(Some(stream)),
         _ => Err(io::ErrorKind::InvalidData.into()),
     }
 }
@@ -79,10 +79,10 @@
 pub(super) async fn ask(instances: &Instances, at: SocketAddr) -> io::Result<View> {
     let call = async {
         let mut stream = connect(instances, at).await?;
-        write(&mut stream, &instances.seal(&Word::Ask)).await?;
-        let frame = read(&mut stream, LONGEST_FRAME).await?;
+        write(&mut stream, &instances.seal(&LinkMessage::ViewRequest)).await?;
+        let frame = read(&mut stream, MAX_FRAME_BYTES).await?;
         match instances.open(&frame) {
-            Some(Word::View(view)) => Ok(view),
+            Some(LinkMessage::View(view)) => Ok(view),
             _ => Err(io::ErrorKind::InvalidData.into()),
         }
     };
--- a/relay/src/instances/lists.rs
+++ b/relay/src/instances/lists.rs
@@ -1,6 +1,6 @@
 //! Lists between instances: the sockets and clocks round [`onyxglade_instances::Lists`]. Decides nothing. Without `lists` in
 //! `[instances]` nothing here runs, and no link stands.
-use onyxglade_instances::{Heard, LONGEST_FRAME, Lists, ListsConfig, Todo, Word};
+use onyxglade_instances::{LinkMessage, Lists, ListsConfig, ListsInput, ListsOutput, MAX_FRAME_BYTES};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -38,7 +38,7 @@
 
 /// A link that stands.
 struct Way {
-    words: mpsc::Sender<Word>,
+    words: mpsc::Sender<LinkMessage>,
     ended: CancellationToken,
 }
 
@@ -75,21 +75,21 @@
             seeds: instances.told.seeds.clone(),
             expected: instances.told.expected,
             must_ask_in: self.told.must_ask_in,
-            longest: self.told.longest,
+            max_bytes: self.told.longest,
         };
         *self.lists.borrow_mut() = Some(Lists::new(config, seed, self.begun.elapsed()));
         self.began.notify_waiters();
         let (shared, instances) = (self.clone(), instances.clone());
         actix_rt::spawn(async move {
             loop {
-                shared.handle(&instances, Heard::Time);
+                shared.handle(&instances, ListsInput::TimerDue);
                 let due = shared.lists.borrow().as_ref().map(Lists::due).unwrap_or_default();
                 sleep_until((shared.begun + due).into()).await;
             }
         });
     }
 
-    pub(super) fn handle(self: &Rc<Self>, instances: &Rc<Instances>, heard: Heard) {
+    pub(super) fn handle(self: &Rc<Self>, instances: &Rc<Instances>, heard: ListsInput) {
         let now = self.begun.elapsed();
         let todo = match &mut *self.lists.borrow_mut() {
             Some(lists) => lists.handle(now, heard),
@@ -97,9 +97,9 @@
         };
         for what in todo {
             match what {
-                Todo::Open(to) => self.open(instances, to),
-                Todo::Close(number) => self.end(number),
-                Todo::Say(number, word) => {
+                ListsOutput::Open(to) => self.open(instances, to),
+                ListsOutput::Close(number) => self.end(number),
+                ListsOutput::Send(number, word) => {
                     // One that does not take what is said is as good as gone; its task tells that it has ended.
                     if let Some(way) = self.ways.borrow().get(&number)
                         && way.words.try_send(word).is_err()
@@ -107,8 +107,8 @@
                         way.ended.cancel();
                     }
                 }
-                Todo::Turn(turn) => drop(self.turn.send_replace(turn)),
-                Todo::Changed => self.changed.notify_one(),
+                ListsOutput::Poll(turn) => drop(self.turn.send_replace(turn)),
+                ListsOutput::ListChanged => self.changed.notify_one(),
             }
         }
     }
@@ -125,7 +125,7 @@
         actix_rt::spawn(async move {
             match timeout(TAKES, link::connect(&instances, to)).await {
                 Ok(Ok(stream)) => shared.stand(&instances, stream, Some(to)).await,
-                _ => shared.handle(&instances, Heard::Unopened(to)),
+                _ => shared.handle(&instances, ListsInput::OpenFailed(to)),
             }
         });
     }
@@ -141,10 +141,10 @@
         let Some(mut sealed) = instances.sealed() else { return };
         let number = self.last_way.get() + 1;
         self.last_way.set(number);
-        let (words, mut said) = mpsc::channel::<Word>(WAITING);
+        let (words, mut said) = mpsc::channel::<LinkMessage>(WAITING);
         let ended = CancellationToken::new();
         self.ways.borrow_mut().insert(number, Way { words, ended: ended.clone() });
-        self.handle(instances, Heard::Opened { link: number, to });
+        self.handle(instances, ListsInput::Opened { link: number, to });
         let (mut from, mut out) = split(stream);
         let say = async {
             while let Some(word) = said.recv().await {
@@ -154,9 +154,9 @@
             let _ = timeout(TAKES, out.shutdown()).await;
         };
         let hear = async {
-            while let Ok(frame) = link::read(&mut from, LONGEST_FRAME).await {
+            while let Ok(frame) = link::read(&mut from, MAX_FRAME_BYTES).await {
                 let Some(word) = instances.open(&frame) else { break };
-                self.handle(instances, Heard::Said(number, word));
+                self.handle(instances, ListsInput::Received(number, word));
             }
         };
         tokio::select! {
@@ -165,7 +165,7 @@
             () = ended.cancelled() => {}
         }
         if self.ways.borrow_mut().remove(&number).is_some() {
-            self.handle(instances, Heard::Closed(number));
+            self.handle(instances, ListsInput::Closed(number));
         }
     }
 
@@ -175,9 +175,9 @@
         let Some(lists) = &*lists else { return Value::Null };
         let (heard, hearers) = lists.links();
         let now = self.begun.elapsed();
-        let held = lists.held().map(|held| {
-            json!({"generation": held.edition.generation, "memory": held.memory, "origin": held.origin.to_string(), "hops": held.hops,
-                "age_ms": now.saturating_sub(held.from).as_millis() as u64})
+        let held = lists.current().map(|held| {
+            json!({"generation": held.version.generation, "memory": held.resets, "origin": held.origin.to_string(), "hops": held.hops,
+                "age_ms": now.saturating_sub(held.earliest).as_millis() as u64})
         });
         json!({"asks": *self.turn.borrow(), "held": held, "hears": heard, "heard_by": hearers})
     }
@@ -215,8 +215,8 @@
     /// The service is called: from which generation on, or for all of the list. None while this instance does not listen yet, and asks
     /// as one that is alone.
     pub fn asks(&self) -> Option<Option<u64>> {
-        let index = self.shared.lists.borrow().as_ref().map(Lists::index)?;
-        self.shared.handle(&self.instances, Heard::Asked);
+        let index = self.shared.lists.borrow().as_ref().map(Lists::watch_index)?;
+        self.shared.handle(&self.instances, ListsInput::CallStarted);
         Some(index)
     }
 
@@ -224,12 +224,12 @@
     pub fn answered(&self, began: Instant, list: &NodeList) {
         let began = began.saturating_duration_since(self.shared.begun);
         let (generation, whole, entries) = (list.generation, list.reset, list.texts());
-        self.shared.handle(&self.instances, Heard::Answered { began, generation, whole, entries });
+        self.shared.handle(&self.instances, ListsInput::CallAnswered { began, generation, whole, entries });
     }
 
     /// It did not.
     pub fn failed(&self, torn: bool) {
-        self.shared.handle(&self.instances, Heard::Failed { torn });
+        self.shared.handle(&self.instances, ListsInput::CallFailed { torn });
     }
 }
 
@@ -251,7 +251,11 @@
                 continue;
             }
         }
-        let told = shared.lists.borrow().as_ref().and_then(|lists| Some((lists.held()?, lists.since(taken))));
+        let told = shared
+            .lists
+            .borrow()
+            .as_ref()
+            .and_then(|lists| Some((lists.current()?, lists.changes_since(taken))));
         let Some((held, difference)) = told else { continue };
         let read = |(name, text): (String, Option<String>)| match text {
             None => Some(NodeEntry::gone(name)),
@@ -262,13 +266,13 @@
         };
         let whole = difference.base.is_none();
         let entries: Vec<_> = difference.entries.into_iter().filter_map(read).collect();
-        let (generation, changes, origin) = (difference.edition.generation, entries.len(), held.origin);
+        let (generation, changes, origin) = (difference.version.generation, entries.len(), held.origin);
         if taken.is_none() {
             tracing::info!(generation, nodes = changes, %origin, hops = held.hops, "list of execute nodes");
         } else {
             tracing::info!(generation, changes, whole, %origin, hops = held.hops, "list of execute nodes changed");
         }
-        taken = Some(difference.edition);
+        taken = Some(difference.version);
         core.take_list(&NodeList::made(generation, whole, entries)).await;
     }
 }
--- a/relay/src/instances/mod.rs
+++ b/relay/src/instances/mod.rs
@@ -5,7 +5,10 @@
 mod lists;
 mod shares;
 
-use onyxglade_instances::{Change, Config, Heard, Input, Member, Output, Sealed, Swim, View, Word};
+use onyxglade_instances::{
+    FrameAuthenticator, LinkMessage, ListsInput, Member, MembershipChange, Swim, SwimConfig, SwimInput,
+    SwimOutput, View,
+};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -97,16 +100,16 @@
         let address = told.advertise.or(socket.local_addr().ok()).unwrap_or(told.listen);
         let unix = unix();
         let me = Member {
-            life: unix.as_millis() as u64,
+            incarnation: unix.as_millis() as u64,
             name: told.name.clone().or(name).unwrap_or_else(|| address.to_string()),
             zone: told.zone.clone(),
             region: told.region.clone(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
             capacity: told.capacity,
-            ..Member::at(address)
+            ..Member::with_address(address)
         };
         tracing::info!(name = me.name, listen = %address, seeds = told.seeds.len(), "instances: listening");
-        let config = Config { seeds: told.seeds.clone(), size: told.expected };
+        let config = SwimConfig { seeds: told.seeds.clone(), size: told.expected };
         // Another for each process, also for those that start in the same moment.
         let seed =
             (unix.as_nanos() as u64) ^ (u64::from(std::process::id()) << 32) ^ u64::from(address.port());
@@ -125,19 +128,19 @@
             let outputs = tokio::select! {
                 biased;
                 () = &mut leaving => {
-                    let outputs = self.handle(Input::Leave);
+                    let outputs = self.handle(SwimInput::Leave);
                     self.carry_out(&socket, &views, outputs).await;
                     links.abort();
                     return self.left.notify_one();
                 }
-                Some(view) = viewed.recv() => self.handle(Input::View(&view)),
+                Some(view) = viewed.recv() => self.handle(SwimInput::View(&view)),
                 // What has come is heard before it is judged what has not.
                 got = socket.recv_from(&mut buffer) => match got {
-                    Ok((length, _)) => self.handle(Input::Datagram(&buffer[..length])),
+                    Ok((length, _)) => self.handle(SwimInput::Datagram(&buffer[..length])),
                     // A datagram of ours met nobody, as the system tells; that nobody answers shows by itself.
                     Err(_) => Vec::new(),
                 },
-                () = sleep_until(due.into()) => self.handle(Input::Time),
+                () = sleep_until(due.into()) => self.handle(SwimInput::TimerDue),
             };
             self.carry_out(&socket, &views, outputs).await;
         }
@@ -185,7 +188,7 @@
             let members = instances.addresses();
             instances.members.send_replace(members.clone());
             if let Some(shared) = &instances.shared {
-                shared.handle(&instances, Heard::Members(members));
+                shared.handle(&instances, ListsInput::Members(members));
             }
         });
     }
@@ -198,17 +201,17 @@
     }
 
     /// Frames of a link that stands.
-    fn sealed(&self) -> Option<Sealed> {
-        self.swim.borrow_mut().as_mut().map(Swim::sealed)
+    fn sealed(&self) -> Option<FrameAuthenticator> {
+        self.swim.borrow_mut().as_mut().map(Swim::link_authenticator)
     }
 
     /// A frame for a link.
-    fn seal(&self, word: &Word) -> Vec<u8> {
+    fn seal(&self, word: &LinkMessage) -> Vec<u8> {
         self.swim.borrow_mut().as_mut().map_or(Vec::new(), |swim| swim.seal(word, unix()))
     }
 
     /// What a frame from a link says.
-    fn open(&self, frame: &[u8]) -> Option<Word> {
+    fn open(&self, frame: &[u8]) -> Option<LinkMessage> {
         self.swim.borrow_mut().as_mut()?.open(frame, self.begun.elapsed(), unix())
     }
 
@@ -217,7 +220,7 @@
         self.swim.borrow().as_ref().map(Swim::view)
     }
 
-    fn handle(&self, input: Input) -> Vec<Output> {
+    fn handle(&self, input: SwimInput) -> Vec<SwimOutput> {
         let now = self.begun.elapsed();
         self.swim.borrow_mut().as_mut().map_or(Vec::new(), |swim| swim.handle(now, unix(), input))
     }
@@ -226,26 +229,26 @@
         self: &Rc<Self>,
         socket: &UdpSocket,
         views: &mpsc::Sender<View>,
-        outputs: Vec<Output>,
+        outputs: Vec<SwimOutput>,
     ) {
-        if outputs.iter().any(|output| matches!(output, Output::Changed(_))) {
+        if outputs.iter().any(|output| matches!(output, SwimOutput::Changed(_))) {
             self.members_changed();
         }
         for output in outputs {
             match output {
                 // Datagrams may be lost anyway: what the system refuses is not sent again.
-                Output::Send { to, bytes } => drop(socket.send_to(&bytes, to).await),
-                Output::Compare(with) => self.compare(with, views.clone()),
-                Output::Changed(Change::Up(m)) => {
+                SwimOutput::Send { to, bytes } => drop(socket.send_to(&bytes, to).await),
+                SwimOutput::FetchView(with) => self.compare(with, views.clone()),
+                SwimOutput::Changed(MembershipChange::Up(m)) => {
                     tracing::info!(name = m.name, address = %m.address, zone = m.zone, "instances: one is there");
                 }
-                Output::Changed(Change::Down(m)) => {
+                SwimOutput::Changed(MembershipChange::Down(m)) => {
                     tracing::info!(name = m.name, address = %m.address, zone = m.zone, "instances: one is gone");
                 }
-                Output::Changed(Change::Again(m)) => {
+                SwimOutput::Changed(MembershipChange::Updated(m)) => {
                     tracing::info!(name = m.name, address = %m.address, zone = m.zone, "instances: one is there anew");
                 }
-                Output::Changed(Change::Refuted(life)) => {
+                SwimOutput::Changed(MembershipChange::Refuted(life)) => {
                     tracing::warn!(
                         life,
                         "instances: others took this one for gone; it says that it is there"
@@ -271,7 +274,7 @@
             return json!({"listening": false, "instances": []});
         };
         let member = |m: &Member| {
-            json!({"name": m.name, "address": m.address.to_string(), "life": m.life, "zone": m.zone, "region": m.region,
+            json!({"name": m.name, "address": m.address.to_string(), "life": m.incarnation, "zone": m.zone, "region": m.region,
                 "version": m.version, "capacity": m.capacity})
         };
         let others = swim.members().into_iter().map(|seen| {
@@ -279,13 +282,13 @@
             other["state"] = if seen.suspected { "suspected" } else { "there" }.into();
             other
         });
-        let counts = swim.counts();
+        let counts = swim.counters();
         json!({
             "listening": true,
             "me": member(swim.me()),
             "instances": others.collect::<Vec<_>>(),
-            "counts": {"sent": counts.sent, "sent_bytes": counts.sent_bytes, "taken": counts.taken,
-                "strange": counts.strange, "unfit": counts.unfit, "slept": counts.slept},
+            "counts": {"sent": counts.sent, "sent_bytes": counts.sent_bytes, "taken": counts.accepted,
+                "strange": counts.unauthenticated, "unfit": counts.malformed, "slept": counts.pauses},
             "counted": self.counted.get(),
             "list": self.shared.as_ref().map(|shared| shared.view()),
         })
--- a/relay/src/instances/shares.rs
+++ b/relay/src/instances/shares.rs
@@ -1,5 +1,5 @@
-//! Limits that a front divides among the instances that are there. How many are counted is [`Count`]'s decision.
-use onyxglade_instances::Count;
+//! Limits that a front divides among the instances that are there. How many are counted is [`InstanceCount`]'s decision.
+use onyxglade_instances::InstanceCount;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep_until;
@@ -14,13 +14,13 @@
 pub async fn divide<C: Carrier>(core: Rc<Core<C>>, instances: Rc<Instances>) {
     let mut members = instances.members.subscribe();
     let told = core.rules().settings.couriers.unwrap_or(1);
-    let mut count = Count::new(told, instances.begun.elapsed());
+    let mut count = InstanceCount::new(told, instances.begun.elapsed());
     let mut before = 0;
     loop {
         let there = members.borrow_and_update().len() + 1;
         let now = instances.begun.elapsed();
-        count.there(now, u32::try_from(there).unwrap_or(u32::MAX));
-        let counted = count.counted(now);
+        count.set_alive(now, u32::try_from(there).unwrap_or(u32::MAX));
+        let counted = count.effective(now);
         if std::mem::replace(&mut before, counted) != counted {
             tracing::info!(there, counted, "instances: limits are divided");
             instances.counted.set(Some(counted));
