--- a/instances/src/catalog.rs
+++ b/instances/src/catalog.rs
@@ -1,60 +1,61 @@
-//! The list of execute nodes as instances pass it on: which one it is, what is in it, and what has changed of late.
+//! The list of execute nodes as instances replicate it: its version, its entries and its recent changes.
 //!
-//! Knows entries as names with a text each, and nothing of what a text says.
+//! An entry is a name with an opaque text; this module does not interpret the text.
 use ring::digest::{SHA256, digest};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// An entry that changed: its name, and its text where it is still there.
+/// A list entry: its name and its text, or `None` if the entry was removed.
 pub type Entry = (String, Option<String>);
 
-/// Which list it is. The generation alone does not say: a list service that lost its memory counts anew.
+/// Identifies the contents of a list. The generation alone is not enough: a list service that loses its state restarts its
+/// generation counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ListVersion {
-    /// As the list service counts.
+    /// The list service's generation counter.
     pub generation: u64,
-    /// Of all that is in it: the sum of the first 8 bytes of each entry's SHA-256.
+    /// Digest of the contents: the wrapping sum of the first 8 bytes of each entry's SHA-256.
     pub digest: u64,
 }
 
-/// What one list has and another has not.
+/// The changes that lead from one list version to another, or a whole list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// The list that it is from; none where the entries are all there are.
+    /// The version that the changes apply to; `None` if the entries are the whole list.
     pub base: Option<ListVersion>,
-    /// The list that it leads to.
+    /// The version that results.
     pub version: ListVersion,
-    /// What is in it, or has changed.
+    /// The changed entries, or all entries if there is no base.
     pub entries: Vec<Entry>,
 }
 
-/// Changes that are remembered, so that who holds a list of a moment ago is told no more than that.
-const STEPS: usize = 32;
-/// Entries in them, for each one that is listed and beside. Guards against remembering more than the list itself.
-const LEAST_REMEMBERED: usize = 64;
+/// Most list changes kept in the history, from which an instance with a recent list is sent only the changes.
+const MAX_STEPS: usize = 32;
+/// The history holds at most as many entries as the list itself plus this number, so that it does not outgrow the list.
+const MIN_HISTORY_ENTRIES: usize = 64;
 
-/// A list, and how it came to be.
+/// A list with the history of its recent changes.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     generation: u64,
     digest: u64,
     entries: BTreeMap<String, String>,
-    steps: VecDeque<(ListVersion, Vec<Entry>)>,
+    history: VecDeque<(ListVersion, Vec<Entry>)>,
 }
 
-fn hash(name: &str, text: &str) -> u64 {
-    let whole = digest(&SHA256, format!("{name}\0{text}").as_bytes());
-    u64::from_be_bytes(whole.as_ref()[..8].try_into().expect("eight bytes"))
+fn entry_hash(name: &str, text: &str) -> u64 {
+    let full = digest(&SHA256, format!("{name}\0{text}").as_bytes());
+    u64::from_be_bytes(full.as_ref()[..8].try_into().expect("eight bytes"))
 }
 
 impl Catalog {
-    /// Which list it is.
+    /// The version of this list.
     pub fn version(&self) -> ListVersion {
         ListVersion { generation: self.generation, digest: self.digest }
     }
 
-    /// What it would be with a difference from it, or from nothing; none where it is not the one that the difference is from,
-    /// or what comes out is not the list that the difference is to lead to.
+    /// This list with a difference applied. `None` if the difference has another base, or if the result does not have the version
+    /// that the difference states.
     pub fn apply(&self, difference: &Difference) -> Option<Catalog> {
         if difference.base.is_some_and(|base| base != self.version()) {
             return None;
@@ -64,72 +65,72 @@
         (next.version() == difference.version).then_some(next)
     }
 
-    /// What it would be as the list service tells it: all that there is, or what changed.
+    /// This list after an answer of the list service with the whole list or with the changed entries.
     pub fn updated(&self, generation: u64, whole: bool, entries: Vec<Entry>) -> Catalog {
         let mut next = self.clone();
         let step = if whole { next.replace(entries) } else { next.change(entries) };
         next.generation = generation;
         if next.version() != self.version() {
-            next.steps.push_back((self.version(), step));
+            next.history.push_back((self.version(), step));
         }
-        let most = next.entries.len() + LEAST_REMEMBERED;
-        let remembered =
-            |steps: &VecDeque<(_, Vec<Entry>)>| steps.iter().map(|(_, step)| step.len()).sum::<usize>();
-        while next.steps.len() > STEPS || remembered(&next.steps) > most {
-            next.steps.pop_front();
+        let max_entries = next.entries.len() + MIN_HISTORY_ENTRIES;
+        let history_entries =
+            |history: &VecDeque<(_, Vec<Entry>)>| history.iter().map(|(_, step)| step.len()).sum::<usize>();
+        while next.history.len() > MAX_STEPS || history_entries(&next.history) > max_entries {
+            next.history.pop_front();
         }
         next
     }
 
-    /// Puts entries in place of all that there are; gives what that changes.
+    /// Replaces all entries; returns the entries that changed.
     fn replace(&mut self, entries: Vec<Entry>) -> Vec<Entry> {
         let new: BTreeMap<_, _> =
             entries.into_iter().filter_map(|(name, text)| Some((name, text?))).collect();
-        let gone =
+        let removed =
             self.entries.keys().filter(|name| !new.contains_key(*name)).map(|name| (name.clone(), None));
-        let gone: Vec<_> = gone.collect();
+        let removed: Vec<_> = removed.collect();
         let changed = new.into_iter().map(|(name, text)| (name, Some(text)));
-        self.change(gone.into_iter().chain(changed).collect())
+        self.change(removed.into_iter().chain(changed).collect())
     }
 
-    /// Takes up changes; gives those that change something.
+    /// Applies changed entries; returns those that made a difference.
     fn change(&mut self, entries: Vec<Entry>) -> Vec<Entry> {
         let mut step = Vec::new();
         for (name, text) in entries {
             if self.entries.get(&name) == text.as_ref() {
                 continue;
             }
-            let new = text.as_ref().map_or(0, |text| hash(&name, text));
+            let new = text.as_ref().map_or(0, |text| entry_hash(&name, text));
             let old = match &text {
                 Some(text) => self.entries.insert(name.clone(), text.clone()),
                 None => self.entries.remove(&name),
             };
-            let old = old.map_or(0, |text| hash(&name, &text));
+            let old = old.map_or(0, |text| entry_hash(&name, &text));
             self.digest = self.digest.wrapping_sub(old).wrapping_add(new);
             step.push((name, text));
         }
         step
     }
 
-    /// Whether what changed since such a list is remembered.
-    pub fn has_changes_since(&self, held: ListVersion) -> bool {
-        held == self.version() || self.steps.iter().any(|(from, _)| *from == held)
+    /// Whether the history reaches back to a version.
+    pub fn has_changes_since(&self, base: ListVersion) -> bool {
+        base == self.version() || self.history.iter().any(|(from, _)| *from == base)
     }
 
-    /// What who holds such a list has not: changes where they are remembered, else all.
-    pub fn changes_since(&self, held: Option<ListVersion>) -> Difference {
+    /// The difference from a version to this list: the changes if the history reaches back to it, else the whole list.
+    pub fn changes_since(&self, base: Option<ListVersion>) -> Difference {
         let version = self.version();
-        let steps = held.and_then(|held| {
-            if held == version {
+        let changes = base.and_then(|base| {
+            if base == version {
                 return Some(Vec::new());
             }
-            let first = self.steps.iter().rposition(|(from, _)| *from == held)?;
-            // The last word on each entry.
-            let all = self.steps.iter().skip(first).flat_map(|(_, step)| step.iter().cloned());
+            let first = self.history.iter().rposition(|(from, _)| *from == base)?;
+            // Later changes of an entry override earlier ones.
+            let all = self.history.iter().skip(first).flat_map(|(_, step)| step.iter().cloned());
             Some(all.collect::<BTreeMap<_, _>>().into_iter().collect())
         });
-        match steps {
-            Some(entries) => Difference { base: held, version, entries },
+        match changes {
+            Some(entries) => Difference { base, version, entries },
             None => {
                 let all = self.entries.iter().map(|(name, text)| (name.clone(), Some(text.clone())));
                 Difference { base: None, version, entries: all.collect() }
--- a/instances/src/count.rs
+++ b/instances/src/count.rs
@@ -1,58 +1,59 @@
-//! How a fleet divides limits among the instances that are there.
+//! The number of instances by which limits of the whole fleet are divided.
 //!
-//! Divides by no fewer than are there: more are counted at once, fewer only slowly, since views differ for a while whenever somebody comes or goes,
-//! and a partition looks like the end of all on its other side.
+//! It is never lower than the number of live instances. It rises at once and falls only slowly, since views differ for a while
+//! whenever an instance joins or leaves, and a network partition looks like the end of all instances on its other side.
 use std::time::Duration;
 
 use crate::At;
 
-/// Fewer are counted only once that was so for this long: longer than it takes hundreds to see who has come back from a restart.
-const SURE: Duration = Duration::from_secs(20);
-/// Then what is counted above those that are there shrinks by this part ...
-const STEP_PART: f64 = 0.1;
-/// ... each time that this has passed: half of all are given up for gone within a minute.
-const STEP: Duration = Duration::from_secs(5);
+/// The count falls only once fewer instances were alive for this long: longer than hundreds of instances take to see all that came
+/// back from a restart.
+const STABLE_FOR: Duration = Duration::from_secs(20);
+/// Then the excess over the live instances shrinks by this fraction ...
+const DECAY_FRACTION: f64 = 0.1;
+/// ... every such interval, so that the count follows the loss of half of all instances within a minute.
+const DECAY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How many instances limits are divided by.
+/// The number of instances by which limits are divided, following the live instances with a delay.
 #[derive(Clone, Debug)]
 pub struct InstanceCount {
-    counted: f64,
-    there: u32,
-    /// When fewer may be counted next.
-    fewer_at: At,
+    count: f64,
+    alive: u32,
+    /// When the count may fall next.
+    next_decay_at: At,
 }
 
 impl InstanceCount {
-    /// At first, as many as were told, this one among them.
-    pub fn new(told: u32, now: At) -> Self {
-        InstanceCount { counted: f64::from(told.max(1)), there: 1, fewer_at: now + SURE }
+    /// Starts from the configured number of instances, this one among them.
+    pub fn new(configured: u32, now: At) -> Self {
+        InstanceCount { count: f64::from(configured.max(1)), alive: 1, next_decay_at: now + STABLE_FOR }
     }
 
-    /// So many are there, this one among them.
-    pub fn set_alive(&mut self, now: At, there: u32) {
-        // Some came back, and others may yet; or some went for the first time since all were there.
-        if there > self.there || self.counted <= f64::from(self.there) {
-            self.fewer_at = self.fewer_at.max(now + SURE);
+    /// Sets how many instances are alive, this one among them.
+    pub fn set_alive(&mut self, now: At, alive: u32) {
+        // Instances came back, and others may follow; or the first ones have gone since all were alive.
+        if alive > self.alive || self.count <= f64::from(self.alive) {
+            self.next_decay_at = self.next_decay_at.max(now + STABLE_FOR);
         }
-        self.there = there.max(1);
-        self.counted = self.counted.max(f64::from(self.there));
+        self.alive = alive.max(1);
+        self.count = self.count.max(f64::from(self.alive));
     }
 
-    /// The time has come, or something has: how many are counted now.
+    /// The count at a time, after the decay that is due by then.
     pub fn effective(&mut self, now: At) -> u32 {
-        let there = f64::from(self.there);
-        while self.counted > there && now >= self.fewer_at {
-            let over = (self.counted - there) * (1.0 - STEP_PART);
-            // The last one is not left for ever.
-            self.counted = if over < 0.5 { there } else { there + over };
-            self.fewer_at += STEP;
+        let alive = f64::from(self.alive);
+        while self.count > alive && now >= self.next_decay_at {
+            let excess = (self.count - alive) * (1.0 - DECAY_FRACTION);
+            // Without this the excess would never reach zero.
+            self.count = if excess < 0.5 { alive } else { alive + excess };
+            self.next_decay_at += DECAY_INTERVAL;
         }
-        self.counted.ceil() as u32
+        self.count.ceil() as u32
     }
 
-    /// When fewer may be counted, if ever.
+    /// When the count falls next; `None` if it equals the number of live instances.
     pub fn due(&self) -> Option<At> {
-        (self.counted > f64::from(self.there)).then_some(self.fewer_at)
+        (self.count > f64::from(self.alive)).then_some(self.next_decay_at)
     }
 }
 
--- a/instances/src/count/tests.rs
+++ b/instances/src/count/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn half_of_all_are_given_up_within_a_minute_and_a_restart_changes_nothing() {
+fn the_count_follows_the_loss_of_half_within_a_minute_and_ignores_a_restart() {
     let mut count = InstanceCount::new(300, secs(0.0));
     count.set_alive(secs(1.0), 300);
     count.set_alive(secs(30.0), 90);
@@ -23,24 +23,24 @@
 }
 
 proptest! {
-    /// Never fewer than are there, never more than there ever were; and in the end as many as there are.
+    /// The count is never lower than the live instances nor higher than there ever were, and ends at the live instances.
     #[test]
-    fn what_is_counted_lies_between_who_is_there_and_who_ever_was(
-        told in 1u32..400,
+    fn the_count_lies_between_the_live_instances_and_the_most_there_ever_were(
+        configured in 1u32..400,
         views in prop::collection::vec((0.0f64..60.0, 1u32..400), 1..30),
     ) {
         let mut now = 0.0;
-        let mut count = InstanceCount::new(told, secs(now));
-        let mut most = told;
-        for (pause, there) in views {
+        let mut count = InstanceCount::new(configured, secs(now));
+        let mut most = configured;
+        for (pause, alive) in views {
             now += pause;
-            most = most.max(there);
-            count.set_alive(secs(now), there);
-            let counted = count.effective(secs(now));
-            prop_assert!(counted >= there && counted <= most);
-            prop_assert!(count.due().is_some() || counted == there);
+            most = most.max(alive);
+            count.set_alive(secs(now), alive);
+            let effective = count.effective(secs(now));
+            prop_assert!(effective >= alive && effective <= most);
+            prop_assert!(count.due().is_some() || effective == alive);
         }
-        let there = count.there;
-        prop_assert_eq!(count.effective(secs(now + 600.0)), there);
+        let alive = count.alive;
+        prop_assert_eq!(count.effective(secs(now + 600.0)), alive);
     }
 }
--- a/instances/src/lib.rs
+++ b/instances/src/lib.rs
@@ -1,10 +1,9 @@
-//! Which instances of the relay are there.
+//! Cluster membership of the relay's instances, and replication of the list of execute nodes between them.
 //!
-//! Owns who is thought to be there and what is said about it: [`Member`] is what an instance tells of itself, [`Swim`] the protocol
-//! of suspicion and refutation as a state machine, [`Lists`] which of them ask the list service and how the others have its word,
-//! [`FrameAuthenticator`] the frames that carry it, tagged with a shared key, [`LinkMessage`] what links carry. It may know
-//! neither sockets nor clocks nor files: time and datagrams go in, datagrams and changes come out. The relay and the
-//! simulation of the tests drive the very same code.
+//! [`Member`] describes an instance, [`Swim`] is the membership protocol with suspicion and refutation, [`Lists`] decides which
+//! instances poll the list service and how the others receive its list, [`FrameAuthenticator`] authenticates frames with a shared
+//! key, and [`LinkMessage`] is what links carry. The crate consists of state machines without sockets, clocks or files: time and
+//! messages go in, messages and changes come out. The relay and the simulation of the tests drive the same code.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -31,5 +30,5 @@
 
 use std::time::Duration;
 
-/// Time on one machine's monotonic clock, since any moment before all else.
+/// Time on one machine's monotonic clock, since an arbitrary earlier moment.
 pub type At = Duration;
--- a/instances/src/list_messages.rs
+++ b/instances/src/list_messages.rs
@@ -1,50 +1,51 @@
-//! What instances say of the list on a link that stands: plain values, in the form in which they cross.
+//! Messages about the list of execute nodes that instances exchange on a subscribed link, as they are encoded on the wire.
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::catalog::{Entry, ListVersion};
 
-/// Which list an instance holds, and how long ago the list service itself said that it is the one: a span, since what takes time on
-/// the way is not known. Ages, not times, since clocks differ.
+/// Which list an instance has, and how long ago the list service itself confirmed that list as the current one. The age is a range,
+/// since the delays on the way are not known. Ages are sent instead of times, since clocks differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListStatus {
-    /// Which list.
+    /// The list's version.
     pub version: ListVersion,
-    /// How often the list service was seen to have lost its memory before it told that list.
+    /// How many losses of the list service's state had been observed before it returned this list.
     pub resets: u64,
-    /// At the most so long ago ...
+    /// The greatest possible age of the confirmation.
     pub max_age: Duration,
-    /// ... and at the least.
+    /// The least possible age of the confirmation.
     pub min_age: Duration,
-    /// Which instance asked the list service ...
+    /// The instance that called the list service.
     pub origin: SocketAddr,
-    /// ... and over how many others that came.
+    /// Over how many other instances the confirmation came.
     pub hops: u8,
 }
 
-/// Said by both sides every so often, and whenever there is news.
+/// Sent by both sides of a link periodically, and when the list changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Counts on from a lot, another on each link: what echoes it was said on this link, after it.
+    /// Counts up from a random number that differs from link to link, so that an echo of it proves that the echoing message was
+    /// sent on this link and after this heartbeat.
     pub sequence: u64,
-    /// The last number heard; 0 is none.
+    /// The last sequence number received; 0 if there is none.
     pub echo: u64,
-    /// The list that is held, if one is.
+    /// The sender's list, if it has one.
     pub status: Option<ListStatus>,
 }
 
-/// A list, or what changed; in several parts where it is long.
+/// A whole list or the changes to one; a long one is sent in several parts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListUpdate {
-    /// The last number heard.
+    /// The last sequence number received.
     pub echo: u64,
-    /// The list that it leads to.
+    /// The list that results.
     pub status: ListStatus,
-    /// The list that it is from; none where it is whole.
+    /// The version that the changes apply to; `None` for a whole list.
     pub base: Option<ListVersion>,
-    /// This part's entries.
+    /// The entries of this part.
     pub entries: Vec<Entry>,
-    /// No other part comes.
+    /// Whether this is the last part.
     pub last: bool,
 }
--- a/instances/src/lists.rs
+++ b/instances/src/lists.rs
@@ -31,7 +31,7 @@
 /// An instance that is not among the first waits so long for others' word before its turn begins: the first have had an answer by
 /// then, and one that is alone still serves within its first second.
 const GRACE: Duration = Duration::from_millis(500);
-/// See [`rank::period`].
+/// See [`rank::poll_delay`].
 const PERIOD: Duration = Duration::from_secs(1);
 /// A link that could not be had, or broke, is tried again after a pause that doubles between these.
 const TRY_AGAIN: Duration = Duration::from_millis(300);
@@ -357,7 +357,7 @@
         };
         let before = |one: SocketAddr| self.order[..self.place].contains(&one);
         let chosen = told(&|link, known| link.to.is_some_and(before) && self.is_fresh(known, now));
-        let first = &self.order[..self.order.len().min(rank::FIRST)];
+        let first = &self.order[..self.order.len().min(rank::POLLERS)];
         if chosen.iter().any(|(_, known)| first.contains(&known.origin)) {
             return chosen;
         }
@@ -657,7 +657,7 @@
         self.not_before = if torn { now } else { now + pause.mul_f64(self.random.random_range(0.5..1.5)) };
         // Whose turn it was has it again after all others.
         if self.ask_at.is_some() {
-            let round = PERIOD * (rank::period(self.size()) + 1);
+            let round = PERIOD * (rank::poll_delay(self.size()) + 1);
             self.ask_at = Some(now + round.mul_f64(self.random.random_range(0.5..1.5)));
         }
     }
@@ -678,7 +678,7 @@
             Some(held) => (held.earliest + self.stale()).max(self.begun + GRACE),
         };
         let odd = self.odd.as_ref().is_some_and(|(_, since)| now >= *since + ODD);
-        let first = self.place < rank::FIRST && self.is_placed();
+        let first = self.place < rank::POLLERS && self.is_placed();
         let wanted = if first || self.stands_in(now) {
             true
         } else if now >= due || odd {
@@ -686,7 +686,7 @@
                 Some(at) => at,
                 None => {
                     let place = if self.is_placed() && !odd { self.place } else { self.lot() };
-                    now.max(due) + PERIOD * rank::period(place)
+                    now.max(due) + PERIOD * rank::poll_delay(place)
                 }
             };
             self.ask_at = Some(at);
--- a/instances/src/member.rs
+++ b/instances/src/member.rs
@@ -1,37 +1,37 @@
-//! What an instance tells of itself.
+//! An instance's description of itself.
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Longest name, zone, region or version, in bytes: all of it is told with each update about a member.
+/// Longest name, zone, region or version, in bytes: all four are sent with each update about a member.
 pub const MAX_TEXT_BYTES: usize = 48;
 
-/// Whether a name, zone, region or version may be told.
+/// Whether a text is valid as a name, zone, region or version.
 pub fn is_valid_text(text: &str) -> bool {
     text.len() <= MAX_TEXT_BYTES && !text.chars().any(char::is_control)
 }
 
-/// An instance: its address says which one it is, its incarnation which of the processes that were there in turn.
+/// An instance, identified by its address; the incarnation tells its successive processes apart.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where datagrams reach it, and links on the same port.
+    /// The address of its UDP socket, and of its TCP listener on the same port.
     pub address: SocketAddr,
-    /// Grows with each start, and whenever it has to refute its own end. A later incarnation replaces an earlier one.
+    /// Grows with each start, and whenever the instance refutes that it is down. A later incarnation replaces an earlier one.
     pub incarnation: u64,
-    /// Its name, for people.
+    /// Its name, for operators.
     pub name: String,
-    /// Its zone and region; empty where there are none.
+    /// Its zone; empty if there is none.
     pub zone: String,
-    /// See `zone`.
+    /// Its region; empty if there is none.
     pub region: String,
     /// The program's version.
     pub version: String,
-    /// What it bears, in messages a second; 0 where that is not told.
+    /// Its capacity in messages a second; 0 if that is not configured.
     pub capacity: u32,
 }
 
 impl Member {
-    /// What stands for an instance of which only the address is known: a seed.
+    /// A placeholder for an instance of which only the address is known, such as a seed.
     pub fn with_address(address: SocketAddr) -> Member {
         Member {
             address,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether it may be told about: an address that can be sent to, and texts that are not longer than they may be.
+    /// Whether the address can be sent to and all texts are valid.
     pub fn is_valid(&self) -> bool {
         let texts = [&self.name, &self.zone, &self.region, &self.version];
         self.address.port() != 0
--- a/instances/src/rank.rs
+++ b/instances/src/rank.rs
@@ -1,43 +1,43 @@
-//! The order in which instances come where few of them are to do something for all: without a leader, by hashes of
-//! addresses (rendezvous hashing, Thaler and Ravishankar 1998), so that views which differ by few members differ by few places.
+//! Ranks instances without a leader, where a few of them act on behalf of all. Ranks follow from hashes of addresses (rendezvous
+//! hashing, Thaler and Ravishankar 1998), so that views which differ by few members give ranks that differ by few positions.
 use std::net::{IpAddr, SocketAddr};
 
-/// So many ask the list service as long as it answers them: one may fail and nothing is missed.
-pub const FIRST: usize = 2;
-/// An instance has the list's word from so many others.
+/// How many instances poll the list service as long as it answers them: one may fail and no change is missed.
+pub const POLLERS: usize = 2;
+/// How many other instances an instance receives the list from.
 pub const PARENTS: usize = 2;
-/// About how many have it from one. With it a thousand are reached over three others.
-const CHILDREN: usize = 16;
-/// So many of the first pass the word on where few are known, as at a start, where only the seeds are.
-const LEAST_PASSING: usize = 3;
+/// About how many instances receive the list from one. With this fan-out it reaches a thousand instances over three others.
+const FAN_OUT: usize = 16;
+/// At least so many of the first instances pass the list on, also where few are known, as at a start, when only the seeds are.
+const MIN_FORWARDERS: usize = 3;
 
-/// What decides on an instance's place, for all alike or for one that chooses: FNV-1a over the addresses, mixed by the last steps of
-/// SplitMix64, since FNV's high bits hardly follow the last bytes. Not a guard against anybody: places are no secret.
-fn hash(chooser: Option<SocketAddr>, of: SocketAddr) -> u64 {
-    mixed(chooser.into_iter().chain([of]).fold(BEGIN, add_address))
+/// The hash that ranks an instance, the same for all choosers or specific to one: FNV-1a over the addresses, mixed by the last steps
+/// of SplitMix64, since FNV's high bits hardly depend on the last bytes. Not cryptographic: positions are no secret.
+fn hash(chooser: Option<SocketAddr>, candidate: SocketAddr) -> u64 {
+    mix(chooser.into_iter().chain([candidate]).fold(FNV_OFFSET_BASIS, add_address))
 }
 
-const BEGIN: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 
-fn add(hash: u64, bytes: &[u8]) -> u64 {
+fn fnv1a(hash: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-fn add_address(hash: u64, one: SocketAddr) -> u64 {
-    let hash = match one.ip() {
-        IpAddr::V4(ip) => add(hash, &ip.octets()),
-        IpAddr::V6(ip) => add(hash, &ip.octets()),
+fn add_address(hash: u64, address: SocketAddr) -> u64 {
+    let hash = match address.ip() {
+        IpAddr::V4(ip) => fnv1a(hash, &ip.octets()),
+        IpAddr::V6(ip) => fnv1a(hash, &ip.octets()),
     };
-    add(hash, &one.port().to_be_bytes())
+    fnv1a(hash, &address.port().to_be_bytes())
 }
 
-fn mixed(hash: u64) -> u64 {
+fn mix(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     hash ^ (hash >> 31)
 }
 
-/// All that are known, in their order: seeds first, since all know them from the beginning.
+/// All known instances by rank: seeds first, since every instance knows them from its start.
 pub fn order(all: impl IntoIterator<Item = SocketAddr>, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
     let mut all: Vec<_> = all.into_iter().map(|one| (!seeds.contains(&one), hash(None, one), one)).collect();
     all.sort_unstable();
@@ -45,33 +45,34 @@
     all.into_iter().map(|(.., one)| one).collect()
 }
 
-/// Those of whom one at a place may have the list's word, as it prefers them: some of the first, who are before it, then any others.
-pub fn parents(order: &[SocketAddr], place: usize) -> Vec<SocketAddr> {
-    let me = order[place];
-    let near = place.min(place.div_ceil(CHILDREN).max(LEAST_PASSING));
-    // Not the very first, where there are others: all that come later would share them.
-    let from = if near > LEAST_PASSING { near / 2 } else { 0 };
-    let chosen = |part: &[SocketAddr]| {
+/// The instances from which the one at a position may receive the list, in order of preference: some of those that precede it,
+/// then any others.
+pub fn parents(order: &[SocketAddr], position: usize) -> Vec<SocketAddr> {
+    let me = order[position];
+    let end = position.min(position.div_ceil(FAN_OUT).max(MIN_FORWARDERS));
+    // Leaves out the very first if there are others, since all later instances would share them.
+    let start = if end > MIN_FORWARDERS { end / 2 } else { 0 };
+    let by_preference = |part: &[SocketAddr]| {
         let mut part: Vec<_> =
             part.iter().filter(|one| **one != me).map(|one| (hash(Some(me), *one), *one)).collect();
         part.sort_unstable_by(|a, b| b.cmp(a));
         part.into_iter().map(|(_, one)| one).collect::<Vec<_>>()
     };
-    let mut all = chosen(&order[from..near]);
-    all.extend(chosen(&order[..from]));
-    all.extend(chosen(&order[near..]));
+    let mut all = by_preference(&order[start..end]);
+    all.extend(by_preference(&order[..start]));
+    all.extend(by_preference(&order[end..]));
     all
 }
 
-/// How many periods one at a place lets pass before it asks in place of those who do not have the list's word: two ask at
-/// once, two a period later, then four, then eight in each period. A service that is down is asked by no more than that, however many
-/// instances there are.
-pub fn period(place: usize) -> u32 {
-    match place {
+/// How many periods the instance at a position waits before it polls the list service in place of earlier ones that have no fresh
+/// list: two poll at once, two a period later, then four, then eight in each period. This bounds the calls to a service that is down,
+/// however many instances there are.
+pub fn poll_delay(position: usize) -> u32 {
+    match position {
         0..2 => 0,
         2..4 => 1,
         4..8 => 2,
-        _ => 3 + (place as u32 - 8) / 8,
+        _ => 3 + (position as u32 - 8) / 8,
     }
 }
 
--- a/instances/src/rank/tests.rs
+++ b/instances/src/rank/tests.rs
@@ -11,45 +11,45 @@
 }
 
 #[test]
-fn seeds_come_first_and_nobody_has_too_many_to_pass_the_word_to() {
+fn seeds_come_first_and_no_instance_has_too_many_children() {
     for count in [3, 30, 300, 1000] {
         let order = ordered(count);
         assert_eq!(order[..3].iter().collect::<HashSet<_>>().len(), 3);
         assert!((0..3).all(|n| order[..3].contains(&address(n))));
         let mut children = HashMap::<_, u32>::new();
-        let mut far = vec![0; order.len()];
-        for place in 1..order.len() {
-            let chosen: Vec<_> = parents(&order, place).into_iter().take(PARENTS).collect();
-            let places = chosen.iter().map(|p| order.iter().position(|o| o == p).expect("known"));
-            let places: Vec<_> = places.filter(|p| *p < place).collect();
-            assert_eq!(places.len(), PARENTS.min(place), "who is before it");
-            far[place] = 1 + places.iter().map(|p| far[*p]).max().expect("one");
+        let mut hops = vec![0; order.len()];
+        for position in 1..order.len() {
+            let chosen: Vec<_> = parents(&order, position).into_iter().take(PARENTS).collect();
+            let positions = chosen.iter().map(|p| order.iter().position(|o| o == p).expect("known"));
+            let positions: Vec<_> = positions.filter(|p| *p < position).collect();
+            assert_eq!(positions.len(), PARENTS.min(position), "parents precede it");
+            hops[position] = 1 + positions.iter().map(|p| hops[*p]).max().expect("one");
             chosen.into_iter().for_each(|p| *children.entry(p).or_default() += 1);
         }
-        // The three first ones are before each other as well.
-        assert!(*far.iter().max().expect("one") <= 5, "{count}: {far:?}");
+        // The first three are parents of one another as well.
+        assert!(*hops.iter().max().expect("one") <= 5, "{count}: {hops:?}");
         let most = children.values().max().expect("one");
-        assert!(*most <= 4 * CHILDREN as u32, "{count}: {most} children");
+        assert!(*most <= 4 * FAN_OUT as u32, "{count}: {most} children");
     }
 }
 
 #[test]
-fn one_that_goes_changes_few_places() {
+fn an_instance_that_leaves_changes_few_parents() {
     let all = ordered(300);
     let fewer: Vec<_> = all.iter().copied().filter(|one| *one != all[150]).collect();
     let of = |order: &[SocketAddr]| -> HashMap<_, _> {
-        let chosen = |place| parents(order, place).into_iter().take(PARENTS).collect::<Vec<_>>();
-        (0..order.len()).map(|place| (order[place], chosen(place))).collect()
+        let chosen = |position| parents(order, position).into_iter().take(PARENTS).collect::<Vec<_>>();
+        (0..order.len()).map(|position| (order[position], chosen(position))).collect()
     };
     let (before, after) = (of(&all), of(&fewer));
-    let moved = after.iter().filter(|(one, parents)| before[*one] != **parents).count();
-    assert!(moved < 30, "{moved} have others");
+    let changed = after.iter().filter(|(one, parents)| before[*one] != **parents).count();
+    assert!(changed < 30, "{changed} instances have other parents");
 }
 
 #[test]
-fn few_ask_in_each_period() {
-    let mut asking = HashMap::<u32, usize>::new();
-    (0..1000).for_each(|place| *asking.entry(period(place)).or_default() += 1);
-    assert!(asking.values().all(|count| *count <= 8));
-    assert_eq!((asking[&0], asking[&1], asking[&2], period(999)), (2, 2, 4, 126));
+fn few_instances_poll_in_each_period() {
+    let mut polling = HashMap::<u32, usize>::new();
+    (0..1000).for_each(|position| *polling.entry(poll_delay(position)).or_default() += 1);
+    assert!(polling.values().all(|count| *count <= 8));
+    assert_eq!((polling[&0], polling[&1], polling[&2], poll_delay(999)), (2, 2, 4, 126));
 }
--- a/instances/src/seal.rs
+++ b/instances/src/seal.rs
@@ -1,8 +1,8 @@
-//! Frames with a keyed tag and a counter, so that a stranger and a replay change nothing.
+//! Authenticated frames: a keyed tag and a counter, so that frames of strangers and replayed frames are rejected.
 //!
-//! A frame is: version (1 byte), the sender's number (8, drawn anew with each process), the time of sending (8, Unix milliseconds), a
-//! counter (8), the payload, and the first 16 bytes of HMAC-SHA256 over all that. Numbers are big-endian. One shared key, no
-//! sign-in, no secrecy: whoever has the key is believed, and whoever listens can read.
+//! A frame is: version (1 byte), the sender's number (8, drawn at random by each process), the time of sending (8, Unix milliseconds),
+//! a counter (8), the payload, and the first 16 bytes of HMAC-SHA256 over all that. Numbers are big-endian. There is one shared key,
+//! no handshake and no encryption: whoever has the key is trusted, and whoever can listen can read.
 use ring::hmac;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,141 +10,147 @@
 use crate::At;
 
 const VERSION: u8 = 1;
-const HEAD: usize = 1 + 8 + 8 + 8;
-const TAG: usize = 16;
+const HEADER_BYTES: usize = 1 + 8 + 8 + 8;
+const TAG_BYTES: usize = 16;
 /// Shortest key, in bytes.
-const SHORTEST_KEY: usize = 32;
-/// Clocks may differ by so much. Guards against frames of processes that are long gone, which nobody remembers.
-const SKEW: Duration = Duration::from_secs(120);
-/// Senders that are remembered. Only who has the key can add to them; one more is refused, not another forgotten.
-const SENDERS: usize = 4096;
-/// Frames that may overtake each other.
+const MIN_KEY_BYTES: usize = 32;
+/// Greatest accepted difference between the sender's clock and this one. Guards against replayed frames of processes that ended
+/// long ago and whose counters are forgotten.
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(120);
+/// Most senders tracked at once. Only holders of the key can add one; at the limit a new sender is refused rather than a tracked
+/// one forgotten.
+const MAX_SENDERS: usize = 4096;
+/// Width of the replay window: how far behind the highest counter a frame may arrive.
 const WINDOW: u64 = 64;
 
 /// The shared key.
 #[derive(Clone)]
 pub struct Key(hmac::Key);
 
-/// Why a key is none.
+/// Why a key is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyFault {
-    /// It has fewer than 32 bytes.
+    /// It has fewer than 32 bytes; the value is its length.
     TooShort(usize),
 }
 
 impl std::fmt::Display for KeyFault {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let KeyFault::TooShort(had) = self;
-        write!(f, "a key needs at least {SHORTEST_KEY} bytes, this one has {had}")
+        let KeyFault::TooShort(length) = self;
+        write!(f, "a key needs at least {MIN_KEY_BYTES} bytes, this one has {length}")
     }
 }
 
 impl Key {
-    /// The key that a file holds; white space round it does not count.
+    /// Reads a key from a file's contents; surrounding white space is ignored.
     pub fn read(text: &[u8]) -> Result<Key, KeyFault> {
         let text = text.trim_ascii();
         match text.len() {
-            0..SHORTEST_KEY => Err(KeyFault::TooShort(text.len())),
+            0..MIN_KEY_BYTES => Err(KeyFault::TooShort(text.len())),
             _ => Ok(Key(hmac::Key::new(hmac::HMAC_SHA256, text))),
         }
     }
 }
 
-/// Why a frame is not taken.
+/// Why a frame is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// It is no frame of ours, or of another version.
+    /// It is too short or has an unknown version.
     Malformed,
-    /// Its tag is not the key's.
+    /// Its tag does not match the key.
     WrongTag,
-    /// It was sent too long ago, or in the future, by this machine's clock.
+    /// Its time of sending is too far in the past or in the future by this machine's clock.
     ClockSkew,
-    /// It came before.
+    /// It was received before, or its counter is too old to tell.
     Replay,
-    /// There are too many senders already.
+    /// Too many senders are tracked already.
     TooManySenders,
 }
 
-/// Frames of one process, and what it remembers of others'.
+/// Seals the frames of one process and opens those of others, rejecting replays.
 pub struct FrameAuthenticator {
     key: Key,
     sender: u64,
     counter: u64,
-    senders: HashMap<u64, Heard>,
+    senders: HashMap<u64, ReplayWindow>,
 }
 
-/// What came of one sender.
-struct Heard {
-    /// The highest counter, and which of those before it came.
+/// The replay window of one sender.
+struct ReplayWindow {
     highest: u64,
-    before: u64,
-    last: At,
+    /// Bit n: the counter `highest - 1 - n` was received.
+    received: u64,
+    last_at: At,
 }
 
 impl FrameAuthenticator {
-    /// Frames under a key, by a sender whose number nobody else has.
+    /// Frames under a key, from a sender number that no other process has.
     pub fn new(key: Key, sender: u64) -> Self {
         FrameAuthenticator { key, sender, counter: 0, senders: HashMap::new() }
     }
 
-    /// A frame with a payload, sent at a time of the wall clock.
+    /// Makes a frame of a payload, to be sent now by the wall clock.
     pub fn seal(&mut self, payload: &[u8], unix: Duration) -> Vec<u8> {
         self.counter += 1;
-        let mut frame = Vec::with_capacity(HEAD + payload.len() + TAG);
+        let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len() + TAG_BYTES);
         frame.push(VERSION);
         frame.extend_from_slice(&self.sender.to_be_bytes());
         frame.extend_from_slice(&(unix.as_millis() as u64).to_be_bytes());
         frame.extend_from_slice(&self.counter.to_be_bytes());
         frame.extend_from_slice(payload);
         let tag = hmac::sign(&self.key.0, &frame);
-        frame.extend_from_slice(&tag.as_ref()[..TAG]);
+        frame.extend_from_slice(&tag.as_ref()[..TAG_BYTES]);
         frame
     }
 
-    /// The payload of a frame that came at a time of this machine's clocks.
+    /// Verifies a frame received now, by the monotonic and the wall clock, and returns its payload.
     pub fn open<'a>(&mut self, frame: &'a [u8], now: At, unix: Duration) -> Result<&'a [u8], FrameError> {
-        if frame.len() < HEAD + TAG || frame[0] != VERSION {
+        if frame.len() < HEADER_BYTES + TAG_BYTES || frame[0] != VERSION {
             return Err(FrameError::Malformed);
         }
-        let (body, tag) = frame.split_at(frame.len() - TAG);
-        let whole = hmac::sign(&self.key.0, body);
-        // Whoever times this learns nothing: comparing is over all bytes, whatever they are.
-        let differs = whole.as_ref()[..TAG].iter().zip(tag).fold(0, |differs, (a, b)| differs | (a ^ b));
+        let (body, tag) = frame.split_at(frame.len() - TAG_BYTES);
+        let expected = hmac::sign(&self.key.0, body);
+        // Compares in constant time: all bytes, whatever they are.
+        let differs =
+            expected.as_ref()[..TAG_BYTES].iter().zip(tag).fold(0, |differs, (a, b)| differs | (a ^ b));
         if differs != 0 {
             return Err(FrameError::WrongTag);
         }
-        let number = |at: usize| u64::from_be_bytes(body[at..at + 8].try_into().expect("eight bytes"));
+        let number =
+            |offset: usize| u64::from_be_bytes(body[offset..offset + 8].try_into().expect("eight bytes"));
         let (sender, sent, counter) = (number(1), Duration::from_millis(number(9)), number(17));
-        if sent.abs_diff(unix) > SKEW {
+        if sent.abs_diff(unix) > MAX_CLOCK_SKEW {
             return Err(FrameError::ClockSkew);
         }
-        self.heard(sender, counter, now)?;
-        Ok(&body[HEAD..])
+        self.record(sender, counter, now)?;
+        Ok(&body[HEADER_BYTES..])
     }
 
-    /// Books a frame; each is taken once, as long as its time would let it pass.
-    fn heard(&mut self, sender: u64, counter: u64, now: At) -> Result<(), FrameError> {
-        if !self.senders.contains_key(&sender) && self.senders.len() >= SENDERS {
-            self.senders.retain(|_, heard| now < heard.last + 2 * SKEW);
-            if self.senders.len() >= SENDERS {
+    /// Records a frame's counter. Each frame is accepted once; a sender is tracked for as long as its frames' times are accepted.
+    fn record(&mut self, sender: u64, counter: u64, now: At) -> Result<(), FrameError> {
+        if !self.senders.contains_key(&sender) && self.senders.len() >= MAX_SENDERS {
+            self.senders.retain(|_, window| now < window.last_at + 2 * MAX_CLOCK_SKEW);
+            if self.senders.len() >= MAX_SENDERS {
                 return Err(FrameError::TooManySenders);
             }
         }
-        let heard = self.senders.entry(sender).or_insert(Heard { highest: 0, before: 0, last: now });
-        if counter > heard.highest {
-            let on = counter - heard.highest;
-            // The highest so far is one of those before, from here on.
-            let shifted = u32::try_from(on).ok().and_then(|on| heard.before.checked_shl(on)).unwrap_or(0);
-            heard.before = shifted | if on <= WINDOW { 1 << (on - 1) } else { 0 };
-            heard.highest = counter;
+        let window =
+            self.senders.entry(sender).or_insert(ReplayWindow { highest: 0, received: 0, last_at: now });
+        if counter > window.highest {
+            let ahead = counter - window.highest;
+            // The former highest counter moves into the bitmap.
+            let shifted =
+                u32::try_from(ahead).ok().and_then(|ahead| window.received.checked_shl(ahead)).unwrap_or(0);
+            window.received = shifted | if ahead <= WINDOW { 1 << (ahead - 1) } else { 0 };
+            window.highest = counter;
         } else {
-            let back = heard.highest - counter;
-            if back == 0 || back > WINDOW || heard.before & (1 << (back - 1)) != 0 {
+            let behind = window.highest - counter;
+            if behind == 0 || behind > WINDOW || window.received & (1 << (behind - 1)) != 0 {
                 return Err(FrameError::Replay);
             }
-            heard.before |= 1 << (back - 1);
+            window.received |= 1 << (behind - 1);
         }
-        heard.last = now;
+        window.last_at = now;
         Ok(())
     }
 }
--- a/instances/src/view.rs
+++ b/instances/src/view.rs
@@ -1,68 +1,68 @@
-//! The whole view as one text, for links between instances: what does not fit into a datagram.
+//! Messages on TCP links between instances, among them the whole membership view, which does not fit into a datagram.
 //!
-//! A link carries frames: the length of what follows (4 bytes, big-endian, at most [`MAX_FRAME_BYTES`]), then a frame as
-//! datagrams have it. Its payload is a [`LinkMessage`].
-use foca::Member as Known;
+//! A link carries frames: the length of what follows (4 bytes, big-endian, at most [`MAX_FRAME_BYTES`]), then an authenticated frame
+//! as in a datagram. Its payload is a [`LinkMessage`].
+use foca::Member as MemberState;
 use serde::{Deserialize, Serialize};
 
 use crate::Member;
 use crate::catalog::ListVersion;
 use crate::list_messages::{Heartbeat, ListUpdate};
 
-/// Longest frame on a link, in bytes: a thousand members as long as they may be are a quarter of that.
+/// Longest frame on a link, in bytes: four times what a thousand members of the greatest size take.
 pub const MAX_FRAME_BYTES: usize = 1024 * 1024;
 
-/// What is said on a link. New words come at the end; one that is unknown ends the link.
+/// A message on a link. New variants are added at the end; a receiver that does not know one ends the link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkMessage {
-    /// Who is there, by your view?
+    /// Asks for the receiver's membership view.
     ViewRequest,
-    /// These are, or were a while ago.
+    /// The sender's membership view, with members that went down a while ago.
     View(View),
-    /// This link is to stand: tell on it of the list.
+    /// Keeps the link open and subscribes to the receiver's list of execute nodes.
     Subscribe,
-    /// See there.
+    /// A heartbeat with the status of the sender's list.
     Heartbeat(Heartbeat),
-    /// Tell what is in the list that you hold and not in such a one, or all of it.
+    /// Asks for the changes of the receiver's list since a version, or for all of it.
     ListRequest(Option<ListVersion>),
-    /// See there.
+    /// A list or the changes to one.
     ListUpdate(ListUpdate),
 }
 
-/// All that an instance knows of members, those that went a while ago among them.
+/// All that an instance knows of members, among them those that went down a while ago.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct View(pub(crate) Vec<Known<Member>>);
+pub struct View(pub(crate) Vec<MemberState<Member>>);
 
 impl View {
-    /// Members named, whatever their state.
+    /// The number of members, whatever their state.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether nobody is named.
+    /// Whether there are no members.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
 impl LinkMessage {
-    /// As bytes.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).expect("plain values")
     }
 
-    /// From bytes; none where they are no word, more than one, or name a member that cannot be.
+    /// Decodes a message; `None` if the bytes are not exactly one message or contain an invalid member.
     pub fn decode(bytes: &[u8]) -> Option<LinkMessage> {
-        let (word, rest) = postcard::take_from_bytes(bytes).ok()?;
-        let sound = match &word {
-            LinkMessage::View(view) => view.0.iter().all(|known| known.id().is_valid()),
+        let (message, remainder) = postcard::take_from_bytes(bytes).ok()?;
+        let valid = match &message {
+            LinkMessage::View(view) => view.0.iter().all(|member| member.id().is_valid()),
             LinkMessage::ViewRequest
             | LinkMessage::Subscribe
             | LinkMessage::Heartbeat(_)
             | LinkMessage::ListRequest(_)
             | LinkMessage::ListUpdate(_) => true,
         };
-        (sound && rest.is_empty()).then_some(word)
+        (valid && remainder.is_empty()).then_some(message)
     }
 }
 
