--- a/instances/src/swim.rs
+++ b/instances/src/swim.rs
@@ -1,8 +1,8 @@
 //! Membership by SWIM: probes, indirect probes, suspicion, refutation, and gossip of what changed (Das, Gupta, Motivala, DSN 2002),
-//! over the `foca` crate, with the parts round it that a relay needs: seeds that are sought until they are there, members that are
-//! checked, and a process that was stopped doubting itself before it doubts others (after Lifeguard, Dadgar et al., 2018).
+//! over the `foca` crate, with additions that a relay needs: announcements to seeds until they are members, validation of received
+//! members, and a process that was paused suspecting itself before it suspects others (after Lifeguard, Dadgar et al., 2018).
 //!
-//! A state machine: [`Swim::handle`] takes the time and what happened, and gives what is to be sent and what has changed.
+//! A state machine: [`Swim::handle`] takes the time and an input, and returns what to send and what has changed.
 use bytes::{Buf, BufMut};
 use foca::{
     AccumulatingRuntime, Codec, Foca, Header, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer,
@@ -18,347 +18,374 @@
 use crate::view::{LinkMessage, View};
 use crate::{At, Member};
 
-/// Largest payload of a datagram: with its frame it fits where 1,400 bytes do.
-const LARGEST: usize = 1300;
-/// A timer that is served so late says that this process was stopped or starved: what it did not hear is no news of others.
-const SLEPT: Duration = Duration::from_millis(500);
-/// A probe that is not answered by then is made through others.
-const TRIP: Duration = Duration::from_millis(500);
-/// Seeds that are not there are sought so often: while nobody else is there, and later on.
-const SEEK_ALONE: Duration = Duration::from_secs(1);
-const SEEK: Duration = Duration::from_secs(10);
-/// Members that are down are told so, and so find back after a partition; two of them each time.
-const REMIND: Duration = Duration::from_secs(10);
-/// Then they are forgotten.
-const FORGET: Duration = Duration::from_secs(600);
-/// A member is asked for its whole view so often: what gossip did not reach is found out by this. A datagram names some 15 members, and
-/// nothing tells a newcomer of those who have not changed.
-const COMPARE: Duration = Duration::from_secs(10);
-/// The same where nobody has answered that yet since this process began or went on.
-const COMPARE_FIRST: Duration = Duration::from_millis(500);
-/// Each instance passes a change on so many times. Guards against what a start of all at once shows: passed on t times by each, a change
-/// misses an instance with a likelihood of e to the -t, and n instances that start together have n times n chances for that.
-const PASSED_ON: u8 = 15;
-/// What changed is passed on to so many members each time.
-const GOSSIP: Duration = Duration::from_millis(250);
-const GOSSIP_TO: usize = 3;
-
-/// What an instance is told of the others beforehand.
+/// Largest payload of a datagram: with the frame around it, it stays below an MTU of 1,400 bytes.
+const MAX_PAYLOAD_BYTES: usize = 1300;
+/// A timer that is handled this late means that this process was paused or starved of CPU: messages that it missed say nothing about
+/// the other members.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
+/// A probe without an answer by then is repeated indirectly, through other members.
+const PROBE_RTT: Duration = Duration::from_millis(500);
+/// How often this instance announces itself to a missing seed while it knows no other member.
+const ANNOUNCE_INTERVAL_ALONE: Duration = Duration::from_secs(1);
+/// The same once it knows other members.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(10);
+/// How often this instance announces itself to two members that are down, so that they rejoin after a partition.
+const ANNOUNCE_TO_DOWN_INTERVAL: Duration = Duration::from_secs(10);
+/// How long a member that is down is remembered.
+const REMOVE_DOWN_AFTER: Duration = Duration::from_secs(600);
+/// How often the whole view of a member is fetched, to learn what gossip did not deliver: a datagram carries some 15 members, and
+/// gossip does not tell a newcomer of members that have not changed.
+const VIEW_FETCH_INTERVAL: Duration = Duration::from_secs(10);
+/// The same until a view has arrived since this process started or resumed.
+const FIRST_VIEW_FETCH_INTERVAL: Duration = Duration::from_millis(500);
+/// How many times each instance transmits a change. Guards against missed changes when all instances start at once: transmitted t times
+/// by each, a change misses an instance with a probability of e to the -t, and n instances that start together have n times n chances
+/// for that.
+const MAX_TRANSMISSIONS: u8 = 15;
+/// How often changes are gossiped.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(250);
+/// To how many members changes are gossiped each time.
+const GOSSIP_FAN_OUT: usize = 3;
+
+/// The configuration of the membership protocol.
 #[derive(Clone, Debug)]
 pub struct SwimConfig {
-    /// Addresses at which others may be found.
+    /// Addresses of instances to join through.
     pub seeds: Vec<SocketAddr>,
-    /// About how many instances there will be: sets how long one is only suspected (4 periods of a second times the logarithm, to the
-    /// base 10, of their number).
+    /// The expected number of instances. Determines how long a member is suspected before it is declared down (4 periods of a second
+    /// times the logarithm, to the base 10, of that number).
     pub size: u32,
 }
 
-/// What happened.
+/// An input of the state machine.
 #[derive(Clone, Copy, Debug)]
 pub enum SwimInput<'a> {
-    /// A datagram came.
+    /// A datagram was received.
     Datagram(&'a [u8]),
-    /// The whole view of another has come over a link.
+    /// The whole view of another instance was received over a link.
     View(&'a View),
-    /// It is time: see [`Swim::due`].
+    /// The time given by [`Swim::due`] has come.
     TimerDue,
-    /// This instance leaves; nothing else is to follow.
+    /// This instance leaves the cluster; later inputs are ignored.
     Leave,
 }
 
-/// What is to be done.
+/// An output of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SwimOutput {
-    /// A datagram is to be sent.
+    /// Send a datagram.
     Send {
-        /// Where to.
+        /// The receiver's address.
         to: SocketAddr,
-        /// The whole frame.
+        /// The frame.
         bytes: Vec<u8>,
     },
-    /// The whole view of this instance is to be had over a link.
+    /// Fetch the whole view of the instance at this address over a link.
     FetchView(SocketAddr),
     /// The view has changed.
     Changed(MembershipChange),
 }
 
-/// A change of the view.
+/// A change of the membership view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// An instance is there.
+    /// An instance is up.
     Up(Member),
-    /// It is there no more.
+    /// An instance is down.
     Down(Member),
-    /// It is there as another process than before, or with other words about itself.
+    /// An instance is up as another process than before, or with another description.
     Updated(Member),
-    /// Others took this instance for gone; it goes on under its next incarnation.
+    /// Others declared this instance down; it continues under this new incarnation.
     Refuted(u64),
 }
 
-/// An instance as it is seen.
+/// A member as this instance sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// What it tells of itself.
+    /// Its description of itself.
     pub member: Member,
-    /// It has not answered of late, and is not yet taken for gone.
+    /// Whether it failed to answer probes and is suspected, but not yet declared down.
     pub suspected: bool,
 }
 
-/// What has come and gone.
+/// Counters of sent and received datagrams and of pauses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SwimCounters {
-    /// Datagrams and their bytes, sent.
+    /// Datagrams sent.
     pub sent: u64,
-    /// See `sent`.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams taken.
+    /// Datagrams accepted.
     pub accepted: u64,
-    /// Those that were none of the key's, came again, or were too old.
+    /// Frames that were rejected before decoding: not sealed with the key, replayed, or too old.
     pub unauthenticated: u64,
-    /// Those with the key's tag that could not be read or told of members that cannot be.
+    /// Authenticated frames that could not be decoded or contained an invalid member.
     pub malformed: u64,
-    /// Times at which this process found itself to have been stopped.
+    /// How often this process found that it had been paused.
     pub pauses: u64,
 }
 
-/// Checks what is read of members.
+/// A codec that rejects invalid members when decoding.
 #[derive(Clone, Copy)]
-struct Checked(PostcardCodec);
+struct ValidatingCodec(PostcardCodec);
 
-/// What was read cannot be.
+/// A datagram could not be encoded or decoded, or contains an invalid member.
 #[derive(Debug)]
-struct Unsound;
+struct CodecError;
 
-impl std::fmt::Display for Unsound {
+impl std::fmt::Display for CodecError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str("a member that cannot be")
+        f.write_str("invalid member")
     }
 }
 
-impl std::error::Error for Unsound {}
+impl std::error::Error for CodecError {}
 
-impl Codec<Member> for Checked {
-    type Error = Unsound;
+impl Codec<Member> for ValidatingCodec {
+    type Error = CodecError;
 
-    fn encode_header(&mut self, header: &Header<Member>, buf: impl BufMut) -> Result<(), Unsound> {
-        self.0.encode_header(header, buf).map_err(|_| Unsound)
+    fn encode_header(&mut self, header: &Header<Member>, buf: impl BufMut) -> Result<(), CodecError> {
+        self.0.encode_header(header, buf).map_err(|_| CodecError)
     }
 
-    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Member>, Unsound> {
-        let header: Header<Member> = self.0.decode_header(buf).map_err(|_| Unsound)?;
-        if header.src.is_valid() { Ok(header) } else { Err(Unsound) }
+    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Member>, CodecError> {
+        let header: Header<Member> = self.0.decode_header(buf).map_err(|_| CodecError)?;
+        if header.src.is_valid() { Ok(header) } else { Err(CodecError) }
     }
 
-    fn encode_member(&mut self, member: &foca::Member<Member>, buf: impl BufMut) -> Result<(), Unsound> {
-        self.0.encode_member(member, buf).map_err(|_| Unsound)
+    fn encode_member(&mut self, member: &foca::Member<Member>, buf: impl BufMut) -> Result<(), CodecError> {
+        self.0.encode_member(member, buf).map_err(|_| CodecError)
     }
 
-    fn decode_member(&mut self, buf: impl Buf) -> Result<foca::Member<Member>, Unsound> {
-        let member: foca::Member<Member> = self.0.decode_member(buf).map_err(|_| Unsound)?;
-        if member.id().is_valid() { Ok(member) } else { Err(Unsound) }
+    fn decode_member(&mut self, buf: impl Buf) -> Result<foca::Member<Member>, CodecError> {
+        let member: foca::Member<Member> = self.0.decode_member(buf).map_err(|_| CodecError)?;
+        if member.id().is_valid() { Ok(member) } else { Err(CodecError) }
     }
 }
 
-/// What a time was set for.
-enum Due {
+/// What a timer is for.
+enum TimerKind {
     Protocol(Timer<Member>),
-    Seek,
-    Compare,
+    AnnounceToSeed,
+    FetchView,
 }
 
-/// The view of one instance.
+/// The membership view of one instance, and the protocol that maintains it.
 pub struct Swim {
-    foca: Foca<Member, Checked, StdRng, NoCustomBroadcast>,
+    foca: Foca<Member, ValidatingCodec, StdRng, NoCustomBroadcast>,
     key: Key,
-    sealed: FrameAuthenticator,
-    /// Frames of links are another sender's: one that takes its time there must not be overtaken by datagrams and count as a replay.
-    linked: FrameAuthenticator,
-    /// What is due, by its time and its turn.
-    due: BTreeMap<(At, u64), Due>,
-    turn: u64,
+    datagram_frames: FrameAuthenticator,
+    /// Frames on links use a sender number of their own, so that a frame delayed on a link is not overtaken by datagrams and rejected
+    /// as a replay.
+    link_frames: FrameAuthenticator,
+    /// Timers by their time; a sequence number orders timers of the same time.
+    timers: BTreeMap<(At, u64), TimerKind>,
+    last_timer: u64,
     seeds: Vec<SocketAddr>,
     random: StdRng,
-    /// How long a member is only suspected.
+    /// How long a member is suspected before it is declared down.
     suspicion: Duration,
-    /// Another's view has come since this process last began or went on.
-    compared: bool,
+    /// Whether another instance's view has arrived since this process started or resumed.
+    synced: bool,
     left: bool,
-    counts: SwimCounters,
+    counters: SwimCounters,
 }
 
 impl Swim {
-    /// The view of an instance that has just started. The seed feeds its lots and its number as a sender, so it must be another
-    /// for each process.
+    /// The view of an instance that has just started. The random seed determines its sender numbers as well, so it must differ from
+    /// process to process.
     pub fn new(me: Member, config: SwimConfig, key: Key, seed: u64, now: At) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let size = NonZeroU32::new(config.size.max(3)).expect("above 0");
-        let some = |n| NonZeroUsize::new(n).expect("above 0");
-        let every = |frequency, n| Some(foca::PeriodicParams { frequency, num_members: some(n) });
+        let nonzero = |n| NonZeroUsize::new(n).expect("above 0");
+        let periodic = |frequency, n| Some(foca::PeriodicParams { frequency, num_members: nonzero(n) });
         let protocol = foca::Config {
-            probe_rtt: TRIP,
-            max_packet_size: some(LARGEST),
-            remove_down_after: Some(FORGET),
-            max_transmissions: NonZeroU8::new(PASSED_ON).expect("above 0"),
+            probe_rtt: PROBE_RTT,
+            max_packet_size: nonzero(MAX_PAYLOAD_BYTES),
+            remove_down_after: Some(REMOVE_DOWN_AFTER),
+            max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).expect("above 0"),
             periodic_announce: None,
-            periodic_announce_to_down_members: every(REMIND, 2),
-            periodic_gossip: every(GOSSIP, GOSSIP_TO),
+            periodic_announce_to_down_members: periodic(ANNOUNCE_TO_DOWN_INTERVAL, 2),
+            periodic_gossip: periodic(GOSSIP_INTERVAL, GOSSIP_FAN_OUT),
             ..foca::Config::new_lan(size)
         };
         let suspicion = protocol.suspect_to_down_after;
-        let sealed = FrameAuthenticator::new(key.clone(), random.random());
-        let linked = FrameAuthenticator::new(key.clone(), random.random());
+        let datagram_frames = FrameAuthenticator::new(key.clone(), random.random());
+        let link_frames = FrameAuthenticator::new(key.clone(), random.random());
         let seeds = config.seeds.into_iter().filter(|seed| *seed != me.address).collect();
-        let foca = Foca::new(me, protocol, StdRng::seed_from_u64(random.random()), Checked(PostcardCodec));
-        let due = BTreeMap::from([((now, 0), Due::Seek), ((now + COMPARE_FIRST, 1), Due::Compare)]);
-        let (compared, left, counts) = (false, false, SwimCounters::default());
-        Swim { foca, key, sealed, linked, due, turn: 1, seeds, random, suspicion, compared, left, counts }
+        let foca =
+            Foca::new(me, protocol, StdRng::seed_from_u64(random.random()), ValidatingCodec(PostcardCodec));
+        let timers = BTreeMap::from([
+            ((now, 0), TimerKind::AnnounceToSeed),
+            ((now + FIRST_VIEW_FETCH_INTERVAL, 1), TimerKind::FetchView),
+        ]);
+        let (synced, left, counters) = (false, false, SwimCounters::default());
+        Swim {
+            foca,
+            key,
+            datagram_frames,
+            link_frames,
+            timers,
+            last_timer: 1,
+            seeds,
+            random,
+            suspicion,
+            synced,
+            left,
+            counters,
+        }
     }
 
-    /// When it is to hear of the time next.
+    /// When the next timer is due.
     pub fn due(&self) -> Option<At> {
-        self.due.keys().next().map(|(at, _)| *at)
+        self.timers.keys().next().map(|(at, _)| *at)
     }
 
-    /// Takes what happened at a time of this machine's clocks: the monotonic one, and the wall's.
+    /// Handles an input at a time of the monotonic clock and of the wall clock.
     pub fn handle(&mut self, now: At, unix: Duration, input: SwimInput) -> Vec<SwimOutput> {
         let mut outputs = Vec::new();
         if self.left {
             return outputs;
         }
         match input {
-            SwimInput::Datagram(frame) => match self.sealed.open(frame, now, unix) {
-                Err(_) => self.counts.unauthenticated += 1,
+            SwimInput::Datagram(frame) => match self.datagram_frames.open(frame, now, unix) {
+                Err(_) => self.counters.unauthenticated += 1,
                 Ok(payload) => {
-                    let mut said = AccumulatingRuntime::new();
-                    let read = self.foca.handle_data(payload, &mut said);
-                    *(if read.is_ok() { &mut self.counts.accepted } else { &mut self.counts.malformed }) += 1;
-                    self.take(now, unix, said, &mut outputs);
+                    let mut runtime = AccumulatingRuntime::new();
+                    let result = self.foca.handle_data(payload, &mut runtime);
+                    *(if result.is_ok() {
+                        &mut self.counters.accepted
+                    } else {
+                        &mut self.counters.malformed
+                    }) += 1;
+                    self.carry_out(now, unix, runtime, &mut outputs);
                 }
             },
             SwimInput::View(view) => {
-                self.compared = true;
-                let mut said = AccumulatingRuntime::new();
-                // Its only error is that this instance has left.
-                let _ = self.foca.apply_many(view.0.iter().cloned(), true, &mut said);
-                self.take(now, unix, said, &mut outputs);
+                self.synced = true;
+                let mut runtime = AccumulatingRuntime::new();
+                // Fails only if this instance has left.
+                let _ = self.foca.apply_many(view.0.iter().cloned(), true, &mut runtime);
+                self.carry_out(now, unix, runtime, &mut outputs);
             }
             SwimInput::TimerDue => {
-                self.wake(now);
-                while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
-                    let mut said = AccumulatingRuntime::new();
+                self.check_for_pause(now);
+                while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
+                    let mut runtime = AccumulatingRuntime::new();
                     match entry.remove() {
-                        Due::Seek => self.seek(now, &mut said),
-                        Due::Compare => outputs.extend(self.compare(now)),
-                        // An error says that what it was set for is over.
-                        Due::Protocol(timer) => drop(self.foca.handle_timer(timer, &mut said)),
+                        TimerKind::AnnounceToSeed => self.announce_to_seed(now, &mut runtime),
+                        TimerKind::FetchView => outputs.extend(self.pick_view_to_fetch(now)),
+                        // An error means that the timer is obsolete.
+                        TimerKind::Protocol(timer) => drop(self.foca.handle_timer(timer, &mut runtime)),
                     }
-                    self.take(now, unix, said, &mut outputs);
+                    self.carry_out(now, unix, runtime, &mut outputs);
                 }
             }
             SwimInput::Leave => {
-                let mut said = AccumulatingRuntime::new();
-                // Its only error is that it has left already.
-                let _ = self.foca.leave_cluster(&mut said);
-                self.take(now, unix, said, &mut outputs);
+                let mut runtime = AccumulatingRuntime::new();
+                // Fails only if this instance has left already.
+                let _ = self.foca.leave_cluster(&mut runtime);
+                self.carry_out(now, unix, runtime, &mut outputs);
                 self.left = true;
-                self.due.clear();
+                self.timers.clear();
             }
         }
         outputs
     }
 
-    /// Puts all that is due off if this process was stopped: what came meanwhile is to be heard first. Others may have sent it nothing
-    /// for a while, so suspicions begin anew, and somebody's whole view is had before they end.
-    fn wake(&mut self, now: At) {
-        let Some(first) = self.due().filter(|first| now > *first + SLEPT) else { return };
-        self.counts.pauses += 1;
-        let off = now - first + TRIP;
-        let due = std::mem::take(&mut self.due).into_iter().map(|((at, turn), what)| {
-            let at = match what {
-                Due::Protocol(Timer::ChangeSuspectToDown { .. }) => now + self.suspicion,
-                Due::Compare => now + TRIP,
-                _ => at + off,
+    /// Postpones all timers if this process was paused, so that messages received meanwhile are handled first. Other members may have
+    /// stopped sending to it, so suspicions start anew, and a member's whole view is fetched before they expire.
+    fn check_for_pause(&mut self, now: At) {
+        let Some(first) = self.due().filter(|first| now > *first + PAUSE_THRESHOLD) else { return };
+        self.counters.pauses += 1;
+        let delay = now - first + PROBE_RTT;
+        let timers = std::mem::take(&mut self.timers).into_iter().map(|((at, sequence), kind)| {
+            let at = match kind {
+                TimerKind::Protocol(Timer::ChangeSuspectToDown { .. }) => now + self.suspicion,
+                TimerKind::FetchView => now + PROBE_RTT,
+                _ => at + delay,
             };
-            ((at, turn), what)
+            ((at, sequence), kind)
         });
-        self.due = due.collect();
-        self.compared = false;
+        self.timers = timers.collect();
+        self.synced = false;
     }
 
-    /// Seeks a seed that is not there.
-    fn seek(&mut self, now: At, said: &mut AccumulatingRuntime<Member>) {
-        let there: Vec<_> = self.foca.iter_members().map(|m| m.id().address).collect();
-        let absent: Vec<_> = self.seeds.iter().filter(|seed| !there.contains(seed)).copied().collect();
+    /// Announces this instance to a random seed that is not a member yet.
+    fn announce_to_seed(&mut self, now: At, runtime: &mut AccumulatingRuntime<Member>) {
+        let up: Vec<_> = self.foca.iter_members().map(|m| m.id().address).collect();
+        let absent: Vec<_> = self.seeds.iter().filter(|seed| !up.contains(seed)).copied().collect();
         if !absent.is_empty() {
             let seed = absent[self.random.random_range(0..absent.len())];
-            // Its only error is that the announcement does not fit a datagram, which it always does.
-            let _ = self.foca.announce(Member::with_address(seed), said);
+            // Fails only if the announcement exceeds a datagram, which it never does.
+            let _ = self.foca.announce(Member::with_address(seed), runtime);
         }
-        let pause = if there.is_empty() { SEEK_ALONE } else { SEEK };
-        let pause = pause.mul_f64(self.random.random_range(0.5..1.5));
-        self.put(now + pause, Due::Seek);
+        let interval = if up.is_empty() { ANNOUNCE_INTERVAL_ALONE } else { ANNOUNCE_INTERVAL };
+        let interval = interval.mul_f64(self.random.random_range(0.5..1.5));
+        self.schedule(now + interval, TimerKind::AnnounceToSeed);
     }
 
-    /// Asks one that is there for its view.
-    fn compare(&mut self, now: At) -> Option<SwimOutput> {
-        let pause = if self.compared { COMPARE } else { COMPARE_FIRST };
-        let pause = pause.mul_f64(self.random.random_range(0.5..1.5));
-        self.put(now + pause, Due::Compare);
-        let there: Vec<_> = self.foca.iter_members().map(|m| m.id().address).collect();
-        (!there.is_empty()).then(|| SwimOutput::FetchView(there[self.random.random_range(0..there.len())]))
+    /// Picks a random member whose view is to be fetched.
+    fn pick_view_to_fetch(&mut self, now: At) -> Option<SwimOutput> {
+        let interval = if self.synced { VIEW_FETCH_INTERVAL } else { FIRST_VIEW_FETCH_INTERVAL };
+        let interval = interval.mul_f64(self.random.random_range(0.5..1.5));
+        self.schedule(now + interval, TimerKind::FetchView);
+        let up: Vec<_> = self.foca.iter_members().map(|m| m.id().address).collect();
+        (!up.is_empty()).then(|| SwimOutput::FetchView(up[self.random.random_range(0..up.len())]))
     }
 
-    /// All that is known of members, this instance among them, for one that asks over a link.
+    /// All that is known of members, this instance among them, for an instance that asks over a link.
     pub fn view(&self) -> View {
         let me = foca::Member::alive(self.me().clone());
         View(self.foca.iter_membership_state().cloned().chain([me]).collect())
     }
 
-    /// A frame for a link.
-    pub fn seal(&mut self, word: &LinkMessage, unix: Duration) -> Vec<u8> {
-        self.linked.seal(&word.encode(), unix)
+    /// Seals a message as a frame for a link on which one request is answered.
+    pub fn seal(&mut self, message: &LinkMessage, unix: Duration) -> Vec<u8> {
+        self.link_frames.seal(&message.encode(), unix)
     }
 
-    /// Frames of a link that stands: a sender of its own, since what waits on one link must not count as a replay after another's.
+    /// An authenticator for one long-lived link, with a sender number of its own, so that a frame delayed on one link is not rejected
+    /// as a replay after frames of another.
     pub fn link_authenticator(&mut self) -> FrameAuthenticator {
         FrameAuthenticator::new(self.key.clone(), self.random.random())
     }
 
-    /// What a frame from a link says; none where it is not the key's, came before, or says nothing that can be.
+    /// Opens a frame from a link; `None` if it is not authentic, was replayed or does not decode to a valid message.
     pub fn open(&mut self, frame: &[u8], now: At, unix: Duration) -> Option<LinkMessage> {
-        let Ok(payload) = self.linked.open(frame, now, unix) else {
-            self.counts.unauthenticated += 1;
+        let Ok(payload) = self.link_frames.open(frame, now, unix) else {
+            self.counters.unauthenticated += 1;
             return None;
         };
-        let word = LinkMessage::decode(payload);
-        self.counts.malformed += u64::from(word.is_none());
-        word
+        let message = LinkMessage::decode(payload);
+        self.counters.malformed += u64::from(message.is_none());
+        message
     }
 
-    fn put(&mut self, at: At, what: Due) {
-        self.turn += 1;
-        self.due.insert((at, self.turn), what);
+    fn schedule(&mut self, at: At, kind: TimerKind) {
+        self.last_timer += 1;
+        self.timers.insert((at, self.last_timer), kind);
     }
 
-    /// Takes up what the protocol wants.
-    fn take(
+    /// Carries out what the protocol requested: datagrams to send, timers to set and changes to report.
+    fn carry_out(
         &mut self,
         now: At,
         unix: Duration,
-        mut said: AccumulatingRuntime<Member>,
+        mut runtime: AccumulatingRuntime<Member>,
         outputs: &mut Vec<SwimOutput>,
     ) {
-        while let Some((to, payload)) = said.to_send() {
-            let bytes = self.sealed.seal(&payload, unix);
-            self.counts.sent += 1;
-            self.counts.sent_bytes += bytes.len() as u64;
+        while let Some((to, payload)) = runtime.to_send() {
+            let bytes = self.datagram_frames.seal(&payload, unix);
+            self.counters.sent += 1;
+            self.counters.sent_bytes += bytes.len() as u64;
             outputs.push(SwimOutput::Send { to: to.address, bytes });
         }
-        while let Some((after, timer)) = said.to_schedule() {
-            self.put(now + after, Due::Protocol(timer));
+        while let Some((after, timer)) = runtime.to_schedule() {
+            self.schedule(now + after, TimerKind::Protocol(timer));
         }
-        while let Some(heard) = said.to_notify() {
-            outputs.extend(match heard {
+        while let Some(notification) = runtime.to_notify() {
+            outputs.extend(match notification {
                 OwnedNotification::MemberUp(member) => {
                     Some(SwimOutput::Changed(MembershipChange::Up(member)))
                 }
@@ -376,24 +403,24 @@
         }
     }
 
-    /// Who is there, without this instance itself, by address.
+    /// The members that are up, suspected ones included, without this instance, sorted by address.
     pub fn members(&self) -> Vec<MemberStatus> {
-        let seen = |m: &foca::Member<Member>| MemberStatus {
+        let status = |m: &foca::Member<Member>| MemberStatus {
             member: m.id().clone(),
             suspected: m.state() == foca::State::Suspect,
         };
-        let mut all: Vec<_> = self.foca.iter_members().map(seen).collect();
-        all.sort_by_key(|seen| seen.member.address);
+        let mut all: Vec<_> = self.foca.iter_members().map(status).collect();
+        all.sort_by_key(|status| status.member.address);
         all
     }
 
-    /// This instance, as it is now.
+    /// This instance with its present incarnation.
     pub fn me(&self) -> &Member {
         self.foca.identity()
     }
 
-    /// What has come and gone.
+    /// Counters since the start.
     pub fn counters(&self) -> SwimCounters {
-        self.counts
+        self.counters
     }
 }
--- a/instances/tests/network.rs
+++ b/instances/tests/network.rs
@@ -1,4 +1,5 @@
-//! Many instances in virtual time: one seed drives the network, the clocks and the faults; the instances are the relay's own.
+//! The membership protocol with many instances in virtual time. The instances are the state machines that the relay uses; one random
+//! seed determines the network, the clocks and the faults.
 use onyxglade_instances::simulation::membership::Network as Net;
 use onyxglade_instances::simulation::{address, key};
 use onyxglade_instances::*;
@@ -10,12 +11,12 @@
         net.start(n);
     }
     net.run(10.0);
-    assert_eq!(net.wrong_views(), [], "all that started see each other");
+    assert_eq!(net.wrong_views(), [], "all that started see one another");
     net
 }
 
 #[test]
-fn an_instance_that_dies_is_missed_by_all_and_one_that_returns_is_seen_by_all() {
+fn all_see_an_instance_go_down_when_it_crashes_and_come_up_when_it_restarts() {
     for seed in 0..5 {
         let mut net = fleet(9, seed);
         net.swims[4] = None;
@@ -23,13 +24,13 @@
         assert_eq!(net.wrong_views(), [], "seed {seed}");
         net.start(4);
         net.run(5.0);
-        assert_eq!(net.wrong_views(), [], "back under its name, with a later incarnation");
+        assert_eq!(net.wrong_views(), [], "back under the same address, with a later incarnation");
     }
 }
 
-/// A newcomer among hundreds hears by datagrams of those that changed, and of few others.
+/// Datagrams tell a newcomer among hundreds of members that changed and of few others; the rest it learns by fetching views.
 #[test]
-fn newcomers_among_hundreds_soon_see_all() {
+fn newcomers_among_hundreds_soon_see_all_members() {
     let mut net = fleet(300, 1);
     (0..210).for_each(|n| net.swims[n] = None);
     net.run(3.0);
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn who_leaves_is_missed_at_once() {
+fn an_instance_that_leaves_is_seen_down_at_once() {
     let mut net = fleet(9, 1);
     net.handle(4, SwimInput::Leave);
     net.swims[4] = None;
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn a_stopped_instance_is_not_taken_for_dead_before_its_time_and_takes_nobody_for_dead() {
+fn a_paused_instance_is_not_declared_down_early_and_declares_nobody_down() {
     for seed in 0..5 {
         let mut net = fleet(30, seed);
         let from = net.now;
@@ -59,13 +60,13 @@
         assert_eq!(
             (net.wrong_views(), net.down_count(from)),
             (vec![], 0),
-            "seed {seed}: suspected, and refuted"
+            "seed {seed}: suspected, but refuted in time"
         );
-        // Stopped for longer than suspicion lasts it is missed; it misses nobody, and comes back.
+        // Paused for longer than the suspicion timeout: the others declare it down, it declares nobody down, and it rejoins.
         let from = net.now;
         net.paused.insert(7);
         net.run(20.0);
-        assert!(net.wrong_views().iter().any(|(_, m)| *m == 7), "seed {seed}: still seen");
+        assert!(net.wrong_views().iter().any(|(_, m)| *m == 7), "seed {seed}: still seen as up");
         net.resume(7);
         net.run(25.0);
         assert_eq!(net.wrong_views(), [], "seed {seed}");
@@ -73,53 +74,54 @@
             .changes
             .iter()
             .filter(|(at, n, c)| *at >= from && *n == 7 && matches!(c, MembershipChange::Down(_)));
-        assert_eq!(by_it.count(), 0, "seed {seed}: it took others for dead");
+        assert_eq!(by_it.count(), 0, "seed {seed}: it declared others down");
     }
 }
 
 #[test]
-fn a_suspicion_that_was_refuted_while_this_process_was_stopped_is_not_acted_on() {
+fn a_suspicion_refuted_while_this_process_was_paused_does_not_expire() {
     for seed in 0..40 {
         let mut net = fleet(9, seed);
         net.partition[5] = 1;
         let suspects = |net: &Net| {
-            let seen = net.swims[7].as_ref().expect("live").members();
+            let seen = net.swims[7].as_ref().expect("running").members();
             seen.iter().any(|s| s.suspected && s.member.address == address(5))
         };
         while !suspects(&net) {
             net.run(0.05);
         }
-        // It is well again at once, and says so while the other is stopped.
+        // It is reachable again at once, and refutes the suspicion while instance 7 is paused.
         net.partition[5] = 0;
         net.paused.insert(7);
         net.run(6.0);
-        let of_it = |c: &MembershipChange| matches!(c, MembershipChange::Down(m) if m.address == address(5));
+        let declares_5_down =
+            |c: &MembershipChange| matches!(c, MembershipChange::Down(m) if m.address == address(5));
         let before = net.changes.len();
         net.resume_unread(7);
         assert!(
-            !net.changes[before..].iter().any(|(.., c)| of_it(c)),
-            "seed {seed}: acted on before it was heard"
+            !net.changes[before..].iter().any(|(.., c)| declares_5_down(c)),
+            "seed {seed}: the suspicion expired before the refutation was read"
         );
         net.resume(7);
-        // What lay unread may hold others' word that it was gone, and their next that it is there; both are heard by now.
+        // The unread datagrams may say that instance 5 is down and then that it is up again; all of them have been read by now.
         let from = net.now;
         net.run(10.0);
-        let by_it = net.changes.iter().any(|(at, n, c)| *at > from && *n == 7 && of_it(c));
-        assert!(!by_it, "seed {seed}: it acted on what it suspected before it was stopped");
+        let by_it = net.changes.iter().any(|(at, n, c)| *at > from && *n == 7 && declares_5_down(c));
+        assert!(!by_it, "seed {seed}: a suspicion from before the pause expired");
     }
 }
 
 #[test]
-fn a_partition_of_minutes_heals_by_itself_and_halves_that_start_apart_meet() {
+fn a_partition_of_minutes_heals_and_halves_that_start_apart_join() {
     for seed in 0..3 {
         let mut net = fleet(9, seed);
         (0..4).for_each(|n| net.partition[n] = 1);
         net.run(180.0);
-        assert!(net.wrong_views().len() >= 2 * 4 * 5, "seed {seed}: they do not miss each other");
+        assert!(net.wrong_views().len() >= 2 * 4 * 5, "seed {seed}: the halves still see each other");
         net.partition.fill(0);
         net.run(60.0);
         assert_eq!(net.wrong_views(), [], "seed {seed}");
-        // The seeds are all on one side: the other half knows nobody at all until it can reach them.
+        // The seeds are all in one half: instances of the other half know nobody until they can reach a seed.
         let mut net = Net::new(8, seed);
         net.partition = vec![0, 0, 0, 0, 1, 1, 1, 1];
         (0..8).for_each(|n| net.start(n));
@@ -131,7 +133,7 @@
 }
 
 #[test]
-fn clocks_that_are_half_a_minute_off_do_no_harm() {
+fn clocks_half_a_minute_off_do_no_harm() {
     let mut net = Net::new(6, 1);
     net.clock_skew = vec![0.0, 30.0, -30.0, 45.0, 0.0, 0.0];
     (0..6).for_each(|n| net.start(n));
@@ -140,16 +142,16 @@
 }
 
 #[test]
-fn strangers_replays_and_members_that_cannot_be_change_nothing() {
+fn unauthenticated_frames_and_invalid_members_change_nothing() {
     let mut net = fleet(3, 1);
     let before: Vec<_> = net.swims.iter().flatten().map(Swim::members).collect();
     let member = Member { name: "x".into(), ..Member::with_address(address(9)) };
     let config = SwimConfig { seeds: vec![address(0)], size: 3 };
     let other = Key::read(&[6; 32]).expect("long enough");
     let mut stranger = Swim::new(member.clone(), config.clone(), other, 9, net.now);
-    let mut unsound = Swim::new(Member { name: "x".repeat(99), ..member }, config, key(), 10, net.now);
+    let mut invalid = Swim::new(Member { name: "x".repeat(99), ..member }, config, key(), 10, net.now);
     let unix = net.unix(0);
-    for swim in [&mut stranger, &mut unsound] {
+    for swim in [&mut stranger, &mut invalid] {
         for output in swim.handle(net.now, unix, SwimInput::TimerDue) {
             let SwimOutput::Send { bytes, .. } = output else { continue };
             net.handle(0, SwimInput::Datagram(&bytes));
@@ -157,14 +159,14 @@
     }
     net.handle(0, SwimInput::Datagram(b""));
     net.handle(0, SwimInput::Datagram(&[1; 2000]));
-    let counts = net.swims[0].as_ref().expect("live").counters();
+    let counts = net.swims[0].as_ref().expect("running").counters();
     assert_eq!((counts.unauthenticated, counts.malformed), (3, 1));
     let after: Vec<_> = net.swims.iter().flatten().map(Swim::members).collect();
     assert_eq!(before, after);
 }
 
-/// What each instance sends, in bytes a second, once all see each other: it does not grow with their number beyond what a
-/// datagram carries.
+/// The bytes a second that each instance sends once all see one another do not grow with the number of instances, since datagrams
+/// are bounded.
 #[test]
 fn traffic_is_bounded_whatever_the_number_of_instances() {
     for count in [3, 30, 300] {
@@ -179,17 +181,17 @@
         assert_eq!(net.wrong_views(), [], "{count}");
         net.run(30.0);
         let bytes = sent(&net) - started;
-        let (quiet, begin) = (bytes as f64 / count as f64 / 30.0, started as f64 / count as f64 / 20.0);
-        println!("{count} instances: {quiet:.0} bytes a second each, {begin:.0} in their first 20 s");
-        assert!(quiet < 4_000.0, "{count} instances: {quiet} bytes a second each");
-        assert!(begin < 30_000.0, "{count} instances: {begin} bytes a second each at the start");
+        let (steady, starting) = (bytes as f64 / count as f64 / 30.0, started as f64 / count as f64 / 20.0);
+        println!("{count} instances: {steady:.0} bytes a second each, {starting:.0} in their first 20 s");
+        assert!(steady < 4_000.0, "{count} instances: {steady} bytes a second each");
+        assert!(starting < 30_000.0, "{count} instances: {starting} bytes a second each at the start");
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever came before: once the network is whole and nobody is stopped, all who run see each other and nobody else.
+    /// After any faults: once no message is lost and no instance is paused, all running instances see one another and nobody else.
     #[test]
     fn views_agree_again_after_any_faults(
         seed in any::<u64>(),
@@ -217,7 +219,7 @@
                 net.resume(n);
             }
         }
-        // Who is taken for gone is reminded by lot among all that are: mostly within seconds, seldom after a minute and a half.
+        // Members that are down are announced to in random order: mostly within seconds, seldom after more than a minute and a half.
         for _ in 0..30 {
             net.run(10.0);
             if net.wrong_views().is_empty() {
