--- a/instances/src/lists.rs
+++ b/instances/src/lists.rs
@@ -1,11 +1,13 @@
-//! Lists between instances: who asks the list service, from whom all others have its word, and how old that word is.
+//! Replication of the list of execute nodes between instances: which instances poll the list service, from which the others receive
+//! the list, and how old it is.
 //!
-//! Few ask, the first by [`rank`]; each instance holds links to two that come before it and hears the word there. What is said
-//! carries the span of time in which the list service said it, on the hearer's own clock: a word replaces another if the service
-//! surely said it later, or may have and it has the higher generation. So no older list replaces a newer one, and a generation that
-//! falls is taken up as soon as it is surely the later word. Where nobody's word is fresh, instances ask in turn, few at a time.
+//! Few instances poll, the first by [`rank`]. Each instance keeps links to two instances that precede it and receives the list from
+//! them. With a list comes the interval of time in which the list service confirmed it, converted to the receiver's clock. A list
+//! replaces another if it was certainly confirmed later, or if the intervals overlap and its generation is higher, where a generation
+//! from after a loss of the service's state counts as higher. So no older list replaces a newer one, and a lower generation is
+//! accepted as soon as it is certainly the later one. Where no instance has a fresh list, instances poll by rank, few at a time.
 //!
-//! A state machine: [`Lists::handle`] takes the time and what happened, and gives what is to be done.
+//! A state machine: [`Lists::handle`] takes the time and an input, and returns outputs to carry out.
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -18,133 +20,136 @@
 use crate::rank;
 use crate::view::LinkMessage;
 
-/// Each side of a link says so often what it holds.
-const BEAT: Duration = Duration::from_millis(400);
-/// A link on which nothing came for so long is given up: its far side hangs or is cut off.
-const SILENT: Duration = Duration::from_secs(2);
-/// Beats that may be echoed yet.
-const ECHOED: usize = 16;
-/// Bytes of entries in one part.
-const PART: usize = 256 * 1024;
-/// Seeds are counted as there for so long after the start: they start together with all others.
-const SEEDS_ASSUMED: Duration = Duration::from_secs(2);
-/// An instance that is not among the first waits so long for others' word before its turn begins: the first have had an answer by
-/// then, and one that is alone still serves within its first second.
-const GRACE: Duration = Duration::from_millis(500);
-/// See [`rank::poll_delay`].
-const PERIOD: Duration = Duration::from_secs(1);
-/// A link that could not be had, or broke, is tried again after a pause that doubles between these.
-const TRY_AGAIN: Duration = Duration::from_millis(300);
-const TRY_AGAIN_MOST: Duration = Duration::from_secs(10);
-/// One of the first asks again so soon after a call that failed: its pause doubles between these.
-const ASK_AGAIN: Duration = Duration::from_millis(250);
-const ASK_AGAIN_MOST: Duration = Duration::from_secs(1);
-/// Others are linked to in place of those that still do no sooner than this, and by lot up to twice that: views that are still
-/// filling make everybody's choice another every moment.
-const CHOOSE_AGAIN: Duration = Duration::from_secs(5);
-/// Two that pass on different lists for so long do not merely lag: the service is asked which is its own.
-const ODD: Duration = Duration::from_secs(2);
-/// A list that the service itself does not know of is not heeded for so long, whoever passes it on; and so many such lists.
-const FALSE: Duration = Duration::from_secs(60);
-const MOST_FALSE: usize = 64;
-/// What is wanted is asked for again after so long.
-const WANT_AGAIN: Duration = Duration::from_secs(1);
-
-/// What is told beforehand.
+/// How often each side of a link sends a heartbeat.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+/// A link without any message for this long is closed: its far side hangs or is unreachable.
+const LINK_TIMEOUT: Duration = Duration::from_secs(2);
+/// Heartbeats kept per link, of which an echo is recognized.
+const MAX_HEARTBEATS: usize = 16;
+/// Most bytes of entries in one part of an update.
+const MAX_PART_BYTES: usize = 256 * 1024;
+/// Seeds are ranked as if they were up for this long after the start, since they may be starting at the same time.
+const SEEDS_ASSUMED_FOR: Duration = Duration::from_secs(2);
+/// How long after its start an instance that is not among the first waits for a list from others before its polling delay begins:
+/// the first have an answer by then, and an instance that is alone still serves within its first second.
+const START_GRACE: Duration = Duration::from_millis(500);
+/// The period of [`rank::poll_delay`].
+const POLL_PERIOD: Duration = Duration::from_secs(1);
+/// Bounds of the exponential backoff after a link could not be opened or broke.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(300);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(10);
+/// Bounds of the exponential backoff after a call of the list service failed.
+const MIN_POLL_RETRY_DELAY: Duration = Duration::from_millis(250);
+const MAX_POLL_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Least time between replacements of working links, randomized up to twice that: while views are still filling, the preferred
+/// parents of every instance change all the time.
+const MIN_LINK_CHANGE_INTERVAL: Duration = Duration::from_secs(5);
+/// Different lists received for this long do not come from mere lag: this instance polls the list service to find out which is
+/// right.
+const CONFLICT_TOLERANCE: Duration = Duration::from_secs(2);
+/// How long a version that the list service does not know is rejected, whoever sends it.
+const REJECTED_FOR: Duration = Duration::from_secs(60);
+/// Most versions rejected at once.
+const MAX_REJECTED: usize = 64;
+/// A list request that had no answer is repeated after this time.
+const REQUEST_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The configuration of list replication.
 #[derive(Clone, Debug)]
 pub struct ListsConfig {
     /// This instance's address.
     pub me: SocketAddr,
-    /// As for [`crate::SwimConfig`].
+    /// The same as in [`crate::SwimConfig`].
     pub seeds: Vec<SocketAddr>,
-    /// About how many instances there are.
+    /// The expected number of instances.
     pub expected: u32,
-    /// The list is to be no older than this. Half of it is let pass before others than the first ask.
+    /// The greatest intended age of the list. Instances other than the first poll once it is half as old.
     pub must_ask_in: Duration,
-    /// Longest list that is taken, in bytes of its entries.
+    /// The longest list that is accepted, in bytes of its entries.
     pub max_bytes: usize,
 }
 
-/// What happened.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum ListsInput {
-    /// Who is there, without this instance.
+    /// The members that are up, without this instance.
     Members(Vec<SocketAddr>),
-    /// A link stands, to whom this instance wanted one or from somebody.
+    /// A link is open, as requested by this instance or by another.
     Opened {
-        /// Its number.
+        /// The link's number.
         link: u64,
-        /// Where to, where this instance wanted it.
+        /// The far side, if this instance requested the link.
         to: Option<SocketAddr>,
     },
-    /// A link could not be had.
+    /// A link could not be opened.
     OpenFailed(SocketAddr),
-    /// A link has ended.
+    /// A link was closed or broke.
     Closed(u64),
-    /// Something was said on a link.
+    /// A message was received on a link.
     Received(u64, LinkMessage),
-    /// The list service is being called.
+    /// A call of the list service begins.
     CallStarted,
-    /// It answered.
+    /// The list service answered.
     CallAnswered {
         /// When the call began.
         began: At,
-        /// As it counts.
+        /// The list's generation.
         generation: u64,
-        /// These are all that there are, not only what changed.
+        /// Whether the entries are the whole list, not only the changes.
         whole: bool,
-        /// Its entries.
+        /// The entries.
         entries: Vec<Entry>,
     },
-    /// It did not, or its answer broke off; then what it had to tell is had at once.
+    /// The call failed.
     CallFailed {
-        /// The answer broke off.
+        /// The answer broke off; the next call is made at once.
         torn: bool,
     },
-    /// It is time: see [`Lists::due`].
+    /// The time given by [`Lists::due`] has come.
     TimerDue,
 }
 
-/// What is to be done.
+/// An output of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListsOutput {
-    /// A link is to be had.
+    /// Open a link.
     Open(SocketAddr),
-    /// A link is to be ended.
+    /// Close a link.
     Close(u64),
-    /// A word is to be sent on a link.
+    /// Send a message on a link.
     Send(u64, LinkMessage),
-    /// Whether the list service is to be called, from now on.
+    /// Start or stop polling the list service.
     Poll(bool),
-    /// The list that is held is another: see [`Lists::changes_since`].
+    /// This instance's list has changed: see [`Lists::changes_since`].
     ListChanged,
 }
 
-/// A list and when the list service said that it is the one: at or after `from`, and at or before `to`.
+/// A list version and the interval in which the list service last confirmed it, from `earliest` to `latest`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownList {
-    /// Which list.
+    /// The list's version.
     pub version: ListVersion,
-    /// How often the service had lost its memory by then, as far as that was seen.
+    /// How many losses of the list service's state had been observed by then.
     pub resets: u64,
-    /// See above.
+    /// The earliest time at which the list service may have confirmed the list.
     pub earliest: At,
-    /// See above.
+    /// The latest time at which the list service may have confirmed the list.
     pub latest: At,
-    /// Who asked the service.
+    /// The instance that called the list service.
     pub origin: SocketAddr,
-    /// Over how many others its word came.
+    /// Over how many other instances the confirmation came.
     pub hops: u8,
 }
 
 impl KnownList {
-    /// Whether it is the service's later word: surely, or it may be and comes later as the service counts.
+    /// Whether this list replaces another: it was certainly confirmed later, or possibly and it has the higher generation,
+    /// counted from the last loss of the service's state.
     fn supersedes(&self, other: &KnownList) -> bool {
         if self.earliest >= other.latest {
             return self.version != other.version;
         }
-        let counted = |known: &KnownList| (known.resets, known.version);
-        self.version != other.version && self.latest > other.earliest && counted(self) > counted(other)
+        let order_key = |known: &KnownList| (known.resets, known.version);
+        self.version != other.version && self.latest > other.earliest && order_key(self) > order_key(other)
     }
 
     fn confirm(&mut self, by: &KnownList) {
@@ -155,7 +160,7 @@
         self.latest = self.latest.max(by.latest);
     }
 
-    fn told(&self, now: At) -> ListStatus {
+    fn status(&self, now: At) -> ListStatus {
         ListStatus {
             version: self.version,
             resets: self.resets,
@@ -167,602 +172,642 @@
     }
 }
 
-/// A link that stands.
+/// An open link.
 struct Link {
-    /// Whom this instance wanted to hear.
+    /// The far side, if this instance opened the link to receive the list from it.
     to: Option<SocketAddr>,
-    heard: At,
-    /// Numbers said and when, the last ones.
-    beats: VecDeque<(u64, At)>,
-    /// The last number heard; 0 is none.
+    last_received: At,
+    /// Sequence numbers of the last heartbeats sent, and when.
+    heartbeats: VecDeque<(u64, At)>,
+    /// The last sequence number received; 0 if there is none.
     echo: u64,
-    /// What the far side holds, with the time of that.
-    told: Option<KnownList>,
-    /// Which list it holds, as it says.
-    holds: Option<ListVersion>,
-    /// The list that was last sent there.
-    sent: Option<ListVersion>,
-    /// When the list was last asked for there.
-    wanted: Option<At>,
-    /// Parts of what is being said there.
-    coming: Vec<Entry>,
-    coming_bytes: usize,
+    /// The far side's list, on this instance's clock; `None` until the far side has echoed a heartbeat.
+    list: Option<KnownList>,
+    /// The version that the far side states.
+    remote_version: Option<ListVersion>,
+    /// The version that was last sent to the far side.
+    sent_version: Option<ListVersion>,
+    /// When the list was last requested from the far side.
+    requested_at: Option<At>,
+    /// The parts received so far of an update.
+    partial_update: Vec<Entry>,
+    partial_bytes: usize,
 }
 
-/// Lists of one instance.
+/// The replicated list of one instance.
 pub struct Lists {
     config: ListsConfig,
-    begun: At,
+    started_at: At,
     random: StdRng,
     members: Vec<SocketAddr>,
-    /// All that are known, this one among them, in their order, and its place.
+    /// All known instances by rank, this one among them.
     order: Vec<SocketAddr>,
-    place: usize,
+    /// This instance's position in that order.
+    position: usize,
     /// See [`rank::parents`].
     parents: Vec<SocketAddr>,
-    assumed: bool,
+    assume_seeds: bool,
     catalog: Catalog,
-    held: Option<KnownList>,
-    /// The service's last word to this instance itself.
-    direct: Option<KnownList>,
-    /// That word does not fit what is held: all of the list is to be asked for.
-    doubt: bool,
-    /// The call that is out: the list that it asks from, if not for all.
-    asking: Option<Option<ListVersion>>,
+    current: Option<KnownList>,
+    /// The list service's last answer to this instance itself.
+    own_answer: Option<KnownList>,
+    /// That answer does not match the current list, so the next call asks for the whole list.
+    needs_full_list: bool,
+    /// The call in flight: the version whose changes it asks for, or `None` for the whole list.
+    call_in_flight: Option<Option<ListVersion>>,
     failures: u32,
-    not_before: At,
-    /// When this instance asks in place of those who do not have the service's word.
-    ask_at: Option<At>,
-    turn: bool,
+    retry_at: At,
+    /// When this instance polls in place of earlier ones that have no fresh list.
+    poll_at: Option<At>,
+    polling: bool,
     links: BTreeMap<u64, Link>,
     opening: BTreeSet<SocketAddr>,
-    /// Who could not be had: until when, and the pause.
-    away: HashMap<SocketAddr, (At, Duration)>,
-    /// Lists that others went on passing on and the service did not know of, and until when they are not heeded.
-    false_ones: HashMap<ListVersion, At>,
-    /// What different ones say, and since when.
-    odd: Option<(BTreeSet<ListVersion>, At)>,
-    choose_at: At,
-    beat_at: At,
+    /// Instances that could not be reached: when to retry, and the backoff delay.
+    reconnect_backoff: HashMap<SocketAddr, (At, Duration)>,
+    /// Versions that others kept sending though the list service does not know them, and until when they are rejected.
+    rejected_versions: HashMap<ListVersion, At>,
+    /// The different versions that are being received, and since when.
+    conflict: Option<(BTreeSet<ListVersion>, At)>,
+    next_link_change: At,
+    next_heartbeat: At,
 }
 
 impl Lists {
-    /// An instance that has just started and holds nothing.
+    /// An instance that has just started and has no list.
     pub fn new(config: ListsConfig, seed: u64, now: At) -> Self {
         let mut lists = Lists {
-            begun: now,
+            started_at: now,
             random: StdRng::seed_from_u64(seed),
             members: Vec::new(),
             order: Vec::new(),
-            place: 0,
+            position: 0,
             parents: Vec::new(),
-            assumed: true,
+            assume_seeds: true,
             catalog: Catalog::default(),
-            held: None,
-            direct: None,
-            doubt: false,
-            asking: None,
+            current: None,
+            own_answer: None,
+            needs_full_list: false,
+            call_in_flight: None,
             failures: 0,
-            not_before: now,
-            ask_at: None,
-            turn: false,
+            retry_at: now,
+            poll_at: None,
+            polling: false,
             links: BTreeMap::new(),
             opening: BTreeSet::new(),
-            away: HashMap::new(),
-            false_ones: HashMap::new(),
-            odd: None,
-            choose_at: now,
-            beat_at: now,
+            reconnect_backoff: HashMap::new(),
+            rejected_versions: HashMap::new(),
+            conflict: None,
+            next_link_change: now,
+            next_heartbeat: now,
             config,
         };
-        lists.put_in_order();
+        lists.update_order();
         lists
     }
 
-    /// When it is to hear of the time next.
+    /// When the next timer is due.
     pub fn due(&self) -> At {
-        self.beat_at
+        self.next_heartbeat
     }
 
-    /// What is held.
+    /// This instance's list.
     pub fn current(&self) -> Option<KnownList> {
-        self.held
+        self.current
     }
 
-    /// What who holds such a list has not.
-    pub fn changes_since(&self, held: Option<ListVersion>) -> Difference {
-        self.catalog.changes_since(held)
+    /// The difference from a version to this instance's list.
+    pub fn changes_since(&self, base: Option<ListVersion>) -> Difference {
+        self.catalog.changes_since(base)
     }
 
-    /// The generation from which the list service is to be asked on; none where all of the list is.
+    /// The generation since which the next call asks for changes; `None` if it asks for the whole list.
     pub fn watch_index(&self) -> Option<u64> {
-        self.held.filter(|_| !self.doubt).map(|held| held.version.generation)
+        self.current.filter(|_| !self.needs_full_list).map(|current| current.version.generation)
     }
 
-    /// Links that stand, those that this instance wanted and those that others did.
+    /// How many links are open: those that this instance opened, and those that others opened.
     pub fn links(&self) -> (usize, usize) {
         let mine = self.links.values().filter(|link| link.to.is_some()).count();
         (mine, self.links.len() - mine)
     }
 
-    /// Takes what happened at a time of this machine's monotonic clock.
-    pub fn handle(&mut self, now: At, heard: ListsInput) -> Vec<ListsOutput> {
-        let mut todo = Vec::new();
-        match heard {
+    /// Handles an input at a time of this machine's monotonic clock.
+    pub fn handle(&mut self, now: At, input: ListsInput) -> Vec<ListsOutput> {
+        let mut outputs = Vec::new();
+        match input {
             ListsInput::Members(members) => {
                 self.members = members;
-                self.put_in_order();
+                self.update_order();
             }
-            ListsInput::Opened { link, to } => self.opened(now, link, to, &mut todo),
+            ListsInput::Opened { link, to } => self.on_opened(now, link, to, &mut outputs),
             ListsInput::OpenFailed(to) => {
                 self.opening.remove(&to);
-                self.put_away(now, to);
+                self.back_off(now, to);
             }
-            ListsInput::Closed(link) => self.closed(now, link),
-            ListsInput::Received(link, word) => self.said(now, link, word, &mut todo),
+            ListsInput::Closed(link) => self.on_closed(now, link),
+            ListsInput::Received(link, message) => self.on_message(now, link, message, &mut outputs),
             ListsInput::CallStarted => {
-                self.asking = Some(self.held.filter(|_| !self.doubt).map(|held| held.version))
+                self.call_in_flight =
+                    Some(self.current.filter(|_| !self.needs_full_list).map(|current| current.version))
             }
             ListsInput::CallAnswered { began, generation, whole, entries } => {
-                self.answered(now, began, (generation, whole, entries), &mut todo);
+                self.on_answer(now, began, (generation, whole, entries), &mut outputs);
             }
-            ListsInput::CallFailed { torn } => self.failed(now, torn),
-            ListsInput::TimerDue => self.beat(now, &mut todo),
+            ListsInput::CallFailed { torn } => self.on_call_failed(now, torn),
+            ListsInput::TimerDue => self.on_timer(now, &mut outputs),
         }
-        if self.assumed && now >= self.begun + SEEDS_ASSUMED {
-            self.assumed = false;
-            self.put_in_order();
+        if self.assume_seeds && now >= self.started_at + SEEDS_ASSUMED_FOR {
+            self.assume_seeds = false;
+            self.update_order();
         }
-        self.take(now, &mut todo);
-        self.take_turn(now, &mut todo);
-        self.choose(now, &mut todo);
-        todo
+        self.confirm_and_request(now, &mut outputs);
+        self.update_polling(now, &mut outputs);
+        self.update_links(now, &mut outputs);
+        outputs
     }
 
-    fn put_in_order(&mut self) {
-        let assumed = if self.assumed { &self.config.seeds[..] } else { &[] };
-        let known = self.members.iter().chain(assumed).copied().chain([self.config.me]);
+    fn update_order(&mut self) {
+        let seeds = if self.assume_seeds { &self.config.seeds[..] } else { &[] };
+        let known = self.members.iter().chain(seeds).copied().chain([self.config.me]);
         self.order = rank::order(known, &self.config.seeds);
-        self.place = self.order.iter().position(|one| *one == self.config.me).expect("among them");
-        self.parents = rank::parents(&self.order, self.place);
-        self.away.retain(|who, _| self.order.contains(who));
+        self.position = self.order.iter().position(|one| *one == self.config.me).expect("among them");
+        self.parents = rank::parents(&self.order, self.position);
+        self.reconnect_backoff.retain(|address, _| self.order.contains(address));
     }
 
-    /// Half of the time in which the list is to be asked for: longer than the first take to hear it anew and all others
-    /// over three links, and time enough to take their place.
-    fn stale(&self) -> Duration {
+    /// The age at which a list is no longer fresh: half of the greatest intended age. This is longer than the first instances take to
+    /// get a new confirmation and to pass it on over three links, and leaves time for others to stand in for them.
+    fn stale_after(&self) -> Duration {
         self.config.must_ask_in / 2
     }
 
     fn is_fresh(&self, known: &KnownList, now: At) -> bool {
-        now < known.earliest + self.stale()
+        now < known.earliest + self.stale_after()
     }
 
-    fn is_false(&self, known: &KnownList, now: At) -> bool {
-        self.false_ones.get(&known.version).is_some_and(|until| now < *until)
+    fn is_rejected(&self, known: &KnownList, now: At) -> bool {
+        self.rejected_versions.get(&known.version).is_some_and(|until| now < *until)
     }
 
-    /// Whose word counts: the service's own to this instance; else that of those it chose to hear, who come before it, as long as one of
-    /// the first has the word; else, since then it may come from anywhere, that of all; where none of it is fresh, all of that too.
-    fn heeded(&self, now: At) -> Vec<(Option<u64>, KnownList)> {
-        if let Some(direct) = self.direct.filter(|direct| self.is_fresh(direct, now)) {
-            return vec![(None, direct)];
+    /// The lists that this instance may adopt, with the links they came on: its own fresh answer from the list service; else the fresh
+    /// lists of the parents that precede it, if one of them originates from one of the first instances; else, since the polling may
+    /// have moved to any instance, the fresh lists of all links; if none is fresh, the lists of all links.
+    fn eligible_lists(&self, now: At) -> Vec<(Option<u64>, KnownList)> {
+        if let Some(own_answer) = self.own_answer.filter(|own_answer| self.is_fresh(own_answer, now)) {
+            return vec![(None, own_answer)];
         }
-        let told = |fits: &dyn Fn(&Link, &KnownList) -> bool| -> Vec<_> {
-            let told = self.links.iter().filter_map(|(number, link)| Some((Some(*number), link, link.told?)));
-            let told = told.filter(|(.., known)| !self.is_false(known, now));
-            told.filter(|(_, link, known)| fits(link, known))
+        let lists_where = |predicate: &dyn Fn(&Link, &KnownList) -> bool| -> Vec<_> {
+            let lists =
+                self.links.iter().filter_map(|(number, link)| Some((Some(*number), link, link.list?)));
+            let lists = lists.filter(|(.., known)| !self.is_rejected(known, now));
+            lists
+                .filter(|(_, link, known)| predicate(link, known))
                 .map(|(number, _, known)| (number, known))
                 .collect()
         };
-        let before = |one: SocketAddr| self.order[..self.place].contains(&one);
-        let chosen = told(&|link, known| link.to.is_some_and(before) && self.is_fresh(known, now));
+        let precedes = |one: SocketAddr| self.order[..self.position].contains(&one);
+        let chosen = lists_where(&|link, known| link.to.is_some_and(precedes) && self.is_fresh(known, now));
         let first = &self.order[..self.order.len().min(rank::POLLERS)];
         if chosen.iter().any(|(_, known)| first.contains(&known.origin)) {
             return chosen;
         }
-        let fresh = told(&|_, known| self.is_fresh(known, now));
-        if fresh.is_empty() { told(&|_, _| true) } else { fresh }
+        let fresh = lists_where(&|_, known| self.is_fresh(known, now));
+        if fresh.is_empty() { lists_where(&|_, _| true) } else { fresh }
     }
 
-    /// Takes up what counts: what is held is confirmed, and what supersedes it is asked for, of one who has it.
-    fn take(&mut self, now: At, todo: &mut Vec<ListsOutput>) {
-        let heeded = self.heeded(now);
-        if let Some(held) = &mut self.held {
-            let version = held.version;
-            heeded.iter().filter(|(_, known)| known.version == version).for_each(|(_, k)| held.confirm(k));
+    /// Confirms the current list by the eligible ones, and requests a list that supersedes it from an instance that has it.
+    fn confirm_and_request(&mut self, now: At, outputs: &mut Vec<ListsOutput>) {
+        let eligible_lists = self.eligible_lists(now);
+        if let Some(current) = &mut self.current {
+            let version = current.version;
+            eligible_lists
+                .iter()
+                .filter(|(_, known)| known.version == version)
+                .for_each(|(_, known)| current.confirm(known));
         }
-        self.look_for_odd(now, &heeded);
-        let held = self.held;
-        let better = heeded.iter().filter(|(_, known)| held.is_none_or(|held| known.supersedes(&held)));
+        self.detect_conflict(now, &eligible_lists);
+        let current = self.current;
+        let better = eligible_lists
+            .iter()
+            .filter(|(_, known)| current.is_none_or(|current| known.supersedes(&current)));
         let better: Vec<_> = better.filter_map(|(link, known)| Some(((*link)?, *known))).collect();
-        let at = |number: &u64| self.links.get(number).and_then(|link| link.wanted);
-        if better.iter().any(|(number, _)| at(number).is_some_and(|at| now < at + WANT_AGAIN)) {
+        let requested_at = |number: &u64| self.links.get(number).and_then(|link| link.requested_at);
+        if better
+            .iter()
+            .any(|(number, _)| requested_at(number).is_some_and(|at| now < at + REQUEST_RETRY_INTERVAL))
+        {
             return;
         }
-        // Of those that have the best, the one that was not asked before, or longest ago.
+        // Of the links that offer the best list, the one never asked before, or asked longest ago.
         let best = better.iter().filter(|(_, one)| !better.iter().any(|(_, other)| other.supersedes(one)));
-        let best = best.map(|(number, _)| *number).min_by_key(at);
+        let best = best.map(|(number, _)| *number).min_by_key(requested_at);
         if let Some((number, link)) = best.and_then(|number| Some((number, self.links.get_mut(&number)?))) {
-            link.wanted = Some(now);
-            todo.push(ListsOutput::Send(number, LinkMessage::ListRequest(held.map(|held| held.version))));
+            link.requested_at = Some(now);
+            outputs.push(ListsOutput::Send(
+                number,
+                LinkMessage::ListRequest(current.map(|current| current.version)),
+            ));
         }
     }
 
-    /// Whether those who are heard pass on different lists, and go on doing so. Who hears the service itself keeps to what it
-    /// found before.
-    fn look_for_odd(&mut self, now: At, heeded: &[(Option<u64>, KnownList)]) {
-        if heeded.first().is_some_and(|(link, _)| link.is_none()) {
+    /// Notes whether different lists keep being received. An instance that has a fresh answer of its own keeps what it noted before.
+    fn detect_conflict(&mut self, now: At, eligible_lists: &[(Option<u64>, KnownList)]) {
+        if eligible_lists.first().is_some_and(|(link, _)| link.is_none()) {
             return;
         }
-        let fresh = heeded.iter().filter(|(_, known)| self.is_fresh(known, now));
-        let said: BTreeSet<_> = fresh.map(|(_, known)| known.version).collect();
-        match &mut self.odd {
-            _ if said.len() < 2 => self.odd = None,
-            // It may be another one each time.
-            Some((before, _)) => {
-                before.extend(said.into_iter().take(MOST_FALSE.saturating_sub(before.len())))
+        let fresh = eligible_lists.iter().filter(|(_, known)| self.is_fresh(known, now));
+        let versions: BTreeSet<_> = fresh.map(|(_, known)| known.version).collect();
+        match &mut self.conflict {
+            _ if versions.len() < 2 => self.conflict = None,
+            // The conflicting version may differ from time to time.
+            Some((seen, _)) => {
+                seen.extend(versions.into_iter().take(MAX_REJECTED.saturating_sub(seen.len())))
             }
-            None => self.odd = Some((said, now)),
+            None => self.conflict = Some((versions, now)),
         }
     }
 
-    fn opened(&mut self, now: At, number: u64, to: Option<SocketAddr>, todo: &mut Vec<ListsOutput>) {
+    fn on_opened(&mut self, now: At, number: u64, to: Option<SocketAddr>, outputs: &mut Vec<ListsOutput>) {
         if let Some(to) = to {
             self.opening.remove(&to);
         }
         let link = Link {
             to,
-            heard: now,
-            beats: VecDeque::new(),
+            last_received: now,
+            heartbeats: VecDeque::new(),
             echo: 0,
-            told: None,
-            holds: None,
-            sent: None,
-            wanted: None,
-            coming: Vec::new(),
-            coming_bytes: 0,
+            list: None,
+            remote_version: None,
+            sent_version: None,
+            requested_at: None,
+            partial_update: Vec::new(),
+            partial_bytes: 0,
         };
         self.links.insert(number, link);
         if to.is_some() {
-            todo.push(ListsOutput::Send(number, LinkMessage::Subscribe));
-            self.beat_on(now, number, todo);
+            outputs.push(ListsOutput::Send(number, LinkMessage::Subscribe));
+            self.send_heartbeat(now, number, outputs);
         }
     }
 
-    fn closed(&mut self, now: At, number: u64) {
+    fn on_closed(&mut self, now: At, number: u64) {
         if let Some(to) = self.links.remove(&number).and_then(|link| link.to) {
-            self.put_away(now, to);
+            self.back_off(now, to);
         }
     }
 
-    /// Ends a link as one that cannot be had.
-    fn end(&mut self, now: At, number: u64, todo: &mut Vec<ListsOutput>) {
-        self.closed(now, number);
-        todo.push(ListsOutput::Close(number));
+    /// Closes a link, and backs off as if it could not be opened.
+    fn close_link(&mut self, now: At, number: u64, outputs: &mut Vec<ListsOutput>) {
+        self.on_closed(now, number);
+        outputs.push(ListsOutput::Close(number));
     }
 
-    fn put_away(&mut self, now: At, who: SocketAddr) {
-        let pause = self.away.get(&who).map_or(TRY_AGAIN, |(_, pause)| (*pause * 2).min(TRY_AGAIN_MOST));
-        let until = now + pause.mul_f64(self.random.random_range(0.5..1.5));
-        self.away.insert(who, (until, pause));
+    fn back_off(&mut self, now: At, address: SocketAddr) {
+        let delay = self
+            .reconnect_backoff
+            .get(&address)
+            .map_or(MIN_RECONNECT_DELAY, |(_, delay)| (*delay * 2).min(MAX_RECONNECT_DELAY));
+        let until = now + delay.mul_f64(self.random.random_range(0.5..1.5));
+        self.reconnect_backoff.insert(address, (until, delay));
     }
 
-    fn beat(&mut self, now: At, todo: &mut Vec<ListsOutput>) {
-        if now < self.beat_at {
+    fn on_timer(&mut self, now: At, outputs: &mut Vec<ListsOutput>) {
+        if now < self.next_heartbeat {
             return;
         }
-        self.beat_at = now + BEAT;
-        let silent: Vec<_> = self
+        self.next_heartbeat = now + HEARTBEAT_INTERVAL;
+        let timed_out: Vec<_> = self
             .links
             .iter()
-            .filter(|(_, link)| now >= link.heard + SILENT)
+            .filter(|(_, link)| now >= link.last_received + LINK_TIMEOUT)
             .map(|(number, _)| *number)
             .collect();
-        for number in silent {
-            self.end(now, number, todo);
+        for number in timed_out {
+            self.close_link(now, number, outputs);
         }
         for number in self.links.keys().copied().collect::<Vec<_>>() {
-            self.beat_on(now, number, todo);
+            self.send_heartbeat(now, number, outputs);
         }
     }
 
-    fn beat_on(&mut self, now: At, number: u64, todo: &mut Vec<ListsOutput>) {
-        let told = self.held.map(|held| held.told(now));
+    fn send_heartbeat(&mut self, now: At, number: u64, outputs: &mut Vec<ListsOutput>) {
+        let status = self.current.map(|current| current.status(now));
         let Some(link) = self.links.get_mut(&number) else { return };
-        // The first is a lot, so that nothing that was said on another link echoes one of this.
+        // The first is random, so that no message of another link echoes a heartbeat of this one.
         let next =
-            link.beats.back().map_or_else(|| self.random.random::<u64>() / 2 + 1, |(last, _)| last + 1);
-        link.beats.push_back((next, now));
-        if link.beats.len() > ECHOED {
-            link.beats.pop_front();
+            link.heartbeats.back().map_or_else(|| self.random.random::<u64>() / 2 + 1, |(last, _)| last + 1);
+        link.heartbeats.push_back((next, now));
+        if link.heartbeats.len() > MAX_HEARTBEATS {
+            link.heartbeats.pop_front();
         }
-        todo.push(ListsOutput::Send(
+        outputs.push(ListsOutput::Send(
             number,
-            LinkMessage::Heartbeat(Heartbeat { sequence: next, echo: link.echo, status: told }),
+            LinkMessage::Heartbeat(Heartbeat { sequence: next, echo: link.echo, status }),
         ));
     }
 
-    fn said(&mut self, now: At, number: u64, word: LinkMessage, todo: &mut Vec<ListsOutput>) {
+    fn on_message(&mut self, now: At, number: u64, message: LinkMessage, outputs: &mut Vec<ListsOutput>) {
         let Some(link) = self.links.get_mut(&number) else { return };
-        link.heard = now;
-        match word {
-            LinkMessage::Heartbeat(beat) => {
-                let first = std::mem::replace(&mut link.echo, beat.sequence) == 0;
-                link.holds = beat.status.map(|told| told.version);
-                link.told = beat.status.and_then(|told| link.known(now, beat.echo, &told));
-                if let (Some(to), Some(_)) = (link.to, link.told) {
-                    self.away.remove(&to);
+        link.last_received = now;
+        match message {
+            LinkMessage::Heartbeat(heartbeat) => {
+                let first = std::mem::replace(&mut link.echo, heartbeat.sequence) == 0;
+                link.remote_version = heartbeat.status.map(|status| status.version);
+                link.list = heartbeat.status.and_then(|status| link.known_list(now, heartbeat.echo, &status));
+                if let (Some(to), Some(_)) = (link.to, link.list) {
+                    self.reconnect_backoff.remove(&to);
                 }
-                let answer = first && link.beats.is_empty();
-                self.pass_on(now, number, todo);
-                if answer {
-                    self.beat_on(now, number, todo);
+                let reply = first && link.heartbeats.is_empty();
+                self.push_update(now, number, outputs);
+                if reply {
+                    self.send_heartbeat(now, number, outputs);
                 }
             }
-            LinkMessage::ListRequest(base) => self.send(now, number, base, todo),
-            LinkMessage::ListUpdate(news) => self.news(now, number, news, todo),
-            // A link has been followed already, and whole views are asked for on links of their own.
+            LinkMessage::ListRequest(base) => self.send_update(now, number, base, outputs),
+            LinkMessage::ListUpdate(update) => self.on_update(now, number, update, outputs),
+            // This link has been subscribed already, and whole views are requested on links of their own.
             LinkMessage::Subscribe | LinkMessage::ViewRequest | LinkMessage::View(_) => {
-                self.end(now, number, todo)
+                self.close_link(now, number, outputs)
             }
         }
     }
 
-    /// Sends what is held to who is known not to have it, if it was not sent there already: changes, or all to who holds
-    /// nothing. Anybody else is told of it and asks. False if nothing was sent though there is something.
-    fn pass_on(&mut self, now: At, number: u64, todo: &mut Vec<ListsOutput>) -> bool {
-        let (Some(held), Some(link)) = (self.held, self.links.get(&number)) else { return true };
-        let version = held.version;
-        if link.echo == 0 || link.holds == Some(version) || link.sent == Some(version) {
+    /// Sends the current list to a far side that does not have it, unless it was sent already: the changes, or the whole list if the far
+    /// side has none. False if the far side's version is too old for that: it learns of the list by a heartbeat and requests it.
+    fn push_update(&mut self, now: At, number: u64, outputs: &mut Vec<ListsOutput>) -> bool {
+        let (Some(current), Some(link)) = (self.current, self.links.get(&number)) else { return true };
+        let version = current.version;
+        if link.echo == 0 || link.remote_version == Some(version) || link.sent_version == Some(version) {
             return true;
         }
-        let base = link.holds.or(link.sent);
-        let sends = base.is_none_or(|base| self.catalog.has_changes_since(base));
-        if sends {
-            self.send(now, number, base, todo);
+        let base = link.remote_version.or(link.sent_version);
+        let can_send = base.is_none_or(|base| self.catalog.has_changes_since(base));
+        if can_send {
+            self.send_update(now, number, base, outputs);
         }
-        sends
+        can_send
     }
 
-    fn send(&mut self, now: At, number: u64, base: Option<ListVersion>, todo: &mut Vec<ListsOutput>) {
-        let (Some(held), Some(link)) = (self.held, self.links.get_mut(&number)) else { return };
-        link.sent = Some(held.version);
-        let (echo, told) = (link.echo, held.told(now));
+    fn send_update(
+        &mut self,
+        now: At,
+        number: u64,
+        base: Option<ListVersion>,
+        outputs: &mut Vec<ListsOutput>,
+    ) {
+        let (Some(current), Some(link)) = (self.current, self.links.get_mut(&number)) else { return };
+        link.sent_version = Some(current.version);
+        let (echo, status) = (link.echo, current.status(now));
         let difference = self.catalog.changes_since(base);
         let mut parts = vec![Vec::new()];
         let mut bytes = 0;
         for entry in difference.entries {
-            bytes += size(&entry);
-            if bytes > PART && !parts.last().is_some_and(Vec::is_empty) {
+            bytes += entry_bytes(&entry);
+            if bytes > MAX_PART_BYTES && !parts.last().is_some_and(Vec::is_empty) {
                 parts.push(Vec::new());
-                bytes = size(&entry);
+                bytes = entry_bytes(&entry);
             }
             parts.last_mut().expect("one").push(entry);
         }
         let count = parts.len();
         for (n, entries) in parts.into_iter().enumerate() {
-            let news =
-                ListUpdate { echo, status: told, base: difference.base, entries, last: n + 1 == count };
-            todo.push(ListsOutput::Send(number, LinkMessage::ListUpdate(news)));
+            let update = ListUpdate { echo, status, base: difference.base, entries, last: n + 1 == count };
+            outputs.push(ListsOutput::Send(number, LinkMessage::ListUpdate(update)));
         }
     }
 
-    fn news(&mut self, now: At, number: u64, news: ListUpdate, todo: &mut Vec<ListsOutput>) {
+    fn on_update(&mut self, now: At, number: u64, update: ListUpdate, outputs: &mut Vec<ListsOutput>) {
         let Some(link) = self.links.get_mut(&number) else { return };
-        link.coming_bytes += news.entries.iter().map(size).sum::<usize>();
-        if link.coming_bytes > self.config.max_bytes {
-            return self.end(now, number, todo);
+        link.partial_bytes += update.entries.iter().map(entry_bytes).sum::<usize>();
+        if link.partial_bytes > self.config.max_bytes {
+            return self.close_link(now, number, outputs);
         }
-        link.coming.extend(news.entries);
-        if !news.last {
+        link.partial_update.extend(update.entries);
+        if !update.last {
             return;
         }
-        (link.coming_bytes, link.holds) = (0, Some(news.status.version));
-        let entries = std::mem::take(&mut link.coming);
-        let Some(known) = link.known(now, news.echo, &news.status) else { return };
-        link.told = Some(known);
-        let counts = self.heeded(now).iter().any(|(from, _)| *from == Some(number));
-        if !counts || self.held.is_some_and(|held| !known.supersedes(&held)) {
+        (link.partial_bytes, link.remote_version) = (0, Some(update.status.version));
+        let entries = std::mem::take(&mut link.partial_update);
+        let Some(known) = link.known_list(now, update.echo, &update.status) else { return };
+        link.list = Some(known);
+        let eligible = self.eligible_lists(now).iter().any(|(from, _)| *from == Some(number));
+        if !eligible || self.current.is_some_and(|current| !known.supersedes(&current)) {
             return;
         }
-        let whole = news.base.is_none();
-        let difference = Difference { base: news.base, version: known.version, entries };
+        let whole = update.base.is_none();
+        let difference = Difference { base: update.base, version: known.version, entries };
         match self.catalog.apply(&difference) {
             Some(catalog) => {
-                (self.catalog, self.held) = (catalog, Some(known));
-                self.spread(now, todo);
+                (self.catalog, self.current) = (catalog, Some(known));
+                self.announce_change(now, outputs);
             }
-            // It was from another list than is held by now; a whole one that is not what it says is none.
-            None if whole => self.end(now, number, todo),
-            None => todo.push(ListsOutput::Send(number, LinkMessage::ListRequest(None))),
+            // A whole list without the stated version ends the link; changes to another version than the current one do not apply, so
+            // the whole list is requested.
+            None if whole => self.close_link(now, number, outputs),
+            None => outputs.push(ListsOutput::Send(number, LinkMessage::ListRequest(None))),
         }
     }
 
-    /// What is held is another list: all who may not have it hear of it at once.
-    fn spread(&mut self, now: At, todo: &mut Vec<ListsOutput>) {
-        todo.push(ListsOutput::ListChanged);
+    /// Tells all links at once that the current list has changed.
+    fn announce_change(&mut self, now: At, outputs: &mut Vec<ListsOutput>) {
+        outputs.push(ListsOutput::ListChanged);
         for number in self.links.keys().copied().collect::<Vec<_>>() {
-            if !self.pass_on(now, number, todo) {
-                self.beat_on(now, number, todo);
+            if !self.push_update(now, number, outputs) {
+                self.send_heartbeat(now, number, outputs);
             }
         }
     }
 
-    /// How often the service had lost its memory when it told such a generation, to a call that began at a time. What others
-    /// saw counts only if the answer surely came after it: one that was long on its way may be from before the loss.
-    fn memory(&self, began: At, generation: u64) -> u64 {
-        let told = self.links.values().filter_map(|link| link.told);
-        match self.held {
-            Some(held) if generation >= held.version.generation => held.resets,
-            // A loss that others saw before is not counted again.
-            Some(held) => told.map(|told| told.resets).fold(held.resets.saturating_add(1), u64::max),
+    /// How many losses of state the list service has had when it answers a call, begun at a time, with a generation. Losses seen by
+    /// others count only if the answer is certainly later than them: a delayed answer may be from before the loss.
+    fn resets_at(&self, began: At, generation: u64) -> u64 {
+        let lists = self.links.values().filter_map(|link| link.list);
+        match self.current {
+            Some(current) if generation >= current.version.generation => current.resets,
+            // A loss that others have observed is not counted again.
+            Some(current) => lists.map(|known| known.resets).fold(current.resets.saturating_add(1), u64::max),
             None => {
-                let before = told.filter(|told| began >= told.latest);
-                let lost = |told: &KnownList| u64::from(generation < told.version.generation);
-                before.map(|told| told.resets.saturating_add(lost(&told))).max().unwrap_or(0)
+                let earlier = lists.filter(|known| began >= known.latest);
+                let lost = |known: &KnownList| u64::from(generation < known.version.generation);
+                earlier.map(|known| known.resets.saturating_add(lost(&known))).max().unwrap_or(0)
             }
         }
     }
 
-    fn answered(&mut self, now: At, began: At, said: (u64, bool, Vec<Entry>), todo: &mut Vec<ListsOutput>) {
-        let (generation, whole, entries) = said;
-        let base = self.asking.replace(self.held.map(|held| held.version)).flatten();
-        (self.failures, self.not_before, self.ask_at) = (0, now, None);
+    fn on_answer(
+        &mut self,
+        now: At,
+        began: At,
+        answer: (u64, bool, Vec<Entry>),
+        outputs: &mut Vec<ListsOutput>,
+    ) {
+        let (generation, whole, entries) = answer;
+        let base = self.call_in_flight.replace(self.current.map(|current| current.version)).flatten();
+        (self.failures, self.retry_at, self.poll_at) = (0, now, None);
         if !whole && base != Some(self.catalog.version()) {
-            // Others' word came meanwhile, and the next call asks on from that.
+            // A list from others was adopted meanwhile; the next call asks for the changes since that one.
             return;
         }
-        let fell = !whole && generation < self.catalog.version().generation;
+        let generation_fell = !whole && generation < self.catalog.version().generation;
         let catalog = self.catalog.updated(generation, whole, entries);
         let origin = self.config.me;
-        let resets = self.memory(began, generation);
+        let resets = self.resets_at(began, generation);
         let known =
             KnownList { version: catalog.version(), resets, earliest: began, latest: now, origin, hops: 0 };
-        self.direct = Some(known);
-        match &mut self.held {
-            // It lost its memory: what changed since says nothing of what is left.
-            _ if fell => self.doubt = true,
-            Some(held) if held.version == known.version => {
-                held.confirm(&known);
-                self.doubt = false;
+        self.own_answer = Some(known);
+        match &mut self.current {
+            // The service lost its state: changes since then do not tell which entries are left.
+            _ if generation_fell => self.needs_full_list = true,
+            Some(current) if current.version == known.version => {
+                current.confirm(&known);
+                self.needs_full_list = false;
             }
-            Some(held) if !known.supersedes(held) => self.doubt = true,
+            Some(current) if !known.supersedes(current) => self.needs_full_list = true,
             _ => {
-                (self.catalog, self.held, self.doubt) = (catalog, Some(known), false);
-                self.spread(now, todo);
+                (self.catalog, self.current, self.needs_full_list) = (catalog, Some(known), false);
+                self.announce_change(now, outputs);
             }
         }
-        if !self.doubt
-            && let Some((said, _)) = self.odd.take()
+        if !self.needs_full_list
+            && let Some((versions, _)) = self.conflict.take()
         {
-            self.deny(now, generation, said);
+            self.reject_unknown(now, generation, versions);
         }
     }
 
-    /// Of the lists that others went on passing on, those that come after what the service says now were never told by it.
-    fn deny(&mut self, now: At, generation: u64, said: BTreeSet<ListVersion>) {
-        self.false_ones.retain(|_, until| now < *until);
-        let room = MOST_FALSE - self.false_ones.len().min(MOST_FALSE);
-        let false_ones = said.into_iter().filter(|version| version.generation > generation).take(room);
-        self.false_ones.extend(false_ones.map(|version| (version, now + FALSE)));
+    /// Rejects those of the conflicting versions whose generation is above the list service's present one: it never returned them.
+    fn reject_unknown(&mut self, now: At, generation: u64, versions: BTreeSet<ListVersion>) {
+        self.rejected_versions.retain(|_, until| now < *until);
+        let room = MAX_REJECTED - self.rejected_versions.len().min(MAX_REJECTED);
+        let rejected_versions =
+            versions.into_iter().filter(|version| version.generation > generation).take(room);
+        self.rejected_versions.extend(rejected_versions.map(|version| (version, now + REJECTED_FOR)));
     }
 
-    fn failed(&mut self, now: At, torn: bool) {
-        // Others may have its word yet.
-        (self.asking, self.direct) = (None, None);
+    fn on_call_failed(&mut self, now: At, torn: bool) {
+        // Others may still have a confirmed list.
+        (self.call_in_flight, self.own_answer) = (None, None);
         self.failures += 1;
-        let pause = (ASK_AGAIN * (1 << self.failures.min(5)) / 2).min(ASK_AGAIN_MOST);
-        // What broke off may have told of a drain.
-        self.not_before = if torn { now } else { now + pause.mul_f64(self.random.random_range(0.5..1.5)) };
-        // Whose turn it was has it again after all others.
-        if self.ask_at.is_some() {
-            let round = PERIOD * (rank::poll_delay(self.size()) + 1);
-            self.ask_at = Some(now + round.mul_f64(self.random.random_range(0.5..1.5)));
+        let delay = (MIN_POLL_RETRY_DELAY * (1 << self.failures.min(5)) / 2).min(MAX_POLL_RETRY_DELAY);
+        // The answer that broke off may have contained a drain.
+        self.retry_at = if torn { now } else { now + delay.mul_f64(self.random.random_range(0.5..1.5)) };
+        // An instance that polled in place of others tries again once all others have had their time.
+        if self.poll_at.is_some() {
+            let round = POLL_PERIOD * (rank::poll_delay(self.fleet_size()) + 1);
+            self.poll_at = Some(now + round.mul_f64(self.random.random_range(0.5..1.5)));
         }
     }
 
-    /// How many instances there are, as far as this one knows.
-    fn size(&self) -> usize {
+    /// The number of instances, as far as this one knows.
+    fn fleet_size(&self) -> usize {
         self.order.len().max(self.config.expected as usize)
     }
 
-    /// Whether this instance's place says something: it is a seed, which all know, or it knows most of all.
-    fn is_placed(&self) -> bool {
+    /// Whether this instance's position is meaningful: it is a seed, which all know, or it knows at least half of the instances.
+    fn has_reliable_position(&self) -> bool {
         self.config.seeds.contains(&self.config.me) || 2 * self.order.len() >= self.config.expected as usize
     }
 
-    fn take_turn(&mut self, now: At, todo: &mut Vec<ListsOutput>) {
-        let due = match self.held {
-            None => self.begun + GRACE,
-            Some(held) => (held.earliest + self.stale()).max(self.begun + GRACE),
+    fn update_polling(&mut self, now: At, outputs: &mut Vec<ListsOutput>) {
+        let due = match self.current {
+            None => self.started_at + START_GRACE,
+            Some(current) => (current.earliest + self.stale_after()).max(self.started_at + START_GRACE),
         };
-        let odd = self.odd.as_ref().is_some_and(|(_, since)| now >= *since + ODD);
-        let first = self.place < rank::POLLERS && self.is_placed();
-        let wanted = if first || self.stands_in(now) {
+        let conflict = self.conflict.as_ref().is_some_and(|(_, since)| now >= *since + CONFLICT_TOLERANCE);
+        let first = self.position < rank::POLLERS && self.has_reliable_position();
+        let should_poll = if first || self.stands_in(now) {
             true
-        } else if now >= due || odd {
-            let at = match self.ask_at {
+        } else if now >= due || conflict {
+            let at = match self.poll_at {
                 Some(at) => at,
                 None => {
-                    let place = if self.is_placed() && !odd { self.place } else { self.lot() };
-                    now.max(due) + PERIOD * rank::poll_delay(place)
+                    let position = if self.has_reliable_position() && !conflict {
+                        self.position
+                    } else {
+                        self.random_position()
+                    };
+                    now.max(due) + POLL_PERIOD * rank::poll_delay(position)
                 }
             };
-            self.ask_at = Some(at);
+            self.poll_at = Some(at);
             now >= at
         } else {
-            self.ask_at = None;
+            self.poll_at = None;
             false
         };
-        // A call for the whole list that the service may have begun on is not thrown away.
-        let whole_is_out = self.asking == Some(None);
-        let turn = whole_is_out || (wanted && (self.asking.is_some() || now >= self.not_before));
-        if turn != self.turn {
-            self.turn = turn;
-            if !turn {
-                // Others' word counts again at once: this instance's own would hide what is news meanwhile.
-                (self.asking, self.direct) = (None, None);
+        // A call for the whole list is not cancelled, since the service may be working on it already.
+        let full_call_in_flight = self.call_in_flight == Some(None);
+        let poll =
+            full_call_in_flight || (should_poll && (self.call_in_flight.is_some() || now >= self.retry_at));
+        if poll != self.polling {
+            self.polling = poll;
+            if !poll {
+                // Lists from others count again at once; this instance's own answer would hide newer ones.
+                (self.call_in_flight, self.own_answer) = (None, None);
             }
-            todo.push(ListsOutput::Poll(turn));
+            outputs.push(ListsOutput::Poll(poll));
         }
     }
 
-    /// A place by lot: one's own says nothing where few are known, and nothing of who hears different lists.
-    fn lot(&mut self) -> usize {
-        self.random.random_range(0..self.size())
+    /// A random position, used where few instances are known and for conflicting lists, which any instance may have received.
+    fn random_position(&mut self) -> usize {
+        self.random.random_range(0..self.fleet_size())
     }
 
-    /// Whether this instance has the service's word in place of those that come before it, and none of them has it again.
+    /// Whether this instance has a fresh answer in place of those that precede it, and none of them has a fresh list again.
     fn stands_in(&self, now: At) -> bool {
-        let before = |origin: &SocketAddr| self.order[..self.place].contains(origin);
-        let told = self.links.values().filter_map(|link| link.told);
-        let again = told.filter(|known| self.is_fresh(known, now)).any(|known| before(&known.origin));
-        self.direct.is_some_and(|direct| self.is_fresh(&direct, now)) && (!again || self.doubt)
-    }
-
-    /// Links to whom this instance is to hear.
-    fn choose(&mut self, now: At, todo: &mut Vec<ListsOutput>) {
-        let may = |one: &&SocketAddr| self.away.get(*one).is_none_or(|(until, _)| now >= *until);
-        let chosen: Vec<_> = self.parents.iter().filter(may).take(rank::PARENTS).copied().collect();
+        let precedes = |origin: &SocketAddr| self.order[..self.position].contains(origin);
+        let lists = self.links.values().filter_map(|link| link.list);
+        let taken_over = lists.filter(|known| self.is_fresh(known, now)).any(|known| precedes(&known.origin));
+        self.own_answer.is_some_and(|own_answer| self.is_fresh(&own_answer, now))
+            && (!taken_over || self.needs_full_list)
+    }
+
+    /// Opens and closes links to the preferred parents.
+    fn update_links(&mut self, now: At, outputs: &mut Vec<ListsOutput>) {
+        let reachable =
+            |one: &&SocketAddr| self.reconnect_backoff.get(*one).is_none_or(|(until, _)| now >= *until);
+        let chosen: Vec<_> = self.parents.iter().filter(reachable).take(rank::PARENTS).copied().collect();
         let linked: Vec<_> =
-            self.links.iter().filter_map(|(n, link)| Some((*n, link.to?, link.told))).collect();
-        let has = |one: &SocketAddr| linked.iter().any(|(_, to, _)| to == one) || self.opening.contains(one);
-        let absent: Vec<_> = chosen.iter().filter(|one| !has(one)).copied().collect();
+            self.links.iter().filter_map(|(n, link)| Some((*n, link.to?, link.list))).collect();
+        let is_linked =
+            |one: &SocketAddr| linked.iter().any(|(_, to, _)| to == one) || self.opening.contains(one);
+        let missing: Vec<_> = chosen.iter().filter(|one| !is_linked(one)).copied().collect();
         let mut room = rank::PARENTS.saturating_sub(linked.len() + self.opening.len());
-        if room == 0 && !absent.is_empty() && now >= self.choose_at && self.opening.is_empty() {
-            // One more for a while; what is left over goes once the new one has spoken.
+        if room == 0 && !missing.is_empty() && now >= self.next_link_change && self.opening.is_empty() {
+            // Allows one more for a while; a surplus link is closed once all of them have a fresh list.
             room = usize::from(linked.len() <= rank::PARENTS);
-            self.choose_at = now + CHOOSE_AGAIN.mul_f64(self.random.random_range(1.0..2.0));
+            self.next_link_change =
+                now + MIN_LINK_CHANGE_INTERVAL.mul_f64(self.random.random_range(1.0..2.0));
         }
-        for one in absent.into_iter().take(room) {
+        for one in missing.into_iter().take(room) {
             self.opening.insert(one);
-            todo.push(ListsOutput::Open(one));
+            outputs.push(ListsOutput::Open(one));
         }
-        let spoken =
-            linked.iter().filter(|(.., told)| told.is_some_and(|told| self.is_fresh(&told, now))).count();
-        if linked.len() > rank::PARENTS && spoken == linked.len() {
-            let left = linked.iter().find(|(_, to, _)| !chosen.contains(to)).or(linked.last());
-            if let Some((number, ..)) = left {
+        let fresh =
+            linked.iter().filter(|(.., list)| list.is_some_and(|list| self.is_fresh(&list, now))).count();
+        if linked.len() > rank::PARENTS && fresh == linked.len() {
+            let surplus = linked.iter().find(|(_, to, _)| !chosen.contains(to)).or(linked.last());
+            if let Some((number, ..)) = surplus {
                 self.links.remove(number);
-                todo.push(ListsOutput::Close(*number));
+                outputs.push(ListsOutput::Close(*number));
             }
         }
     }
 }
 
 impl Link {
-    /// What the far side says, on this instance's clock; none where it echoes nothing that was said here: then it is not known
-    /// when it was said, nor by whom.
-    fn known(&self, now: At, echo: u64, told: &ListStatus) -> Option<KnownList> {
-        let (_, said) = self.beats.iter().find(|(number, _)| *number == echo)?;
-        let earliest = said.saturating_sub(told.max_age);
-        let latest = now.saturating_sub(told.min_age).max(earliest);
-        let ListStatus { version, resets, origin, hops, .. } = *told;
+    /// The far side's list on this instance's clock; `None` if it does not echo a heartbeat of this link: then it is not known when the
+    /// status was sent, nor by whom.
+    fn known_list(&self, now: At, echo: u64, status: &ListStatus) -> Option<KnownList> {
+        let (_, sent_at) = self.heartbeats.iter().find(|(number, _)| *number == echo)?;
+        let earliest = sent_at.saturating_sub(status.max_age);
+        let latest = now.saturating_sub(status.min_age).max(earliest);
+        let ListStatus { version, resets, origin, hops, .. } = *status;
         Some(KnownList { version, resets, earliest, latest, origin, hops: hops.saturating_add(1) })
     }
 }
 
-fn size((name, text): &Entry) -> usize {
+fn entry_bytes((name, text): &Entry) -> usize {
     name.len() + text.as_ref().map_or(0, String::len)
 }
--- a/instances/src/simulation/lists.rs
+++ b/instances/src/simulation/lists.rs
@@ -1,4 +1,4 @@
-//! Lists between many instances: one seed drives links, processes and the list service.
+//! Simulates list replication between many instances; one random seed determines the links, the processes and the list service.
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -8,34 +8,36 @@
 use crate::{At, Catalog, Entry, LinkMessage, ListVersion, Lists, ListsConfig, ListsInput, ListsOutput};
 
 const MUST_ASK_IN: Duration = Duration::from_secs(8);
-/// A watch waits for so long, and a call is given up after that and two seconds.
-const WAIT: Duration = Duration::from_millis(800);
-/// Generations begin after this.
-const MEMORY: u64 = 1_000_000;
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How long a watch waits for a change. A call times out two seconds later.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(800);
+/// The first generation is the one after this.
+const INITIAL_GENERATION: u64 = 1_000_000;
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What happens at a time.
-enum Step {
-    Time(usize, u64),
+/// A scheduled event.
+enum Event {
+    /// A timer of an instance's run is due.
+    Timer(usize, u64),
+    /// An instance's run learns of changed members.
     Members(usize, u64),
-    /// A link to somebody comes up.
+    /// A requested link opens.
     Open {
         link: u64,
         from: (usize, u64),
         to: usize,
     },
-    /// A word on a link.
+    /// A message arrives on a link.
     Message {
         link: u64,
         from: usize,
         to: usize,
-        word: LinkMessage,
+        message: LinkMessage,
     },
     Closed {
         link: u64,
         at: usize,
     },
-    Service {
+    ServiceAnswer {
         who: usize,
         call: u64,
         answer: Option<(u64, bool, Vec<Entry>)>,
@@ -46,106 +48,107 @@
 pub struct Node {
     /// Its state machine.
     pub lists: Lists,
-    /// Whether it is to call the list service.
+    /// Whether it polls the list service.
     pub polling: bool,
-    /// The call that is out, its number and when it began.
+    /// The call in flight: its number and when it began.
     call: Option<(u64, At)>,
 }
 
-/// The list service: one call at a time.
+/// The list service. It answers calls for the whole list one at a time.
 pub struct Service {
     generation: u64,
-    /// Counts the times that it lost its memory.
+    /// How often it lost its state.
     pub resets: u64,
     entries: BTreeMap<String, String>,
     changes: Vec<(u64, Entry)>,
-    free_at: At,
-    /// Time that a call for the whole list takes.
+    idle_at: At,
+    /// How long a call for the whole list takes.
     pub full_call_time: Duration,
-    /// It refuses every call.
+    /// Whether it refuses all calls.
     pub down: bool,
-    /// Calls for the whole list, and calls that failed. Watches that go on are not counted.
+    /// Calls for the whole list, and calls that failed. Continued watches are not counted.
     pub calls: u32,
-    /// Watches that go on.
+    /// Continued watches.
     pub watches: u32,
-    /// Watches that wait: who, call, index.
+    /// Watches waiting for a change: the instance, the call and the index.
     waiting: Vec<(usize, u64, u64)>,
 }
 
-/// Instances, their links and their list service, driven by one seed.
+/// Simulated instances, the links between them and their list service.
 pub struct Network {
-    /// The present, on the clock of the simulation.
+    /// The present time on the simulation's clock.
     pub now: At,
-    steps: BTreeMap<(At, u64), Step>,
-    turn: u64,
+    events: BTreeMap<(At, u64), Event>,
+    last_event: u64,
     random: StdRng,
-    /// The instances by number; none where no process runs.
+    /// The instances by number; `None` where no process runs.
     pub nodes: Vec<Option<Node>>,
-    lives: Vec<u64>,
-    /// When each is to hear of the time next, and in which incarnation.
-    due: Vec<(u64, At)>,
-    /// Who is about to hear that others have come or gone.
-    to_see: Vec<bool>,
-    /// Instances whose process is stopped.
+    /// The number of processes that each instance has had; an event of an earlier one is obsolete.
+    runs: Vec<u64>,
+    /// The run and the time of the timer that is set for each instance.
+    timers: Vec<(u64, At)>,
+    /// Whether each instance is about to learn of changed members.
+    members_scheduled: Vec<bool>,
+    /// Instances whose process is paused.
     pub paused: HashSet<usize>,
-    unread: HashMap<usize, Vec<Step>>,
-    /// Instances on different sides do not hear each other.
+    unread: HashMap<usize, Vec<Event>>,
+    /// The partition that each instance is in; messages do not cross partitions.
     pub partition: Vec<u32>,
-    /// Those whose way to the service is cut.
+    /// Instances that cannot reach the list service.
     pub cut_off: HashSet<usize>,
     links: HashMap<u64, (usize, usize)>,
-    /// When the last word on a link arrives, so that none overtakes another.
-    arrives: HashMap<(u64, usize), At>,
+    /// When the last message sent on a link arrives, so that messages stay in order.
+    last_arrivals: HashMap<(u64, usize), At>,
     /// The list service.
     pub service: Service,
     /// Bytes that each instance sent over links.
     pub sent: Vec<u64>,
     /// Entries among them.
     pub entries_sent: Vec<u64>,
-    /// Time that each instance's state machine took, by this machine's clock.
+    /// Real time that each instance's state machine took.
     pub handling_time: Vec<Duration>,
-    /// How long ago each list was the service's, by version.
-    ages: HashMap<ListVersion, usize>,
-    /// The last list that each holds, and when it came to hold it.
-    held: Vec<Option<(usize, At)>>,
-    /// Lists that gave way to older ones.
+    /// The order in which the service's versions came into being.
+    ordinals: HashMap<ListVersion, usize>,
+    /// The ordinal of each instance's current version, and since when it has that version.
+    current_ordinals: Vec<Option<(usize, At)>>,
+    /// When which instance replaced its list by an older one.
     pub regressions: Vec<(At, usize)>,
-    /// Least and greatest delay of a word, in seconds.
+    /// The least and the greatest delay of a message, in seconds.
     pub delay: (f64, f64),
 }
 
 impl Service {
-    /// How many entries there are.
+    /// The number of entries in the list.
     pub fn entry_count(&self) -> usize {
         self.entries.len()
     }
 }
 
 impl Network {
-    /// An empty network with room for so many instances, and a list of ten entries.
+    /// A network for this many instances, none of them started, and a list of ten entries.
     pub fn new(count: usize, seed: u64) -> Network {
         let entries = BTreeMap::new();
         let mut net = Network {
             now: secs(100.0),
-            steps: BTreeMap::new(),
-            turn: 0,
+            events: BTreeMap::new(),
+            last_event: 0,
             random: StdRng::seed_from_u64(seed),
             nodes: (0..count).map(|_| None).collect(),
-            lives: vec![0; count],
-            due: vec![(0, At::ZERO); count],
-            to_see: vec![false; count],
+            runs: vec![0; count],
+            timers: vec![(0, At::ZERO); count],
+            members_scheduled: vec![false; count],
             paused: HashSet::new(),
             unread: HashMap::new(),
             partition: vec![0; count],
             cut_off: HashSet::new(),
             links: HashMap::new(),
-            arrives: HashMap::new(),
+            last_arrivals: HashMap::new(),
             service: Service {
-                generation: MEMORY,
+                generation: INITIAL_GENERATION,
                 resets: 0,
                 entries,
                 changes: Vec::new(),
-                free_at: At::ZERO,
+                idle_at: At::ZERO,
                 full_call_time: secs(0.08),
                 down: false,
                 calls: 0,
@@ -155,8 +158,8 @@
             sent: vec![0; count],
             entries_sent: vec![0; count],
             handling_time: vec![Duration::ZERO; count],
-            ages: HashMap::new(),
-            held: vec![None; count],
+            ordinals: HashMap::new(),
+            current_ordinals: vec![None; count],
             regressions: Vec::new(),
             delay: (0.001, 0.01),
         };
@@ -164,29 +167,29 @@
         net
     }
 
-    fn put(&mut self, at: At, step: Step) {
-        self.turn += 1;
-        self.steps.insert((at.max(self.now), self.turn), step);
+    fn schedule(&mut self, at: At, event: Event) {
+        self.last_event += 1;
+        self.events.insert((at.max(self.now), self.last_event), event);
     }
 
-    fn delay(&mut self) -> Duration {
+    fn random_delay(&mut self) -> Duration {
         secs(self.random.random_range(self.delay.0..self.delay.1))
     }
 
-    /// The service has so many entries more, all at once, before anybody has asked.
+    /// Adds entries to the service's list, all in one change, before any instance has called.
     pub fn fill(&mut self, entries: impl IntoIterator<Item = (String, String)>) {
         self.service.entries.extend(entries);
         self.change(0);
     }
 
-    /// An entry changes at the service.
+    /// Changes an entry of the service's list.
     pub fn change(&mut self, n: usize) {
         let service = &self.service;
         let text = format!("{}/{}", service.resets, service.generation + 1);
         self.change_to(format!("n{n}"), text);
     }
 
-    /// An entry of the service has another text.
+    /// Sets the text of an entry of the service's list.
     pub fn change_to(&mut self, name: String, text: String) {
         let service = &mut self.service;
         service.generation += 1;
@@ -194,22 +197,22 @@
         service.changes.push((service.generation, (name, Some(text))));
         let whole = service.entries.iter().map(|(n, t)| (n.clone(), Some(t.clone()))).collect();
         let version = Catalog::default().updated(service.generation, true, whole).version();
-        self.ages.insert(version, self.ages.len());
+        self.ordinals.insert(version, self.ordinals.len());
         for (who, call, index) in std::mem::take(&mut self.service.waiting) {
             self.answer(who, call, Some(index), self.now);
         }
     }
 
-    /// It lost its memory, and counts anew.
+    /// The service loses its state and restarts its generation counter.
     pub fn reset_service(&mut self) {
         let service = &mut self.service;
         service.resets += 1;
-        // Always lower than before, as far as a play goes: that it counts anew from where it was could not be seen.
-        (service.generation, service.changes) = (MEMORY - service.resets * 1000, Vec::new());
+        // Restarts below all earlier generations of a simulation: a restart that reached a generation used before could not be detected.
+        (service.generation, service.changes) = (INITIAL_GENERATION - service.resets * 1000, Vec::new());
         (0..3).for_each(|n| self.change(n));
     }
 
-    /// A process of an instance starts.
+    /// Starts a process of an instance.
     pub fn start(&mut self, n: usize) {
         let config = ListsConfig {
             me: address(n),
@@ -218,134 +221,138 @@
             must_ask_in: MUST_ASK_IN,
             max_bytes: 1 << 20,
         };
-        self.lives[n] += 1;
+        self.runs[n] += 1;
         let lists = Lists::new(config, self.random.random(), self.now);
         self.nodes[n] = Some(Node { lists, polling: false, call: None });
-        (self.held[n], self.to_see[n]) = (None, false);
+        (self.current_ordinals[n], self.members_scheduled[n]) = (None, false);
         self.membership_changed();
-        self.put(self.now, Step::Time(n, self.lives[n]));
+        self.schedule(self.now, Event::Timer(n, self.runs[n]));
     }
 
-    /// A process ends without a word.
+    /// Kills an instance's process; its links break.
     pub fn kill(&mut self, n: usize) {
         self.nodes[n] = None;
         self.unread.remove(&n);
         self.paused.remove(&n);
-        let of: Vec<_> =
+        let links: Vec<_> =
             self.links.iter().filter(|(_, (a, b))| *a == n || *b == n).map(|(l, p)| (*l, *p)).collect();
-        for (link, (a, b)) in of {
+        for (link, (a, b)) in links {
             self.links.remove(&link);
-            self.put(self.now, Step::Closed { link, at: if a == n { b } else { a } });
+            self.schedule(self.now, Event::Closed { link, at: if a == n { b } else { a } });
         }
         self.membership_changed();
     }
 
-    /// Who is there has changed: all hear of it some time later.
+    /// Schedules the news of changed members for all instances, at random delays.
     pub fn membership_changed(&mut self) {
         for n in 0..self.nodes.len() {
-            if self.nodes[n].is_some() && !std::mem::replace(&mut self.to_see[n], true) {
+            if self.nodes[n].is_some() && !std::mem::replace(&mut self.members_scheduled[n], true) {
                 let after = secs(self.random.random_range(0.3..2.5));
-                self.put(self.now + after, Step::Members(n, self.lives[n]));
+                self.schedule(self.now + after, Event::Members(n, self.runs[n]));
             }
         }
     }
 
-    /// An instance handles an event, and the network carries out what it wants.
-    pub fn handle(&mut self, n: usize, heard: ListsInput) {
+    /// Passes an input to an instance and carries out its outputs.
+    pub fn handle(&mut self, n: usize, input: ListsInput) {
         let now = self.now;
         let Some(node) = &mut self.nodes[n] else { return };
         let began = Instant::now();
-        let todo = node.lists.handle(now, heard);
+        let outputs = node.lists.handle(now, input);
         self.handling_time[n] += began.elapsed();
-        for what in todo {
-            match what {
+        for output in outputs {
+            match output {
                 ListsOutput::Open(to) => {
                     let to = number(to).filter(|m| *m < self.nodes.len()).expect("known");
-                    self.turn += 1;
-                    let (link, delay) = (self.turn, self.delay());
-                    self.put(now + delay, Step::Open { link, from: (n, self.lives[n]), to });
+                    self.last_event += 1;
+                    let (link, delay) = (self.last_event, self.random_delay());
+                    self.schedule(now + delay, Event::Open { link, from: (n, self.runs[n]), to });
                 }
                 ListsOutput::Close(link) => {
                     if let Some((a, b)) = self.links.remove(&link) {
-                        let delay = self.delay();
-                        self.put(now + delay, Step::Closed { link, at: if a == n { b } else { a } });
+                        let delay = self.random_delay();
+                        self.schedule(now + delay, Event::Closed { link, at: if a == n { b } else { a } });
                     }
                 }
-                ListsOutput::Send(link, word) => {
+                ListsOutput::Send(link, message) => {
                     let Some(&(a, b)) = self.links.get(&link) else { continue };
-                    // As it goes over the wire.
-                    let bytes = word.encode();
+                    // Encodes and decodes it as on the wire.
+                    let bytes = message.encode();
                     self.sent[n] += (LINK_FRAME_OVERHEAD + bytes.len()) as u64;
-                    if let LinkMessage::ListUpdate(news) = &word {
-                        self.entries_sent[n] += news.entries.len() as u64;
+                    if let LinkMessage::ListUpdate(update) = &message {
+                        self.entries_sent[n] += update.entries.len() as u64;
                     }
-                    let word = LinkMessage::decode(&bytes).expect("a word");
-                    let (to, delay) = (if a == n { b } else { a }, self.delay());
-                    let last = self.arrives.entry((link, to)).or_default();
+                    let message = LinkMessage::decode(&bytes).expect("a valid message");
+                    let (to, delay) = (if a == n { b } else { a }, self.random_delay());
+                    let last = self.last_arrivals.entry((link, to)).or_default();
                     *last = (*last).max(now + delay);
                     let at = *last;
-                    self.put(at, Step::Message { link, from: n, to, word });
+                    self.schedule(at, Event::Message { link, from: n, to, message });
                 }
                 ListsOutput::Poll(poll) => {
-                    let node = self.nodes[n].as_mut().expect("live");
+                    let node = self.nodes[n].as_mut().expect("running");
                     node.polling = poll;
                     if !poll {
                         node.call = None;
                     }
                 }
                 ListsOutput::ListChanged => {
-                    let held = self.nodes[n].as_ref().and_then(|node| node.lists.current()).expect("changed");
-                    let age = self.ages.get(&held.version).copied();
-                    if let (Some((before, _)), Some(age)) = (self.held[n], age)
-                        && age < before
+                    let current =
+                        self.nodes[n].as_ref().and_then(|node| node.lists.current()).expect("changed");
+                    let ordinal = self.ordinals.get(&current.version).copied();
+                    if let (Some((previous, _)), Some(ordinal)) = (self.current_ordinals[n], ordinal)
+                        && ordinal < previous
                     {
                         self.regressions.push((now, n));
                     }
-                    self.held[n] = age.map(|age| (age, now));
+                    self.current_ordinals[n] = ordinal.map(|ordinal| (ordinal, now));
                 }
             }
         }
-        self.ask(n);
+        self.poll(n);
         let due = self.nodes[n].as_ref().map(|node| node.lists.due());
-        if let Some(due) = due.filter(|due| self.due[n] != (self.lives[n], *due)) {
-            self.due[n] = (self.lives[n], due);
-            self.put(due, Step::Time(n, self.lives[n]));
+        if let Some(due) = due.filter(|due| self.timers[n] != (self.runs[n], *due)) {
+            self.timers[n] = (self.runs[n], due);
+            self.schedule(due, Event::Timer(n, self.runs[n]));
         }
     }
 
-    /// Calls the service, if it is this one's turn and no call is out.
-    fn ask(&mut self, n: usize) {
+    /// Calls the service if the instance polls and has no call in flight.
+    fn poll(&mut self, n: usize) {
         let Some(node) = &mut self.nodes[n] else { return };
         if !node.polling || node.call.is_some() {
             return;
         }
-        let first = node.lists.watch_index();
-        self.turn += 1;
-        let (call, now) = (self.turn, self.now);
+        let watch_index = node.lists.watch_index();
+        self.last_event += 1;
+        let (call, now) = (self.last_event, self.now);
         node.call = Some((call, now));
-        // Nothing but the time of the call is said here, and its turn cannot end by that.
-        let todo = node.lists.handle(now, ListsInput::CallStarted);
-        assert!(!todo.iter().any(|t| matches!(t, ListsOutput::Poll(false))));
+        // This input only reports the start of the call, so it does not stop the polling.
+        let outputs = node.lists.handle(now, ListsInput::CallStarted);
+        assert!(!outputs.iter().any(|t| matches!(t, ListsOutput::Poll(false))));
         self.service.calls += 1;
         if self.cut_off.contains(&n) {
-            let after = if first.is_some() { WAIT + PATIENCE } else { 3 * PATIENCE };
-            return self.put(now + after, Step::Service { who: n, call, answer: None });
+            let after = if watch_index.is_some() { WATCH_TIMEOUT + CALL_TIMEOUT } else { 3 * CALL_TIMEOUT };
+            return self.schedule(now + after, Event::ServiceAnswer { who: n, call, answer: None });
         }
         if self.service.down {
-            return self.put(now + secs(0.002), Step::Service { who: n, call, answer: None });
+            return self.schedule(now + secs(0.002), Event::ServiceAnswer { who: n, call, answer: None });
         }
-        let Some(index) = first else {
-            self.service.free_at = self.service.free_at.max(now) + self.service.full_call_time;
-            return self.answer(n, call, None, self.service.free_at);
+        let Some(index) = watch_index else {
+            self.service.idle_at = self.service.idle_at.max(now) + self.service.full_call_time;
+            return self.answer(n, call, None, self.service.idle_at);
         };
-        // A watch that goes on costs nothing; they all do here, but the first.
+        // A watch costs the service nothing, so it is counted separately.
         self.service.calls -= 1;
         self.service.watches += 1;
         if index == self.service.generation {
             self.service.waiting.push((n, call, index));
-            self.put(now + WAIT, Step::Service { who: n, call, answer: Some((index, false, Vec::new())) });
+            self.schedule(
+                now + WATCH_TIMEOUT,
+                Event::ServiceAnswer { who: n, call, answer: Some((index, false, Vec::new())) },
+            );
         } else {
-            self.answer(n, call, first, now);
+            self.answer(n, call, watch_index, now);
         }
     }
 
@@ -362,47 +369,49 @@
                 (service.generation, false, since.collect())
             }
         };
-        let delay = self.delay();
-        self.put(at + delay, Step::Service { who, call, answer: Some(answer) });
+        let delay = self.random_delay();
+        self.schedule(at + delay, Event::ServiceAnswer { who, call, answer: Some(answer) });
     }
 
-    /// Lets so many seconds pass.
+    /// Advances the simulation by some seconds.
     pub fn run(&mut self, for_s: f64) {
         let end = self.now + secs(for_s);
-        while let Some(entry) = self.steps.first_entry().filter(|entry| entry.key().0 <= end) {
-            let ((at, _), step) = entry.remove_entry();
+        while let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= end) {
+            let ((at, _), event) = entry.remove_entry();
             self.now = self.now.max(at);
-            self.step(step);
+            self.dispatch(event);
         }
         self.now = end;
     }
 
-    fn step(&mut self, step: Step) {
-        let n = match &step {
-            Step::Time(n, _) | Step::Members(n, _) | Step::Closed { at: n, .. } => *n,
-            Step::Open { to: n, .. } | Step::Message { to: n, .. } | Step::Service { who: n, .. } => *n,
+    fn dispatch(&mut self, event: Event) {
+        let n = match &event {
+            Event::Timer(n, _) | Event::Members(n, _) | Event::Closed { at: n, .. } => *n,
+            Event::Open { to: n, .. }
+            | Event::Message { to: n, .. }
+            | Event::ServiceAnswer { who: n, .. } => *n,
         };
-        if self.paused.contains(&n) && !matches!(step, Step::Open { .. }) {
-            return self.unread.entry(n).or_default().push(step);
+        if self.paused.contains(&n) && !matches!(event, Event::Open { .. }) {
+            return self.unread.entry(n).or_default().push(event);
         }
-        match step {
-            Step::Time(n, incarnation) if incarnation == self.lives[n] => {
-                // An earlier one may have dealt with it.
+        match event {
+            Event::Timer(n, run) if run == self.runs[n] => {
+                // An earlier input may have handled it already.
                 if self.nodes[n].as_ref().is_some_and(|node| node.lists.due() <= self.now) {
                     self.handle(n, ListsInput::TimerDue);
                 }
             }
-            Step::Members(n, incarnation) if incarnation == self.lives[n] => {
-                self.to_see[n] = false;
-                let there = |m: &usize| {
+            Event::Members(n, run) if run == self.runs[n] => {
+                self.members_scheduled[n] = false;
+                let is_visible = |m: &usize| {
                     self.nodes[*m].is_some() && self.partition[*m] == self.partition[n] && *m != n
                 };
-                let members = (0..self.nodes.len()).filter(there).map(address).collect();
+                let members = (0..self.nodes.len()).filter(is_visible).map(address).collect();
                 self.handle(n, ListsInput::Members(members));
             }
-            Step::Time(..) | Step::Members(..) => {}
-            Step::Open { link, from: (from, incarnation), to } => {
-                if self.nodes[from].is_none() || self.lives[from] != incarnation {
+            Event::Timer(..) | Event::Members(..) => {}
+            Event::Open { link, from: (from, run), to } => {
+                if self.nodes[from].is_none() || self.runs[from] != run {
                     return;
                 }
                 if self.nodes[to].is_none()
@@ -415,28 +424,28 @@
                 self.handle(to, ListsInput::Opened { link, to: None });
                 self.handle(from, ListsInput::Opened { link, to: Some(address(to)) });
             }
-            Step::Message { link, from, to, word } => {
+            Event::Message { link, from, to, message } => {
                 if !self.links.contains_key(&link) {
                     return;
                 }
                 if self.partition[from] != self.partition[to] {
-                    // It is sent again until the way is whole.
+                    // Retransmits until the partition has healed, as TCP does.
                     let again = self.now + secs(0.2);
-                    return self.put(again, Step::Message { link, from, to, word });
+                    return self.schedule(again, Event::Message { link, from, to, message });
                 }
-                // The relay's socket layer follows a link at its first word.
-                if word != LinkMessage::Subscribe {
-                    self.handle(to, ListsInput::Received(link, word));
+                // The relay's socket layer handles the subscription itself.
+                if message != LinkMessage::Subscribe {
+                    self.handle(to, ListsInput::Received(link, message));
                 }
             }
-            Step::Closed { link, at } => self.handle(at, ListsInput::Closed(link)),
-            Step::Service { who, call, answer } => {
+            Event::Closed { link, at } => self.handle(at, ListsInput::Closed(link)),
+            Event::ServiceAnswer { who, call, answer } => {
                 let Some(node) = &mut self.nodes[who] else { return };
-                let Some((_, began)) = node.call.filter(|(out, _)| *out == call) else { return };
+                let Some((_, began)) = node.call.filter(|(in_flight, _)| *in_flight == call) else { return };
                 node.call = None;
-                self.service.waiting.retain(|(_, waits, _)| *waits != call);
-                let cut = self.cut_off.contains(&who) || self.service.down;
-                match answer.filter(|_| !cut) {
+                self.service.waiting.retain(|(_, waiting, _)| *waiting != call);
+                let failed = self.cut_off.contains(&who) || self.service.down;
+                match answer.filter(|_| !failed) {
                     Some((generation, whole, entries)) => {
                         self.handle(who, ListsInput::CallAnswered { began, generation, whole, entries });
                     }
@@ -446,28 +455,28 @@
         }
     }
 
-    /// A stopped process goes on, and reads what came meanwhile.
+    /// Resumes a paused process, which handles the events that arrived meanwhile.
     pub fn resume(&mut self, n: usize) {
         self.paused.remove(&n);
-        for step in self.unread.remove(&n).unwrap_or_default() {
-            self.step(step);
+        for event in self.unread.remove(&n).unwrap_or_default() {
+            self.dispatch(event);
         }
     }
 
-    /// Who of those that run does not hold the service's present list.
+    /// Running instances that do not have the service's present list.
     pub fn outdated(&self) -> Vec<usize> {
-        let newest = self.ages.len() - 1;
-        let live = (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some() && !self.paused.contains(n));
-        live.filter(|n| self.held[*n].is_none_or(|(age, _)| age != newest)).collect()
+        let newest = self.ordinals.len() - 1;
+        let running = (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some() && !self.paused.contains(n));
+        running.filter(|n| self.current_ordinals[*n].is_none_or(|(ordinal, _)| ordinal != newest)).collect()
     }
 
-    /// Runs until nobody is behind; gives how long that took.
-    pub fn run_until_converged(&mut self, most_s: f64) -> f64 {
+    /// Runs until all running instances have the present list; returns how many seconds that took.
+    pub fn run_until_converged(&mut self, limit_s: f64) -> f64 {
         let from = self.now;
         while !self.outdated().is_empty() {
             assert!(
-                self.now < from + secs(most_s),
-                "after {most_s} s these are behind: {:?}",
+                self.now < from + secs(limit_s),
+                "after {limit_s} s these instances have an older list: {:?}",
                 self.outdated()
             );
             self.run(0.05);
--- a/instances/tests/lists.rs
+++ b/instances/tests/lists.rs
@@ -1,10 +1,11 @@
-//! Lists between many instances in virtual time: one seed drives links, processes and the list service; the instances are the relay's own.
+//! List replication between many instances in virtual time. The instances are the state machines that the relay uses; one random seed
+//! determines the links, the processes and the list service.
 use onyxglade_instances::simulation::lists::Network as Net;
 use onyxglade_instances::simulation::secs;
 use onyxglade_instances::*;
 use proptest::prelude::*;
 
-/// All start within half a second.
+/// A network whose instances all start within half a second.
 fn started(count: usize, seed: u64) -> Net {
     let mut net = Net::new(count, seed);
     for n in 0..count {
@@ -22,81 +23,85 @@
 }
 
 #[test]
-fn a_cold_start_asks_the_service_twice_however_many_start() {
+fn a_cold_start_calls_the_service_twice_however_many_start() {
     for (count, seed) in [(1, 1), (3, 1), (30, 1), (30, 2), (300, 1), (300, 2)] {
         let mut net = started(count, seed);
         let took = net.run_until_converged(3.0);
-        assert!(count > 1 || took < 1.0, "one that is alone serves within its first second: {took}");
+        assert!(count > 1 || took < 1.0, "an instance that is alone serves within its first second: {took}");
         net.run(15.0);
         assert!(net.service.calls <= 4, "{count}: {} calls", net.service.calls);
         net.run(25.0);
-        // Each has no more to pass the word on to than a few times what is meant.
+        // No instance has more children than a few times the intended fan-out.
         let most = net.nodes.iter().flatten().map(|node| node.lists.links().1).max();
         assert!(most <= Some(64 + 3), "{count}: {most:?}");
         net.change(1);
-        let heard = net.run_until_converged(1.0);
+        let change = net.run_until_converged(1.0);
         println!(
-            "{count}: all hold it after {took:.2} s, {} calls; a change after {heard:.2} s",
+            "{count}: all have the list after {took:.2} s, {} calls; a change after {change:.2} s",
             net.service.calls
         );
     }
 }
 
 #[test]
-fn a_thousand_start_alike() {
+fn a_cold_start_of_a_thousand_calls_the_service_no_more_often() {
     let mut net = started(1000, 1);
     let took = net.run_until_converged(3.0);
     net.run(15.0);
     net.change(1);
-    let heard = net.run_until_converged(1.0);
-    println!("1000: all hold it after {took:.2} s, {} calls; a change after {heard:.2} s", net.service.calls);
+    let change = net.run_until_converged(1.0);
+    println!(
+        "1000: all have the list after {took:.2} s, {} calls; a change after {change:.2} s",
+        net.service.calls
+    );
     assert!(net.service.calls <= 4);
 }
 
 #[test]
-fn nobody_misses_a_change_when_an_asker_dies_hangs_or_is_cut_off_from_the_service() {
+fn no_change_is_missed_when_a_poller_crashes_hangs_or_is_cut_off_from_the_service() {
     for seed in 0..6 {
         let mut net = fleet(30, seed);
-        let askers: Vec<_> =
+        let pollers: Vec<_> =
             (0..30).filter(|n| net.nodes[*n].as_ref().is_some_and(|node| node.polling)).collect();
-        assert_eq!(askers.len(), 2);
-        // One of them: the other has the word.
+        assert_eq!(pollers.len(), 2);
+        // One poller fails: the other still receives the list.
         match seed % 3 {
-            0 => net.kill(askers[0]),
-            1 => drop(net.paused.insert(askers[0])),
-            _ => drop(net.cut_off.insert(askers[0])),
+            0 => net.kill(pollers[0]),
+            1 => drop(net.paused.insert(pollers[0])),
+            _ => drop(net.cut_off.insert(pollers[0])),
         }
         net.change(3);
         net.run(1.0);
-        // One that is cut off from the service listens to others only once its own word is old, or its call has failed.
-        assert!(net.outdated().iter().all(|n| *n == askers[0]), "seed {seed}: {:?}", net.outdated());
+        // A poller that is cut off from the service accepts lists of others only once its own answer is stale or its call has failed.
+        assert!(net.outdated().iter().all(|n| *n == pollers[0]), "seed {seed}: {:?}", net.outdated());
         net.run_until_converged(4.0);
-        // Both: others stand in once the word is half as old as it may be.
+        // Both pollers fail: others stand in once the list is half as old as it may be.
         match seed % 3 {
-            0 => net.kill(askers[1]),
-            1 => drop(net.paused.insert(askers[1])),
-            _ => drop(net.cut_off.insert(askers[1])),
+            0 => net.kill(pollers[1]),
+            1 => drop(net.paused.insert(pollers[1])),
+            _ => drop(net.cut_off.insert(pollers[1])),
         }
         net.change(4);
         let took = net.run_until_converged(8.0);
-        println!("seed {seed}: both gone, heard after {took:.2} s");
+        println!("seed {seed}: both pollers gone, all have the list after {took:.2} s");
         net.cut_off.clear();
-        askers
+        pollers
             .into_iter()
             .filter(|n| net.paused.contains(n))
             .collect::<Vec<_>>()
             .into_iter()
             .for_each(|n| net.resume(n));
         net.run(15.0);
-        let asking = net.nodes.iter().flatten().filter(|node| node.polling).count();
-        assert_eq!(asking, 2, "seed {seed}: who stood in has stepped back");
+        let polling = net.nodes.iter().flatten().filter(|node| node.polling).count();
+        assert_eq!(polling, 2, "seed {seed}: instances that stood in have stopped polling");
         assert_eq!(net.regressions, []);
     }
 }
 
-/// Whoever passes the word on to most is cut off from the service: what those hear who stand in goes up to them first.
+/// The first instances, which pass the list on to the most others, are cut off from the service: a change received by those that stand
+/// in has to travel up to them first.
 #[test]
-fn what_is_told_to_who_stands_in_is_heard_by_all_at_once() {
+fn a_change_received_by_instances_that_stand_in_reaches_all_at_once() {
     for seed in 0..6 {
         let mut net = fleet(30, seed);
         net.cut_off.extend(0..3);
@@ -106,7 +111,7 @@
             net.run_until_converged(1.0);
             net.run(0.37);
         }
-        // Nor is anything missed while the first take over again, one after the other.
+        // No change is missed either while the first instances take over again, one after the other.
         for n in 0..3 {
             net.cut_off.remove(&n);
             for n in 0..10 {
@@ -120,7 +125,7 @@
 }
 
 #[test]
-fn a_service_that_is_down_for_the_whole_start_is_asked_by_few_and_its_return_seen_by_all() {
+fn a_service_that_is_down_at_the_start_is_called_by_few_and_its_return_reaches_all() {
     let mut net = Net::new(300, 1);
     net.service.down = true;
     for n in 0..300 {
@@ -128,19 +133,19 @@
         net.run(0.002);
     }
     net.run(20.0);
-    let asked = net.service.calls;
-    assert!(asked < 300, "{asked} calls in 20 s");
+    let calls = net.service.calls;
+    assert!(calls < 300, "{calls} calls in 20 s");
     net.service.down = false;
     let took = net.run_until_converged(4.0);
     println!(
-        "down for 20 s: {asked} calls, {} at its return, all hold it after {took:.2} s",
-        net.service.calls - asked
+        "down for 20 s: {calls} calls, {} at its return, all have the list after {took:.2} s",
+        net.service.calls - calls
     );
-    assert!(net.service.calls - asked <= 30);
+    assert!(net.service.calls - calls <= 30);
 }
 
 #[test]
-fn a_slow_service_is_asked_no_more_often() {
+fn a_slow_service_is_called_no_more_often() {
     let mut net = Net::new(100, 1);
     net.service.full_call_time = secs(1.0);
     (0..100).for_each(|n| net.start(n));
@@ -150,22 +155,22 @@
 }
 
 #[test]
-fn a_service_that_lost_its_memory_is_followed_by_all_and_nobody_takes_what_was_before() {
+fn all_follow_a_service_that_lost_its_state_and_none_returns_to_an_older_list() {
     for seed in 0..4 {
         let mut net = fleet(30, seed);
         net.reset_service();
         let took = net.run_until_converged(8.0);
-        println!("seed {seed}: memory lost, all follow after {took:.2} s");
+        println!("seed {seed}: state lost, all have the new list after {took:.2} s");
         net.run(5.0);
         assert_eq!((net.outdated(), net.regressions.clone()), (vec![], vec![]), "seed {seed}");
     }
 }
 
 #[test]
-fn halves_that_were_apart_end_with_the_newest_list_and_no_older_one_in_between() {
+fn halves_that_were_partitioned_end_with_the_newest_list_and_no_older_one_in_between() {
     for seed in 0..4 {
         let mut net = Net::new(20, seed);
-        // The seeds are all on one side; only the other one can reach the service.
+        // The seeds are all in one half; only the other half can reach the service.
         (0..20).for_each(|n| net.partition[n] = u32::from(n >= 8));
         net.cut_off.extend(0..8);
         (0..20).for_each(|n| net.start(n));
@@ -180,30 +185,34 @@
     }
 }
 
-/// One that has the key and is among the first says what the service never said: who hears it and another asks the service.
+/// An instance that has the key and is among the first sends a list that the service never returned: instances that receive it beside
+/// another list poll the service.
 #[test]
-fn a_false_huge_generation_is_found_out_by_all() {
+fn a_false_list_with_a_huge_generation_is_rejected_by_all() {
     for seed in 0..4 {
         let mut net = fleet(30, seed);
-        let liar = (0..30).find(|n| net.nodes[*n].as_ref().is_some_and(|node| node.polling)).expect("one");
-        net.cut_off.insert(liar);
+        let faulty = (0..30).find(|n| net.nodes[*n].as_ref().is_some_and(|node| node.polling)).expect("one");
+        net.cut_off.insert(faulty);
         let before = net.service.calls;
-        let mut last_astray = 0;
+        let mut last_misled = 0;
         for tenths in 0..400 {
-            // As if the service had said it, again and again.
+            // Pretends again and again that the service returned the false list.
             if tenths % 3 == 0 {
                 let entries = vec![("n1".to_owned(), Some("false".to_owned()))];
                 let (generation, began) = (u64::MAX - 1, net.now);
-                net.handle(liar, ListsInput::CallStarted);
-                net.handle(liar, ListsInput::CallAnswered { began, generation, whole: true, entries });
+                net.handle(faulty, ListsInput::CallStarted);
+                net.handle(faulty, ListsInput::CallAnswered { began, generation, whole: true, entries });
             }
             net.run(0.1);
-            if net.outdated().iter().any(|n| *n != liar) {
-                last_astray = tenths;
+            if net.outdated().iter().any(|n| *n != faulty) {
+                last_misled = tenths;
             }
         }
-        println!("seed {seed}: astray for {last_astray} tenths, {} calls", net.service.calls - before);
-        assert!(last_astray < 300, "seed {seed}: astray after {last_astray} tenths of a second");
+        println!(
+            "seed {seed}: misled for {last_misled} tenths of a second, {} calls",
+            net.service.calls - before
+        );
+        assert!(last_misled < 300, "seed {seed}: misled after {last_misled} tenths of a second");
         assert!(net.service.calls - before < 120, "{}", net.service.calls - before);
     }
 }
@@ -211,9 +220,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever happened: as long as the service keeps its memory no list gives way to an older one, and once all is whole, all hold the newest and two ask.
+    /// After any faults: as long as the service keeps its state no list is replaced by an older one, and once the faults are over all have
+    /// the newest list and two instances poll.
     #[test]
-    fn any_faults_end_with_the_newest_list_for_all_and_never_an_older_one(
+    fn after_any_faults_all_have_the_newest_list_and_none_took_an_older_one(
         seed in any::<u64>(),
         faults in prop::collection::vec((0usize..12, 0usize..8, 1u32..40), 0..14),
     ) {
@@ -245,11 +255,12 @@
         net.membership_changed();
         net.run(25.0);
         prop_assert_eq!(net.outdated(), Vec::<usize>::new());
-        // A loss of memory that some have seen and others not, on links of a second, can lead one back for a moment: docs/instances.md.
+        // A loss of the service's state that only some instances have seen can, on links with delays of a second, lead an instance back to
+        // an older list for a moment: docs/instances.md.
         if net.service.resets == 0 {
             prop_assert_eq!(&net.regressions, &vec![]);
         }
-        let asking = net.nodes.iter().flatten().filter(|node| node.polling).count();
-        prop_assert_eq!(asking, 2);
+        let polling = net.nodes.iter().flatten().filter(|node| node.polling).count();
+        prop_assert_eq!(polling, 2);
     }
 }
