--- a/instances/src/count.rs
+++ b/instances/src/count.rs
@@ -31,7 +31,7 @@
 
     /// Sets how many instances are alive, this one among them.
     pub fn set_alive(&mut self, now: At, alive: u32) {
-        // Instances came back, and others may follow; or the first ones have gone since all were alive.
+        // Instances came back, and others may follow; or the first ones went down since all were counted as alive.
         if alive > self.alive || self.count <= f64::from(self.alive) {
             self.next_decay_at = self.next_decay_at.max(now + STABLE_FOR);
         }
--- a/instances/src/count/tests.rs
+++ b/instances/src/count/tests.rs
@@ -23,7 +23,8 @@
 }
 
 proptest! {
-    /// The count is never lower than the live instances nor higher than there ever were, and ends at the live instances.
+    /// The count is never lower than the number of live instances, never higher than the most ever alive or configured, and ends at the
+    /// number of live instances.
     #[test]
     fn the_count_lies_between_the_live_instances_and_the_most_there_ever_were(
         configured in 1u32..400,
--- a/instances/src/simulation/lists.rs
+++ b/instances/src/simulation/lists.rs
@@ -38,7 +38,7 @@
         at: usize,
     },
     ServiceAnswer {
-        who: usize,
+        instance: usize,
         call: u64,
         answer: Option<(u64, bool, Vec<Entry>)>,
     },
@@ -198,8 +198,8 @@
         let whole = service.entries.iter().map(|(n, t)| (n.clone(), Some(t.clone()))).collect();
         let version = Catalog::default().updated(service.generation, true, whole).version();
         self.ordinals.insert(version, self.ordinals.len());
-        for (who, call, index) in std::mem::take(&mut self.service.waiting) {
-            self.answer(who, call, Some(index), self.now);
+        for (instance, call, index) in std::mem::take(&mut self.service.waiting) {
+            self.answer(instance, call, Some(index), self.now);
         }
     }
 
@@ -333,10 +333,11 @@
         self.service.calls += 1;
         if self.cut_off.contains(&n) {
             let after = if watch_index.is_some() { WATCH_TIMEOUT + CALL_TIMEOUT } else { 3 * CALL_TIMEOUT };
-            return self.schedule(now + after, Event::ServiceAnswer { who: n, call, answer: None });
+            return self.schedule(now + after, Event::ServiceAnswer { instance: n, call, answer: None });
         }
         if self.service.down {
-            return self.schedule(now + secs(0.002), Event::ServiceAnswer { who: n, call, answer: None });
+            return self
+                .schedule(now + secs(0.002), Event::ServiceAnswer { instance: n, call, answer: None });
         }
         let Some(index) = watch_index else {
             self.service.idle_at = self.service.idle_at.max(now) + self.service.full_call_time;
@@ -349,14 +350,14 @@
             self.service.waiting.push((n, call, index));
             self.schedule(
                 now + WATCH_TIMEOUT,
-                Event::ServiceAnswer { who: n, call, answer: Some((index, false, Vec::new())) },
+                Event::ServiceAnswer { instance: n, call, answer: Some((index, false, Vec::new())) },
             );
         } else {
             self.answer(n, call, watch_index, now);
         }
     }
 
-    fn answer(&mut self, who: usize, call: u64, index: Option<u64>, at: At) {
+    fn answer(&mut self, instance: usize, call: u64, index: Option<u64>, at: At) {
         let service = &self.service;
         let answer = match index {
             None => {
@@ -370,7 +371,7 @@
             }
         };
         let delay = self.random_delay();
-        self.schedule(at + delay, Event::ServiceAnswer { who, call, answer: Some(answer) });
+        self.schedule(at + delay, Event::ServiceAnswer { instance, call, answer: Some(answer) });
     }
 
     /// Advances the simulation by some seconds.
@@ -389,7 +390,7 @@
             Event::Timer(n, _) | Event::Members(n, _) | Event::Closed { at: n, .. } => *n,
             Event::Open { to: n, .. }
             | Event::Message { to: n, .. }
-            | Event::ServiceAnswer { who: n, .. } => *n,
+            | Event::ServiceAnswer { instance: n, .. } => *n,
         };
         if self.paused.contains(&n) && !matches!(event, Event::Open { .. }) {
             return self.unread.entry(n).or_default().push(event);
@@ -439,17 +440,17 @@
                 }
             }
             Event::Closed { link, at } => self.handle(at, ListsInput::Closed(link)),
-            Event::ServiceAnswer { who, call, answer } => {
-                let Some(node) = &mut self.nodes[who] else { return };
+            Event::ServiceAnswer { instance, call, answer } => {
+                let Some(node) = &mut self.nodes[instance] else { return };
                 let Some((_, began)) = node.call.filter(|(in_flight, _)| *in_flight == call) else { return };
                 node.call = None;
                 self.service.waiting.retain(|(_, waiting, _)| *waiting != call);
-                let failed = self.cut_off.contains(&who) || self.service.down;
+                let failed = self.cut_off.contains(&instance) || self.service.down;
                 match answer.filter(|_| !failed) {
                     Some((generation, whole, entries)) => {
-                        self.handle(who, ListsInput::CallAnswered { began, generation, whole, entries });
+                        self.handle(instance, ListsInput::CallAnswered { began, generation, whole, entries });
                     }
-                    None => self.handle(who, ListsInput::CallFailed { torn: false }),
+                    None => self.handle(instance, ListsInput::CallFailed { torn: false }),
                 }
             }
         }
