--- a/instances/src/catalog.rs
+++ b/instances/src/catalog.rs
@@ -30,9 +30,9 @@
 }
 
 /// Most list changes kept in the history, from which an instance with a recent list is sent only the changes.
-const MAX_STEPS: usize = 32;
+const MAX_HISTORY_CHANGES: usize = 32;
 /// The history holds at most as many entries as the list itself plus this number, so that it does not outgrow the list.
-const MIN_HISTORY_ENTRIES: usize = 64;
+const EXTRA_HISTORY_ENTRIES: usize = 64;
 
 /// A list with the history of its recent changes.
 #[derive(Clone, Debug, Default)]
@@ -73,10 +73,10 @@
         if next.version() != self.version() {
             next.history.push_back((self.version(), step));
         }
-        let max_entries = next.entries.len() + MIN_HISTORY_ENTRIES;
+        let max_entries = next.entries.len() + EXTRA_HISTORY_ENTRIES;
         let history_entries =
             |history: &VecDeque<(_, Vec<Entry>)>| history.iter().map(|(_, step)| step.len()).sum::<usize>();
-        while next.history.len() > MAX_STEPS || history_entries(&next.history) > max_entries {
+        while next.history.len() > MAX_HISTORY_CHANGES || history_entries(&next.history) > max_entries {
             next.history.pop_front();
         }
         next
--- a/instances/src/catalog/tests.rs
+++ b/instances/src/catalog/tests.rs
@@ -41,6 +41,6 @@
             prop_assert_eq!(result.version(), present.version());
             prop_assert_eq!(&result.entries, &present.entries);
         }
-        prop_assert!(present.history.iter().map(|(_, s)| s.len()).sum::<usize>() <= 9 + MIN_HISTORY_ENTRIES);
+        prop_assert!(present.history.iter().map(|(_, s)| s.len()).sum::<usize>() <= 9 + EXTRA_HISTORY_ENTRIES);
     }
 }
