--- a/relay/src/config/instances.rs
+++ b/relay/src/config/instances.rs
@@ -1,5 +1,5 @@
 //! The section `[instances]`: communication among the instances of the relay.
-use onyxglade_instances::{Key, LONGEST, fits};
+use onyxglade_instances::{Key, MAX_TEXT_BYTES, is_valid_text};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -102,7 +102,7 @@
             ("zone", Some(self.zone.as_str())),
             ("region", Some(self.region.as_str())),
         ];
-        for (key, _) in texts.iter().filter(|(_, text)| text.is_some_and(|text| !fits(text))) {
+        for (key, _) in texts.iter().filter(|(_, text)| text.is_some_and(|text| !is_valid_text(text))) {
             let message = format!("must have at most {LONGEST} bytes and no control characters");
             errors.add(format!("instances.{key}"), message);
         }
--- a/relay/src/config/tests.rs
+++ b/relay/src/config/tests.rs
@@ -1,4 +1,4 @@
-use onyxglade_instances::LONGEST;
+use onyxglade_instances::MAX_TEXT_BYTES;
 use slatethread::Effect;
 
 use super::*;
@@ -63,7 +63,7 @@
         (1, "a", 3, None)
     );
     assert!(parse_relay_config("").expect("valid").instances.is_none(), "disabled by default");
-    let long = format!("zone = \"{}\"", "z".repeat(LONGEST + 1));
+    let long = format!("zone = \"{}\"", "z".repeat(MAX_TEXT_BYTES + 1));
     for (more, key) in [
         ("seeds = [\"here\"]", "instances.seeds[0]"),
         ("advertise = \"0.0.0.0:7946\"", "instances.advertise"),
--- a/relay/src/instances/link.rs
+++ b/relay/src/instances/link.rs
@@ -1,7 +1,7 @@
 //! Links (TCP connections) between instances. A link carries one request frame and one response frame; or its first frame
 //! turns it into a persistent link. A misbehaving peer affects only its own connection: time, frame size and the number of
 //! links are limited.
-use onyxglade_instances::{LONGEST_FRAME, View, Word};
+use onyxglade_instances::{LinkMessage, MAX_FRAME_BYTES, View};
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
@@ -58,11 +58,11 @@
 async fn serve_request(instances: &Instances, mut stream: TcpStream) -> io::Result<Option<TcpStream>> {
     let frame = read_frame(&mut stream, MAX_REQUEST_BYTES).await?;
     match (instances.open(&frame), instances.membership_view()) {
-        (Some(Word::Ask), Some(view)) => {
-            write_frame(&mut stream, &instances.seal(&Word::View(view))).await?;
+        (Some(LinkMessage::ViewRequest), Some(view)) => {
+            write_frame(&mut stream, &instances.seal(&LinkMessage::View(view))).await?;
             Ok(None)
         }
-        (Some(Word::Follow), _) if instances.shared_lists.is_some() => Ok(Some(stream)),
+        (Some(LinkMessage::Subscribe), _) if instances.shared_lists.is_some() => Ok(Some(stream)),
         _ => Err(io::ErrorKind::InvalidData.into()),
     }
 }
@@ -81,10 +81,10 @@
 pub(super) async fn request_view(instances: &Instances, address: SocketAddr) -> io::Result<View> {
     let call = async {
         let mut stream = connect(instances, address).await?;
-        write_frame(&mut stream, &instances.seal(&Word::Ask)).await?;
-        let frame = read_frame(&mut stream, LONGEST_FRAME).await?;
+        write_frame(&mut stream, &instances.seal(&LinkMessage::ViewRequest)).await?;
+        let frame = read_frame(&mut stream, MAX_FRAME_BYTES).await?;
         match instances.open(&frame) {
-            Some(Word::View(view)) => Ok(view),
+            Some(LinkMessage::View(view)) => Ok(view),
             _ => Err(io::ErrorKind::InvalidData.into()),
         }
     };
--- a/relay/src/instances/lists.rs
+++ b/relay/src/instances/lists.rs
@@ -1,6 +1,6 @@
 //! Passes lists of execute nodes between instances: the I/O for the state machine [`onyxglade_instances::Lists`], which
 //! makes all decisions. Nothing here runs, and there are no persistent links, unless `lists` in `[instances]` is set.
-use onyxglade_instances::{Heard, LONGEST_FRAME, Lists, ListsConfig, Todo, Word};
+use onyxglade_instances::{LinkMessage, Lists, ListsConfig, ListsInput, ListsOutput, MAX_FRAME_BYTES};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -39,7 +39,7 @@
 
 /// An open persistent link.
 struct OpenLink {
-    outgoing: mpsc::Sender<Word>,
+    outgoing: mpsc::Sender<LinkMessage>,
     cancelled: CancellationToken,
 }
 
@@ -79,21 +79,21 @@
             seeds: instances.settings.seeds.clone(),
             expected: instances.settings.expected,
             must_ask_in: self.limits.max_age,
-            longest: self.limits.max_bytes,
+            max_bytes: self.limits.max_bytes,
         };
         *self.lists.borrow_mut() = Some(Lists::new(config, seed, self.started_at.elapsed()));
         self.started.notify_waiters();
         let (shared, instances) = (self.clone(), instances.clone());
         actix_rt::spawn(async move {
             loop {
-                shared.handle(&instances, Heard::Time);
+                shared.handle(&instances, ListsInput::TimerDue);
                 let due = shared.lists.borrow().as_ref().map(Lists::due).unwrap_or_default();
                 sleep_until((shared.started_at + due).into()).await;
             }
         });
     }
 
-    pub(super) fn handle(self: &Rc<Self>, instances: &Rc<Instances>, event: Heard) {
+    pub(super) fn handle(self: &Rc<Self>, instances: &Rc<Instances>, event: ListsInput) {
         let now = self.started_at.elapsed();
         let actions = match &mut *self.lists.borrow_mut() {
             Some(lists) => lists.handle(now, event),
@@ -101,9 +101,9 @@
         };
         for action in actions {
             match action {
-                Todo::Open(to) => self.open_link(instances, to),
-                Todo::Close(number) => self.close_link(number),
-                Todo::Say(number, message) => {
+                ListsOutput::Open(to) => self.open_link(instances, to),
+                ListsOutput::Close(number) => self.close_link(number),
+                ListsOutput::Send(number, message) => {
                     // A link whose queue is full is treated as dead; its task reports that it has closed.
                     if let Some(link) = self.links.borrow().get(&number)
                         && link.outgoing.try_send(message).is_err()
@@ -111,8 +111,8 @@
                         link.cancelled.cancel();
                     }
                 }
-                Todo::Turn(polling) => drop(self.polling.send_replace(polling)),
-                Todo::Changed => self.changed.notify_one(),
+                ListsOutput::Poll(polling) => drop(self.polling.send_replace(polling)),
+                ListsOutput::ListChanged => self.changed.notify_one(),
             }
         }
     }
@@ -129,7 +129,7 @@
         actix_rt::spawn(async move {
             match timeout(LINK_TIMEOUT, link::connect(&instances, to)).await {
                 Ok(Ok(stream)) => shared.run_link(&instances, stream, Some(to)).await,
-                _ => shared.handle(&instances, Heard::Unopened(to)),
+                _ => shared.handle(&instances, ListsInput::OpenFailed(to)),
             }
         });
     }
@@ -145,10 +145,10 @@
         let Some(mut sealer) = instances.link_sealer() else { return };
         let number = self.last_link.get() + 1;
         self.last_link.set(number);
-        let (outgoing, mut queued) = mpsc::channel::<Word>(MAX_QUEUED_MESSAGES);
+        let (outgoing, mut queued) = mpsc::channel::<LinkMessage>(MAX_QUEUED_MESSAGES);
         let cancelled = CancellationToken::new();
         self.links.borrow_mut().insert(number, OpenLink { outgoing, cancelled: cancelled.clone() });
-        self.handle(instances, Heard::Opened { link: number, to });
+        self.handle(instances, ListsInput::Opened { link: number, to });
         let (mut reader, mut writer) = split(stream);
         let write = async {
             while let Some(message) = queued.recv().await {
@@ -160,9 +160,9 @@
             let _ = timeout(LINK_TIMEOUT, writer.shutdown()).await;
         };
         let read = async {
-            while let Ok(frame) = link::read_frame(&mut reader, LONGEST_FRAME).await {
+            while let Ok(frame) = link::read_frame(&mut reader, MAX_FRAME_BYTES).await {
                 let Some(message) = instances.open(&frame) else { break };
-                self.handle(instances, Heard::Said(number, message));
+                self.handle(instances, ListsInput::Received(number, message));
             }
         };
         tokio::select! {
@@ -171,7 +171,7 @@
             () = cancelled.cancelled() => {}
         }
         if self.links.borrow_mut().remove(&number).is_some() {
-            self.handle(instances, Heard::Closed(number));
+            self.handle(instances, ListsInput::Closed(number));
         }
     }
 
@@ -181,9 +181,9 @@
         let Some(lists) = &*lists else { return Value::Null };
         let (followed, followers) = lists.links();
         let now = self.started_at.elapsed();
-        let current = lists.held().map(|current| {
-            json!({"generation": current.edition.generation, "memory": current.memory, "origin": current.origin.to_string(), "hops": current.hops,
-                "age_ms": now.saturating_sub(current.from).as_millis() as u64})
+        let current = lists.current().map(|current| {
+            json!({"generation": current.version.generation, "memory": current.resets, "origin": current.origin.to_string(), "hops": current.hops,
+                "age_ms": now.saturating_sub(current.earliest).as_millis() as u64})
         });
         json!({"asks": *self.polling.borrow(), "held": current, "hears": followed, "heard_by": followers})
     }
@@ -221,8 +221,8 @@
     /// Reports the start of a call. Returns the generation from which on changes are to be requested, or `Some(None)` for the
     /// whole list; `None` while this instance does not listen yet and calls the service on its own.
     pub fn call_started(&self) -> Option<Option<u64>> {
-        let index = self.shared.lists.borrow().as_ref().map(Lists::index)?;
-        self.shared.handle(&self.instances, Heard::Asked);
+        let index = self.shared.lists.borrow().as_ref().map(Lists::watch_index)?;
+        self.shared.handle(&self.instances, ListsInput::CallStarted);
         Some(index)
     }
 
@@ -230,12 +230,12 @@
     pub fn call_answered(&self, began: Instant, list: &NodeList) {
         let began = began.saturating_duration_since(self.shared.started_at);
         let (generation, whole, entries) = (list.generation, list.reset, list.entry_texts());
-        self.shared.handle(&self.instances, Heard::Answered { began, generation, whole, entries });
+        self.shared.handle(&self.instances, ListsInput::CallAnswered { began, generation, whole, entries });
     }
 
     /// Reports that a call failed; `torn` if its response broke off.
     pub fn call_failed(&self, torn: bool) {
-        self.shared.handle(&self.instances, Heard::Failed { torn });
+        self.shared.handle(&self.instances, ListsInput::CallFailed { torn });
     }
 }
 
@@ -258,7 +258,7 @@
             }
         }
         let update =
-            shared.lists.borrow().as_ref().and_then(|lists| Some((lists.held()?, lists.since(applied))));
+            shared.lists.borrow().as_ref().and_then(|lists| Some((lists.current()?, lists.changes_since(applied))));
         let Some((current, difference)) = update else { continue };
         let decode_entry = |(name, text): (String, Option<String>)| match text {
             None => Some(NodeEntry::deleted(name)),
@@ -273,13 +273,13 @@
         };
         let whole = difference.base.is_none();
         let entries: Vec<_> = difference.entries.into_iter().filter_map(decode_entry).collect();
-        let (generation, changes, origin) = (difference.edition.generation, entries.len(), current.origin);
+        let (generation, changes, origin) = (difference.version.generation, entries.len(), current.origin);
         if applied.is_none() {
             tracing::info!(generation, nodes = changes, %origin, hops = current.hops, "list of execute nodes");
         } else {
             tracing::info!(generation, changes, whole, %origin, hops = current.hops, "list of execute nodes changed");
         }
-        applied = Some(difference.edition);
+        applied = Some(difference.version);
         core.apply_list(&NodeList::new(generation, whole, entries)).await;
     }
 }
--- a/relay/src/instances/mod.rs
+++ b/relay/src/instances/mod.rs
@@ -5,7 +5,10 @@
 mod lists;
 mod shares;
 
-use onyxglade_instances::{Change, Config, Heard, Input, Member, Output, Sealed, Swim, View, Word};
+use onyxglade_instances::{
+    FrameAuthenticator, LinkMessage, ListsInput, Member, MembershipChange, Swim, SwimConfig, SwimInput,
+    SwimOutput, View,
+};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -102,16 +105,16 @@
         let address = settings.advertise.or(socket.local_addr().ok()).unwrap_or(settings.listen);
         let now = unix_time();
         let me = Member {
-            life: now.as_millis() as u64,
+            incarnation: now.as_millis() as u64,
             name: settings.name.clone().or(name).unwrap_or_else(|| address.to_string()),
             zone: settings.zone.clone(),
             region: settings.region.clone(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
             capacity: settings.capacity,
-            ..Member::at(address)
+            ..Member::with_address(address)
         };
         tracing::info!(name = me.name, listen = %address, seeds = settings.seeds.len(), "instances: listening");
-        let config = Config { seeds: settings.seeds.clone(), size: settings.expected };
+        let config = SwimConfig { seeds: settings.seeds.clone(), size: settings.expected };
         // Differs between processes, even if they start at the same moment.
         let seed =
             (now.as_nanos() as u64) ^ (u64::from(std::process::id()) << 32) ^ u64::from(address.port());
@@ -131,19 +134,19 @@
             let outputs = tokio::select! {
                 biased;
                 () = &mut leaving => {
-                    let outputs = self.handle(Input::Leave);
+                    let outputs = self.handle(SwimInput::Leave);
                     self.execute(&socket, &views, outputs).await;
                     links.abort();
                     return self.left.notify_one();
                 }
-                Some(view) = fetched_views.recv() => self.handle(Input::View(&view)),
+                Some(view) = fetched_views.recv() => self.handle(SwimInput::View(&view)),
                 // Received datagrams are handled before timeouts.
                 received = socket.recv_from(&mut buffer) => match received {
-                    Ok((length, _)) => self.handle(Input::Datagram(&buffer[..length])),
+                    Ok((length, _)) => self.handle(SwimInput::Datagram(&buffer[..length])),
                     // The system reports that a sent datagram was not delivered. The protocol detects missing responses itself.
                     Err(_) => Vec::new(),
                 },
-                () = sleep_until(due.into()) => self.handle(Input::Time),
+                () = sleep_until(due.into()) => self.handle(SwimInput::TimerDue),
             };
             self.execute(&socket, &views, outputs).await;
         }
@@ -193,7 +196,7 @@
             let members = instances.member_addresses();
             instances.members.send_replace(members.clone());
             if let Some(shared) = &instances.shared_lists {
-                shared.handle(&instances, Heard::Members(members));
+                shared.handle(&instances, ListsInput::Members(members));
             }
         });
     }
@@ -206,17 +209,17 @@
     }
 
     /// Seals the frames of a persistent link.
-    fn link_sealer(&self) -> Option<Sealed> {
-        self.swim.borrow_mut().as_mut().map(Swim::sealed)
+    fn link_sealer(&self) -> Option<FrameAuthenticator> {
+        self.swim.borrow_mut().as_mut().map(Swim::link_authenticator)
     }
 
     /// Seals a message as a frame for a link.
-    fn seal(&self, message: &Word) -> Vec<u8> {
+    fn seal(&self, message: &LinkMessage) -> Vec<u8> {
         self.swim.borrow_mut().as_mut().map_or(Vec::new(), |swim| swim.seal(message, unix_time()))
     }
 
     /// Opens a frame from a link; `None` if it is invalid.
-    fn open(&self, frame: &[u8]) -> Option<Word> {
+    fn open(&self, frame: &[u8]) -> Option<LinkMessage> {
         self.swim.borrow_mut().as_mut()?.open(frame, self.started_at.elapsed(), unix_time())
     }
 
@@ -225,30 +228,30 @@
         self.swim.borrow().as_ref().map(Swim::view)
     }
 
-    fn handle(&self, input: Input) -> Vec<Output> {
+    fn handle(&self, input: SwimInput) -> Vec<SwimOutput> {
         let now = self.started_at.elapsed();
         self.swim.borrow_mut().as_mut().map_or(Vec::new(), |swim| swim.handle(now, unix_time(), input))
     }
 
-    async fn execute(self: &Rc<Self>, socket: &UdpSocket, views: &mpsc::Sender<View>, outputs: Vec<Output>) {
-        if outputs.iter().any(|output| matches!(output, Output::Changed(_))) {
+    async fn execute(self: &Rc<Self>, socket: &UdpSocket, views: &mpsc::Sender<View>, outputs: Vec<SwimOutput>) {
+        if outputs.iter().any(|output| matches!(output, SwimOutput::Changed(_))) {
             self.members_changed();
         }
         for output in outputs {
             match output {
                 // Send errors are ignored: the protocol tolerates lost datagrams.
-                Output::Send { to, bytes } => drop(socket.send_to(&bytes, to).await),
-                Output::Compare(address) => self.fetch_view_of(address, views.clone()),
-                Output::Changed(Change::Up(m)) => {
+                SwimOutput::Send { to, bytes } => drop(socket.send_to(&bytes, to).await),
+                SwimOutput::FetchView(address) => self.fetch_view_of(address, views.clone()),
+                SwimOutput::Changed(MembershipChange::Up(m)) => {
                     tracing::info!(name = m.name, address = %m.address, zone = m.zone, "instances: member is up");
                 }
-                Output::Changed(Change::Down(m)) => {
+                SwimOutput::Changed(MembershipChange::Down(m)) => {
                     tracing::info!(name = m.name, address = %m.address, zone = m.zone, "instances: member is down");
                 }
-                Output::Changed(Change::Again(m)) => {
+                SwimOutput::Changed(MembershipChange::Updated(m)) => {
                     tracing::info!(name = m.name, address = %m.address, zone = m.zone, "instances: member is up again (restarted or changed)");
                 }
-                Output::Changed(Change::Refuted(life)) => {
+                SwimOutput::Changed(MembershipChange::Refuted(life)) => {
                     tracing::warn!(
                         life,
                         "instances: other members considered this one down; it has refuted that"
@@ -274,7 +277,7 @@
             return json!({"listening": false, "instances": []});
         };
         let member = |m: &Member| {
-            json!({"name": m.name, "address": m.address.to_string(), "life": m.life, "zone": m.zone, "region": m.region,
+            json!({"name": m.name, "address": m.address.to_string(), "life": m.incarnation, "zone": m.zone, "region": m.region,
                 "version": m.version, "capacity": m.capacity})
         };
         let others = swim.members().into_iter().map(|seen| {
@@ -282,13 +285,13 @@
             other["state"] = if seen.suspected { "suspected" } else { "there" }.into();
             other
         });
-        let counts = swim.counts();
+        let counts = swim.counters();
         json!({
             "listening": true,
             "me": member(swim.me()),
             "instances": others.collect::<Vec<_>>(),
-            "counts": {"sent": counts.sent, "sent_bytes": counts.sent_bytes, "taken": counts.taken,
-                "strange": counts.strange, "unfit": counts.unfit, "slept": counts.slept},
+            "counts": {"sent": counts.sent, "sent_bytes": counts.sent_bytes, "taken": counts.accepted,
+                "strange": counts.unauthenticated, "unfit": counts.malformed, "slept": counts.pauses},
             "counted": self.limit_divisor.get(),
             "list": self.shared_lists.as_ref().map(|shared| shared.view()),
         })
--- a/relay/src/instances/shares.rs
+++ b/relay/src/instances/shares.rs
@@ -1,5 +1,5 @@
 //! Divides the limits of a front among the live instances. [`Count`] decides by how many they are divided.
-use onyxglade_instances::Count;
+use onyxglade_instances::InstanceCount;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep_until;
@@ -14,13 +14,13 @@
 pub async fn divide_limits<C: Transport>(core: Rc<Core<C>>, instances: Rc<Instances>) {
     let mut members = instances.members.subscribe();
     let expected = core.rules().settings.relays.unwrap_or(1);
-    let mut count = Count::new(expected, instances.started_at.elapsed());
+    let mut count = InstanceCount::new(expected, instances.started_at.elapsed());
     let mut previous = 0;
     loop {
         let live = members.borrow_and_update().len() + 1;
         let now = instances.started_at.elapsed();
-        count.there(now, u32::try_from(live).unwrap_or(u32::MAX));
-        let counted = count.counted(now);
+        count.set_alive(now, u32::try_from(live).unwrap_or(u32::MAX));
+        let counted = count.effective(now);
         if std::mem::replace(&mut previous, counted) != counted {
             tracing::info!(there = live, counted, "instances: dividing the limits of the front");
             instances.limit_divisor.set(Some(counted));
