--- a/relay/src/instances/lists.rs
+++ b/relay/src/instances/lists.rs
@@ -257,8 +257,11 @@
                 continue;
             }
         }
-        let update =
-            shared.lists.borrow().as_ref().and_then(|lists| Some((lists.current()?, lists.changes_since(applied))));
+        let update = shared
+            .lists
+            .borrow()
+            .as_ref()
+            .and_then(|lists| Some((lists.current()?, lists.changes_since(applied))));
         let Some((current, difference)) = update else { continue };
         let decode_entry = |(name, text): (String, Option<String>)| match text {
             None => Some(NodeEntry::deleted(name)),
--- a/relay/src/instances/mod.rs
+++ b/relay/src/instances/mod.rs
@@ -233,7 +233,12 @@
         self.swim.borrow_mut().as_mut().map_or(Vec::new(), |swim| swim.handle(now, unix_time(), input))
     }
 
-    async fn execute(self: &Rc<Self>, socket: &UdpSocket, views: &mpsc::Sender<View>, outputs: Vec<SwimOutput>) {
+    async fn execute(
+        self: &Rc<Self>,
+        socket: &UdpSocket,
+        views: &mpsc::Sender<View>,
+        outputs: Vec<SwimOutput>,
+    ) {
         if outputs.iter().any(|output| matches!(output, SwimOutput::Changed(_))) {
             self.members_changed();
         }
