--- a/lab/src/virtual_time.rs
+++ b/lab/src/virtual_time.rs
@@ -6,7 +6,7 @@
 //! drains and told waits from being broken by calls decided on before they were told, and gives up on what is
 //! answered too late.
 use slatethread::*;
-use slatethread_wirehost::env;
+use slatethread_wirehost::wire_settings;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Duration;
@@ -89,7 +89,7 @@
 /// The settings that the relay would be told, with what its own file adds to them.
 pub(crate) fn settings(table: &RelayTable) -> Settings {
     let env = serde_json::from_value(relay::settings(table)).expect("the form that the relay reads");
-    let (told, _) = env::settings(env).expect("sound settings");
+    let (told, _) = wire_settings::translate(env).expect("sound settings");
     let cold_after = table.own.get("idle").and_then(|idle| idle.get("cold_after_s")?.as_integer());
     Settings { cold_after: cold_after.map(|s| s as u64 * 1_000_000_000), ..told }
 }
--- a/relay/src/config/platform_file.rs
+++ b/relay/src/config/platform_file.rs
@@ -1,7 +1,7 @@
 //! The platform's file: addresses, the machine's limits, and the settings that rules follow from.
 use serde::Deserialize;
 use serde_json::value::RawValue;
-use slatethread_wirehost::env::Env;
+use slatethread_wirehost::wire_settings::WireSettings;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -50,7 +50,7 @@
     limits: ToldLimits,
     #[serde(borrow)]
     known: Option<&'a RawValue>,
-    settings: Env,
+    settings: WireSettings,
 }
 
 #[derive(Deserialize)]
--- a/relay/src/config/push/classes.rs
+++ b/relay/src/config/push/classes.rs
@@ -1,7 +1,7 @@
 //! The tables `[[class]]`: classes of messages, and the rules of the push front that follow from them.
 use serde::{Deserialize, Serialize};
 use slatethread::{Effect, Fade, Kind, Settings, Weights};
-use slatethread_wirehost::env::Names;
+use slatethread_wirehost::wire_settings::SettingNames;
 
 use super::upstreams::GATEWAY;
 use crate::config::faults::Faults;
@@ -62,10 +62,10 @@
             faults.add(format!("class[{i}].aim_ms"), "must not be above give_up_ms, which must not be 0");
         }
     }
-    let names = Names {
+    let names = SettingNames {
         classes: file.classes.iter().map(|c| c.name.clone()).collect(),
         kinds: vec![GATEWAY.into()],
-        ..Names::default()
+        ..SettingNames::default()
     };
     Rules { settings: settings(file), names }
 }
--- a/relay/src/config/rules.rs
+++ b/relay/src/config/rules.rs
@@ -1,13 +1,13 @@
 //! The rules that follow from the platform's settings.
 use slatethread::{Nanos, Settings};
-use slatethread_wirehost::env::{self, Env, Names};
+use slatethread_wirehost::wire_settings::{self, SettingNames, WireSettings};
 use std::time::Duration;
 
 /// The module's settings, with what else a front needs of them.
 #[derive(Clone)]
 pub struct Rules {
     pub settings: Settings,
-    pub names: Names,
+    pub names: SettingNames,
 }
 
 impl Rules {
@@ -42,8 +42,8 @@
 }
 
 /// The rules of the platform's settings; a fault names its key among them.
-pub(super) fn rules(env: Env) -> Result<Rules, String> {
-    let (settings, names) = env::settings(env)?;
+pub(super) fn rules(env: WireSettings) -> Result<Rules, String> {
+    let (settings, names) = wire_settings::translate(env)?;
     if settings.classes.is_empty() {
         return Err("categories: no class of message is given".into());
     }
--- a/relay/src/core/backlog/tests.rs
+++ b/relay/src/core/backlog/tests.rs
@@ -133,7 +133,10 @@
         ..Settings::default()
     };
     let classes = classes.iter().map(|class| (*class).to_owned()).collect();
-    Rules { settings, names: slatethread_wirehost::env::Names { classes, ..Default::default() } }
+    Rules {
+        settings,
+        names: slatethread_wirehost::wire_settings::SettingNames { classes, ..Default::default() },
+    }
 }
 
 /// A worker; with `killed` its process is killed with the first fault: what its thread would answer then is held back.
--- a/relay/src/platform/carrier.rs
+++ b/relay/src/platform/carrier.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use rustix::io::Errno;
 use slatethread::{EndpointId, Report};
-use slatethread_wirehost::env::report;
+use slatethread_wirehost::wire_settings::load_report;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::fmt::Debug;
@@ -245,7 +245,9 @@
 /// A load report; what can't be read tells nothing.
 fn load(text: &str) -> Report {
     let fields = || text.split(',').filter_map(|field| field.split_once('='));
-    report(|name| fields().find(|(n, _)| n.trim() == name).and_then(|(_, value)| value.trim().parse().ok()))
+    load_report(|name| {
+        fields().find(|(n, _)| n.trim() == name).and_then(|(_, value)| value.trim().parse().ok())
+    })
 }
 
 /// Why notices were not heard.
--- a/wirehost/src/lib.rs
+++ b/wirehost/src/lib.rs
@@ -1,5 +1,5 @@
 //! Translates between the simulator's wire and slatethread's types. The real relay shares the settings.
 #![forbid(unsafe_code)]
 
-pub mod env;
 pub mod wire;
+pub mod wire_settings;
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -1,5 +1,5 @@
 //! The wire's words, and their translation to and from the library's types.
-use crate::env::{self, Env, Names, place, settings};
+use crate::wire_settings::{self, SettingNames, WireSettings, name_index, translate};
 use base64::{Engine, engine::general_purpose::STANDARD as BASE64};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -16,12 +16,12 @@
     weight: Option<f64>,
 }
 
-fn endpoint(line: &Line, names: &Names) -> Result<Endpoint, String> {
+fn endpoint(line: &Line, names: &SettingNames) -> Result<Endpoint, String> {
     Ok(Endpoint {
         id: EndpointId(line.endpoint),
         dest: DestId(line.cell),
-        zone: ZoneId(place(&names.zones, &line.rack_zone, "zone")?),
-        kind: KindId(place(&names.kinds, &line.flavor, "kind")?),
+        zone: ZoneId(name_index(&names.zones, &line.rack_zone, "zone")?),
+        kind: KindId(name_index(&names.kinds, &line.flavor, "kind")?),
         condition: match line.condition.as_str() {
             "active" => Condition::Active,
             "leaving" => Condition::Leaving,
@@ -39,7 +39,7 @@
     Round { now: u64 },
     Go,
     Register { page: u8, lines: Vec<Line> },
-    Attach { courier: u64, rng_seed: u64, env: Box<Env> },
+    Attach { courier: u64, rng_seed: u64, env: Box<WireSettings> },
     Killed { courier: u64 },
     PeersKnown { courier: u64, scope: String, page: Option<u8> },
     Req(Box<WireRequest>),
@@ -86,7 +86,7 @@
     else {
         return Report::default();
     };
-    env::report(|name| row.get(columns.iter().position(|c| c == name)?)?.as_f64())
+    wire_settings::load_report(|name| row.get(columns.iter().position(|c| c == name)?)?.as_f64())
 }
 
 fn outcome(verdict: u32, wait_ms: Option<u64>) -> Result<Outcome, String> {
@@ -108,7 +108,7 @@
 
 struct Instance {
     courier: Courier,
-    names: Names,
+    names: SettingNames,
     events: Vec<Event>,
     /// It is in the order of this round.
     due: bool,
@@ -155,7 +155,7 @@
                 Ok(())
             }
             WireIn::Attach { courier, rng_seed, env } => {
-                let (settings, names) = settings(*env)?;
+                let (settings, names) = translate(*env)?;
                 let courier_of = Courier::new(settings, rng_seed);
                 let instance = Instance { courier: courier_of, names, events: Vec::new(), due: true };
                 self.instances.insert(courier, instance);
@@ -192,13 +192,13 @@
             WireIn::Req(r) => {
                 let names = &self.instance(r.courier)?.names;
                 let tenant = match &r.account {
-                    Some(Value::String(name)) => Some(TenantId(place(&names.tenants, name, "tenant")?)),
+                    Some(Value::String(name)) => Some(TenantId(name_index(&names.tenants, name, "tenant")?)),
                     _ => None,
                 };
                 let request = Request {
                     msg: MsgId(r.handle),
                     dest: DestId(r.dest),
-                    class: ClassId(place(&names.classes, &r.service, "class")?),
+                    class: ClassId(name_index(&names.classes, &r.service, "class")?),
                     tenant,
                     key: r.subject.map(OrderKey),
                     patience: r.patience_left,
--- a/wirehost/src/env.rs
+++ b/wirehost/src/wire_settings.rs
@@ -4,21 +4,21 @@
 
 /// The settings of one instance, as the wire and the relay's configuration give them.
 #[derive(Deserialize)]
-pub struct Env {
+pub struct WireSettings {
     replicas_of_me: Option<u32>,
-    categories: Vec<EnvClass>,
+    categories: Vec<WireClass>,
     membership_mode: Option<String>,
-    extra: Option<EnvExtra>,
-    policy_limits: Option<EnvLimits>,
-    rules: Option<EnvRules>,
-    report: Option<EnvReport>,
-    goal: Option<EnvGoal>,
+    extra: Option<WireExtra>,
+    policy_limits: Option<WireLimits>,
+    rules: Option<WireRules>,
+    report: Option<WireReport>,
+    goal: Option<WireGoal>,
     over_share_worth: Option<f64>,
     step: Option<u64>,
     weights: Option<String>,
     zone: Option<String>,
     #[serde(default)]
-    orgs: Vec<EnvTenant>,
+    orgs: Vec<WireTenant>,
     #[serde(default)]
     shapes: Vec<String>,
     #[serde(default)]
@@ -26,7 +26,7 @@
 }
 
 #[derive(Deserialize)]
-struct EnvClass {
+struct WireClass {
     name: String,
     aim: u64,
     give_up: u64,
@@ -40,13 +40,13 @@
 }
 
 #[derive(Deserialize)]
-struct EnvTenant {
+struct WireTenant {
     name: String,
     quota_rps: Option<f64>,
 }
 
 #[derive(Deserialize, Default)]
-struct EnvExtra {
+struct WireExtra {
     #[serde(default)]
     own_limits: Vec<bool>,
     #[serde(default)]
@@ -56,7 +56,7 @@
 }
 
 #[derive(Deserialize, Default)]
-struct EnvLimits {
+struct WireLimits {
     most_tries: Option<u32>,
     most_held: Option<u32>,
     max_retry_after: Option<u64>,
@@ -71,7 +71,7 @@
 }
 
 #[derive(Deserialize)]
-struct EnvGoal {
+struct WireGoal {
     #[serde(default)]
     whole: f64,
     #[serde(default)]
@@ -81,13 +81,13 @@
 }
 
 #[derive(Deserialize, Default)]
-struct EnvReport {
+struct WireReport {
     #[serde(default)]
     columns: Vec<String>,
 }
 
 #[derive(Deserialize, Default)]
-struct EnvRules {
+struct WireRules {
     cold: Option<u64>,
     cold_share: Option<f64>,
     fall_multiple: Option<f64>,
@@ -98,7 +98,7 @@
 
 /// The names of one instance's settings, in their order.
 #[derive(Clone, Default, PartialEq)]
-pub struct Names {
+pub struct SettingNames {
     /// Classes of message.
     pub classes: Vec<String>,
     /// Tenants.
@@ -112,22 +112,22 @@
 }
 
 /// The place of a name among its like.
-pub fn place(names: &[String], name: &str, what: &str) -> Result<usize, String> {
+pub fn name_index(names: &[String], name: &str, what: &str) -> Result<usize, String> {
     names.iter().position(|n| n == name).ok_or_else(|| format!("unknown {what} '{name}'"))
 }
 
 /// A load report by meaning, of what its fields say; a field that is no sensible figure tells nothing.
-pub fn report(field: impl Fn(&str) -> Option<f64>) -> Report {
+pub fn load_report(field: impl Fn(&str) -> Option<f64>) -> Report {
     let sound = |name| field(name).filter(|value| value.is_finite() && *value >= 0.0);
     Report { left: sound("x0"), limit: sound("x1") }
 }
 
 /// Translates settings, and keeps their names.
-pub fn settings(env: Env) -> Result<(Settings, Names), String> {
+pub fn translate(env: WireSettings) -> Result<(Settings, SettingNames), String> {
     let extra = env.extra.unwrap_or_default();
     let limits = env.policy_limits.unwrap_or_default();
     let rules = env.rules.unwrap_or_default();
-    let names = Names {
+    let names = SettingNames {
         classes: env.categories.iter().map(|c| c.name.clone()).collect(),
         tenants: env.orgs.iter().map(|o| o.name.clone()).collect(),
         kinds: env.shapes,
@@ -140,7 +140,7 @@
     let kinds = (0..names.kinds.len())
         .map(|i| Kind { apart: extra.own_limits.get(i).copied(), bundle: extra.bundle_max.get(i).copied() })
         .collect();
-    let zone = env.zone.map(|z| place(&names.zones, &z, "zone").map_err(|e| format!("zone: {e}")));
+    let zone = env.zone.map(|z| name_index(&names.zones, &z, "zone").map_err(|e| format!("zone: {e}")));
     let zone = zone.transpose()?.map(ZoneId);
     let settings = Settings {
         couriers: env.replicas_of_me,
@@ -186,7 +186,7 @@
     Ok((settings, names))
 }
 
-fn class(c: EnvClass) -> Result<Class, String> {
+fn class(c: WireClass) -> Result<Class, String> {
     Ok(Class {
         aim: c.aim,
         give_up: c.give_up,
