--- a/wirehost/src/lib.rs
+++ b/wirehost/src/lib.rs
@@ -1,4 +1,4 @@
-//! Translates between the simulator's wire and slatethread's types. The real relay shares the settings.
+//! Translates between the simulator's wire and slatethread's types. The relay uses the same translation of settings.
 #![forbid(unsafe_code)]
 
 pub mod wire;
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts slatethread couriers on the simulator's wire. Translation only: every decision is the library's.
+//! Runs slatethread instances on the simulator's wire. It only translates: the library makes every decision.
 #![forbid(unsafe_code)]
 
 use slatethread_wirehost::wire;
@@ -8,16 +8,16 @@
     let mut host = wire::Host::default();
     let mut output = BufWriter::new(io::stdout().lock());
     for (number, line) in io::stdin().lock().lines().enumerate() {
-        let fault = |e: String| format!("line {}: {e}", number + 1);
-        let line = line.map_err(|e| fault(e.to_string()))?;
+        let at_line = |e: String| format!("line {}: {e}", number + 1);
+        let line = line.map_err(|e| at_line(e.to_string()))?;
         if line.trim().is_empty() {
             continue;
         }
-        if let Some(reply) = host.take_line(&line).map_err(fault)? {
+        if let Some(reply) = host.handle_line(&line).map_err(at_line)? {
             output
                 .write_all(reply.as_bytes())
                 .and_then(|()| output.flush())
-                .map_err(|e| fault(e.to_string()))?;
+                .map_err(|e| at_line(e.to_string()))?;
         }
     }
     host.finish()
@@ -26,8 +26,8 @@
 fn main() -> std::process::ExitCode {
     match run() {
         Ok(()) => std::process::ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("slatethread-wirehost: {fault}");
+        Err(error) => {
+            eprintln!("slatethread-wirehost: {error}");
             std::process::ExitCode::FAILURE
         }
     }
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's words, and their translation to and from the library's types.
+//! Messages of the simulator's wire, and their translation to and from the library's types.
 use crate::wire_settings::{self, SettingNames, WireSettings, name_index, translate};
 use base64::{Engine, engine::general_purpose::STANDARD as BASE64};
 use serde::Deserialize;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Deserialize, Clone)]
-struct Line {
+struct WireEndpoint {
     endpoint: u32,
     rack_zone: String,
     flavor: String,
@@ -16,29 +16,29 @@
     weight: Option<f64>,
 }
 
-fn endpoint(line: &Line, names: &SettingNames) -> Result<Endpoint, String> {
+fn endpoint(listed: &WireEndpoint, names: &SettingNames) -> Result<Endpoint, String> {
     Ok(Endpoint {
-        id: EndpointId(line.endpoint),
-        dest: DestId(line.cell),
-        zone: ZoneId(name_index(&names.zones, &line.rack_zone, "zone")?),
-        kind: KindId(name_index(&names.kinds, &line.flavor, "kind")?),
-        condition: match line.condition.as_str() {
+        id: EndpointId(listed.endpoint),
+        dest: DestId(listed.cell),
+        zone: ZoneId(name_index(&names.zones, &listed.rack_zone, "zone")?),
+        kind: KindId(name_index(&names.kinds, &listed.flavor, "kind")?),
+        condition: match listed.condition.as_str() {
             "active" => Condition::Active,
             "leaving" => Condition::Leaving,
             "left" => Condition::Left,
             other => return Err(format!("unknown condition '{other}'")),
         },
-        weight: line.weight,
+        weight: listed.weight,
         started: 0,
     })
 }
 
 #[derive(Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
-enum WireIn {
+enum WireMessage {
     Round { now: u64 },
     Go,
-    Register { page: u8, lines: Vec<Line> },
+    Register { page: u8, lines: Vec<WireEndpoint> },
     Attach { courier: u64, rng_seed: u64, env: Box<WireSettings> },
     Killed { courier: u64 },
     PeersKnown { courier: u64, scope: String, page: Option<u8> },
@@ -80,8 +80,8 @@
     metrics: Option<Value>,
 }
 
-/// A row of a load report by meaning; a row that does not fit its columns tells nothing.
-fn report(row: Option<&Value>, columns: &[String]) -> Report {
+/// Translates a row of a load report; a row whose length differs from that of `columns` gives an empty report.
+fn report_from_row(row: Option<&Value>, columns: &[String]) -> Report {
     let Some(Value::Array(row)) = row.filter(|r| r.as_array().is_some_and(|r| r.len() == columns.len()))
     else {
         return Report::default();
@@ -107,68 +107,70 @@
 }
 
 struct Instance {
-    courier: Courier,
+    module: Courier,
     names: SettingNames,
     events: Vec<Event>,
-    /// It is in the order of this round.
-    due: bool,
+    /// Whether it is listed in [`Host::order`] for the current round.
+    in_order: bool,
 }
 
-/// The instances of this process and the round being read.
+/// The instances that this process hosts, and the round being read.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
-    registers: BTreeMap<u8, Vec<Line>>,
+    pages: BTreeMap<u8, Vec<WireEndpoint>>,
+    /// Time of the round being read; `None` between rounds.
     now: Option<u64>,
+    /// Instances that take part in this round, in the order of their first event.
     order: Vec<u64>,
 }
 
 impl Host {
-    /// Takes one line; gives the reply once the round is complete.
-    pub fn take_line(&mut self, line: &str) -> Result<Option<String>, String> {
-        let message: WireIn = serde_json::from_str(line).map_err(|e| e.to_string())?;
+    /// Handles one line; returns the reply once the round is complete.
+    pub fn handle_line(&mut self, line: &str) -> Result<Option<String>, String> {
+        let message: WireMessage = serde_json::from_str(line).map_err(|e| e.to_string())?;
         match (message, self.now) {
-            (WireIn::Round { now }, None) => {
+            (WireMessage::Round { now }, None) => {
                 self.now = Some(now);
                 Ok(None)
             }
-            (WireIn::Round { .. }, Some(_)) => Err("a round begins inside another".into()),
-            (_, None) => Err("an event outside a round".into()),
-            (WireIn::Go, Some(now)) => {
+            (WireMessage::Round { .. }, Some(_)) => Err("a round started inside another round".into()),
+            (_, None) => Err("event outside a round".into()),
+            (WireMessage::Go, Some(now)) => {
                 self.now = None;
                 Ok(Some(self.reply(now)))
             }
-            (event, Some(_)) => self.take_event(event).map(|()| None),
+            (event, Some(_)) => self.handle_event(event).map(|()| None),
         }
     }
 
-    /// At the end of input: a round must not be half read.
+    /// Checks, at the end of the input, that the last round is complete.
     pub fn finish(&self) -> Result<(), String> {
         if self.now.is_some() { Err("input ended inside a round".into()) } else { Ok(()) }
     }
 
-    fn take_event(&mut self, event: WireIn) -> Result<(), String> {
+    fn handle_event(&mut self, event: WireMessage) -> Result<(), String> {
         match event {
-            WireIn::Round { .. } | WireIn::Go => Ok(()),
-            WireIn::Register { page, lines } => {
-                self.registers.insert(page, lines);
+            WireMessage::Round { .. } | WireMessage::Go => Ok(()),
+            WireMessage::Register { page, lines } => {
+                self.pages.insert(page, lines);
                 Ok(())
             }
-            WireIn::Attach { courier, rng_seed, env } => {
+            WireMessage::Attach { courier, rng_seed, env } => {
                 let (settings, names) = translate(*env)?;
-                let courier_of = Courier::new(settings, rng_seed);
-                let instance = Instance { courier: courier_of, names, events: Vec::new(), due: true };
+                let module = Courier::new(settings, rng_seed);
+                let instance = Instance { module, names, events: Vec::new(), in_order: true };
                 self.instances.insert(courier, instance);
                 self.order.retain(|c| *c != courier);
                 self.order.push(courier);
                 Ok(())
             }
-            WireIn::Killed { courier } => {
+            WireMessage::Killed { courier } => {
                 self.instances.remove(&courier).ok_or_else(|| format!("unknown instance {courier}"))?;
                 self.order.retain(|c| *c != courier);
                 Ok(())
             }
-            WireIn::PeersKnown { courier, scope, page } => {
+            WireMessage::PeersKnown { courier, scope, page } => {
                 let scope = match scope.as_str() {
                     "patch" => ListScope::Patch,
                     "whole" => ListScope::Whole,
@@ -180,16 +182,15 @@
                 let names = &self.instances.get(&courier).ok_or_else(unknown)?.names;
                 let entries = match (scope, page) {
                     (ListScope::Broken, _) => Vec::new(),
-                    (_, None) => return Err("peers_known without a page".into()),
+                    (_, None) => return Err("peers_known has no page".into()),
                     (_, Some(page)) => {
-                        let lines =
-                            self.registers.get(&page).ok_or_else(|| format!("unknown page {page}"))?;
+                        let lines = self.pages.get(&page).ok_or_else(|| format!("unknown page {page}"))?;
                         lines.iter().map(|l| endpoint(l, names)).collect::<Result<_, _>>()?
                     }
                 };
                 self.push(courier, Event::List { scope, entries })
             }
-            WireIn::Req(r) => {
+            WireMessage::Req(r) => {
                 let names = &self.instance(r.courier)?.names;
                 let tenant = match &r.account {
                     Some(Value::String(name)) => Some(TenantId(name_index(&names.tenants, name, "tenant")?)),
@@ -211,8 +212,8 @@
                 };
                 self.push(r.courier, Event::Request(request))
             }
-            WireIn::First { courier, handle } => self.push(courier, Event::First { msg: MsgId(handle) }),
-            WireIn::ClosedAttempt(o) => {
+            WireMessage::First { courier, handle } => self.push(courier, Event::First { msg: MsgId(handle) }),
+            WireMessage::ClosedAttempt(o) => {
                 let event = Event::Closed {
                     msg: MsgId(o.handle),
                     attempt: o.hop,
@@ -220,18 +221,20 @@
                     outcome: outcome(o.verdict, o.wait_ms)?,
                     latency: o.latency,
                     no_more: o.no_more,
-                    report: report(o.metrics.as_ref(), &self.instance(o.courier)?.names.columns),
+                    report: report_from_row(o.metrics.as_ref(), &self.instance(o.courier)?.names.columns),
                 };
                 self.push(o.courier, event)
             }
-            WireIn::Expired { courier, handle } => self.push(courier, Event::Expired { msg: MsgId(handle) }),
-            WireIn::Due { courier, nonce } => self.push(courier, Event::Timer { nonce }),
-            WireIn::ProbeResult { courier, endpoint, verdict, latency, wait_ms } => {
+            WireMessage::Expired { courier, handle } => {
+                self.push(courier, Event::Expired { msg: MsgId(handle) })
+            }
+            WireMessage::Due { courier, nonce } => self.push(courier, Event::Timer { nonce }),
+            WireMessage::ProbeResult { courier, endpoint, verdict, latency, wait_ms } => {
                 let outcome = outcome(verdict, wait_ms)?;
                 self.push(courier, Event::Probed { endpoint: EndpointId(endpoint), outcome, latency })
             }
-            WireIn::Memo { courier, origin_peer, content } => {
-                let bytes = BASE64.decode(content).map_err(|e| format!("bad base64: {e}"))?;
+            WireMessage::Memo { courier, origin_peer, content } => {
+                let bytes = BASE64.decode(content).map_err(|e| format!("invalid base64: {e}"))?;
                 self.push(courier, Event::Note { from: origin_peer, bytes })
             }
         }
@@ -244,7 +247,7 @@
     fn push(&mut self, courier: u64, event: Event) -> Result<(), String> {
         let instance = self.instance(courier)?;
         instance.events.push(event);
-        if !std::mem::replace(&mut instance.due, true) {
+        if !std::mem::replace(&mut instance.in_order, true) {
             self.order.push(courier);
         }
         Ok(())
@@ -256,11 +259,11 @@
             let Some(instance) = self.instances.get_mut(&courier) else {
                 continue;
             };
-            instance.due = false;
+            instance.in_order = false;
             let mut actions = Vec::new();
-            instance.courier.on_round(now, &std::mem::take(&mut instance.events), &mut actions);
+            instance.module.on_round(now, &std::mem::take(&mut instance.events), &mut actions);
             for action in actions {
-                reply.push_str(&words(courier, &action).to_string());
+                reply.push_str(&action_message(courier, &action).to_string());
                 reply.push('\n');
             }
         }
@@ -269,7 +272,7 @@
     }
 }
 
-fn words(courier: u64, action: &Action) -> Value {
+fn action_message(courier: u64, action: &Action) -> Value {
     match action {
         Action::Send { msg, endpoint, limit } => {
             json!({"type": "deliver", "courier": courier, "handle": msg.0, "limit": limit, "endpoint": endpoint.0})
--- a/wirehost/src/wire_settings.rs
+++ b/wirehost/src/wire_settings.rs
@@ -1,8 +1,8 @@
-//! The settings object: its keys, and their translation to the library's types.
+//! The settings object of the simulator's wire, and its translation to the library's types.
 use serde::Deserialize;
 use slatethread::*;
 
-/// The settings of one instance, as the wire and the relay's configuration give them.
+/// Settings of one instance as they are written on the wire and in the relay's platform file.
 #[derive(Deserialize)]
 pub struct WireSettings {
     replicas_of_me: Option<u32>,
@@ -96,14 +96,14 @@
     order_settle: Option<u64>,
 }
 
-/// The names of one instance's settings, in their order.
+/// Names used in one instance's settings. An index into a list here is the library's id of that entry.
 #[derive(Clone, Default, PartialEq)]
 pub struct SettingNames {
-    /// Classes of message.
+    /// Message classes.
     pub classes: Vec<String>,
     /// Tenants.
     pub tenants: Vec<String>,
-    /// Kinds of destination.
+    /// Endpoint kinds.
     pub kinds: Vec<String>,
     /// Zones.
     pub zones: Vec<String>,
@@ -111,49 +111,50 @@
     pub columns: Vec<String>,
 }
 
-/// The place of a name among its like.
+/// Index of a name; `what` describes the kind of name in the error.
 pub fn name_index(names: &[String], name: &str, what: &str) -> Result<usize, String> {
     names.iter().position(|n| n == name).ok_or_else(|| format!("unknown {what} '{name}'"))
 }
 
-/// A load report by meaning, of what its fields say; a field that is no sensible figure tells nothing.
+/// Builds a load report from its fields; a missing, negative or non-finite field is left unset.
 pub fn load_report(field: impl Fn(&str) -> Option<f64>) -> Report {
-    let sound = |name| field(name).filter(|value| value.is_finite() && *value >= 0.0);
-    Report { left: sound("x0"), limit: sound("x1") }
+    let valid = |name| field(name).filter(|value| value.is_finite() && *value >= 0.0);
+    Report { left: valid("x0"), limit: valid("x1") }
 }
 
-/// Translates settings, and keeps their names.
-pub fn translate(env: WireSettings) -> Result<(Settings, SettingNames), String> {
-    let extra = env.extra.unwrap_or_default();
-    let limits = env.policy_limits.unwrap_or_default();
-    let rules = env.rules.unwrap_or_default();
+/// Translates settings, and returns the names they use.
+pub fn translate(raw: WireSettings) -> Result<(Settings, SettingNames), String> {
+    let extra = raw.extra.unwrap_or_default();
+    let limits = raw.policy_limits.unwrap_or_default();
+    let rules = raw.rules.unwrap_or_default();
     let names = SettingNames {
-        classes: env.categories.iter().map(|c| c.name.clone()).collect(),
-        tenants: env.orgs.iter().map(|o| o.name.clone()).collect(),
-        kinds: env.shapes,
-        zones: env.zones,
-        columns: env.report.unwrap_or_default().columns,
+        classes: raw.categories.iter().map(|c| c.name.clone()).collect(),
+        tenants: raw.orgs.iter().map(|o| o.name.clone()).collect(),
+        kinds: raw.shapes,
+        zones: raw.zones,
+        columns: raw.report.unwrap_or_default().columns,
     };
-    let numbered = env.categories.into_iter().enumerate();
-    let classes = numbered.map(|(i, c)| class(c).map_err(|e| format!("categories[{i}].effect: {e}")));
+    let indexed = raw.categories.into_iter().enumerate();
+    let classes =
+        indexed.map(|(i, c)| translate_class(c).map_err(|e| format!("categories[{i}].effect: {e}")));
     let classes = classes.collect::<Result<_, _>>()?;
     let kinds = (0..names.kinds.len())
         .map(|i| Kind { apart: extra.own_limits.get(i).copied(), bundle: extra.bundle_max.get(i).copied() })
         .collect();
-    let zone = env.zone.map(|z| name_index(&names.zones, &z, "zone").map_err(|e| format!("zone: {e}")));
+    let zone = raw.zone.map(|z| name_index(&names.zones, &z, "zone").map_err(|e| format!("zone: {e}")));
     let zone = zone.transpose()?.map(ZoneId);
     let settings = Settings {
-        couriers: env.replicas_of_me,
+        couriers: raw.replicas_of_me,
         zone,
-        step: env.step,
+        step: raw.step,
         classes,
         fade: match extra.fades.as_deref() {
             Some("line") => Some(Fade::Line),
             Some("halves") => Some(Fade::Halves),
             _ => None,
         },
-        tenants: env.orgs.into_iter().map(|o| Tenant { quota: o.quota_rps }).collect(),
-        over_share_worth: env.over_share_worth,
+        tenants: raw.orgs.into_iter().map(|o| Tenant { quota: o.quota_rps }).collect(),
+        over_share_worth: raw.over_share_worth,
         kinds,
         slots: extra.max_calls,
         max_held: limits.most_held,
@@ -162,10 +163,10 @@
         idle_close: limits.idle_close,
         dial_timeout: limits.dial_timeout,
         backoff_told: limits.retry_after,
-        list_on_request: env.membership_mode.as_deref() == Some("subscribe"),
-        // Couriers of this wire share nothing.
+        list_on_request: raw.membership_mode.as_deref() == Some("subscribe"),
+        // Instances on this wire don't exchange lists with one another.
         list_shared: false,
-        weights: match env.weights.as_deref() {
+        weights: match raw.weights.as_deref() {
             Some("nominal") => Weights::Exact,
             Some("rough") => Weights::Rough,
             _ => Weights::Nothing,
@@ -181,12 +182,12 @@
             must_ask_in: rules.must_ask_in,
             order_settle: rules.order_settle,
         },
-        worst_class: env.goal.map_or(0.0, |g| g.worst_class / (g.whole + g.worst_window).max(0.1)),
+        worst_class: raw.goal.map_or(0.0, |g| g.worst_class / (g.whole + g.worst_window).max(0.1)),
     };
     Ok((settings, names))
 }
 
-fn class(c: WireClass) -> Result<Class, String> {
+fn translate_class(c: WireClass) -> Result<Class, String> {
     Ok(Class {
         aim: c.aim,
         give_up: c.give_up,
--- a/wirehost/tests/wire.rs
+++ b/wirehost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: round trips and plain faults.
+//! Runs the adapter as a process: complete rounds, and malformed input.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -15,7 +15,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // A fault may end the adapter before it has read everything.
+    // The adapter may exit on an error before it has read all of the input.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
@@ -25,9 +25,9 @@
     format!("{head}\n{}\n{{\"type\":\"go\"}}\n", events.join("\n"))
 }
 
-fn fault(input: &str) -> String {
+fn failure(input: &str) -> String {
     let output = run(input);
-    assert!(!output.status.success(), "a fault must show in the exit code");
+    assert!(!output.status.success(), "an error must show in the exit code");
     String::from_utf8(output.stderr).expect("plain text")
 }
 
@@ -50,35 +50,35 @@
 }
 
 #[test]
-fn a_killed_instance_is_silent() {
+fn a_killed_instance_sends_no_actions() {
     let output = run(&round(&[ATTACH, LIST, REQUEST, r#"{"type":"killed","courier":3}"#]));
     assert_eq!(output.stdout, b"{\"type\":\"yield\"}\n");
 }
 
 #[test]
-fn malformed_input_is_named() {
-    assert!(fault("nonsense\n").contains("line 1"));
-    assert!(fault("{\"type\":\"go\"}\n").contains("outside a round"));
-    assert!(fault(&round(&[r#"{"type":"surprise","courier":3}"#])).contains("surprise"));
-    assert!(fault(&round(&[r#"{"type":"req","courier":3,"handle":1}"#])).contains("missing field"));
-    assert!(fault(&round(&[r#"{"type":"due","courier":4,"nonce":1}"#])).contains("unknown instance 4"));
-    assert!(fault("{\"type\":\"round\",\"now\":5}\n").contains("ended inside a round"));
-    let odd =
+fn malformed_input_ends_the_adapter_with_its_cause() {
+    assert!(failure("nonsense\n").contains("line 1"));
+    assert!(failure("{\"type\":\"go\"}\n").contains("outside a round"));
+    assert!(failure(&round(&[r#"{"type":"surprise","courier":3}"#])).contains("surprise"));
+    assert!(failure(&round(&[r#"{"type":"req","courier":3,"handle":1}"#])).contains("missing field"));
+    assert!(failure(&round(&[r#"{"type":"due","courier":4,"nonce":1}"#])).contains("unknown instance 4"));
+    assert!(failure("{\"type\":\"round\",\"now\":5}\n").contains("ended inside a round"));
+    let unknown_verdict =
         r#"{"type":"closed_attempt","courier":3,"handle":9,"hop":0,"endpoint":8,"verdict":77,"latency":1}"#;
-    assert!(fault(&round(&[ATTACH, odd])).contains("unknown verdict 77"));
+    assert!(failure(&round(&[ATTACH, unknown_verdict])).contains("unknown verdict 77"));
 }
 
-/// A report row that does not fit, or where none was announced, tells nothing and stops nothing.
+/// A report row of the wrong length or type, or one for which no columns are configured, is ignored; the adapter goes on.
 #[test]
-fn strange_report_rows_are_ignored() {
+fn malformed_report_rows_are_ignored() {
     for row in ["[]", "[1]", "[1,2,3]", "null", "7", "\"x\"", "[null,null]", "[-1,-5]", "[1e308,1e308]"] {
         for report in ["", r#""report":{"columns":["x0","x1"],"source":"inline"},"#] {
             let attach = ATTACH.replace("\"news\":[1],", report);
             let outcome = format!(
                 r#"{{"type":"closed_attempt","courier":3,"handle":9,"hop":0,"endpoint":8,"verdict":0,"latency":5,"no_more":true,"metrics":{row}}}"#
             );
-            let later = format!("{}{}", round(&[&attach, LIST, REQUEST]), round(&[&outcome]));
-            let output = run(&later);
+            let input = format!("{}{}", round(&[&attach, LIST, REQUEST]), round(&[&outcome]));
+            let output = run(&input);
             assert!(output.status.success(), "{row}: {}", String::from_utf8_lossy(&output.stderr));
         }
     }
