--- a/shim/src/control.rs
+++ b/shim/src/control.rs
@@ -1,19 +1,20 @@
-//! The control file: one fault a line, at most [`LONGEST`] bytes, read anew before each call.
+//! The control file: one fault per line, at most [`CONTROL_BYTES`] bytes, read again before each call.
 //!
-//! A line is the call, the error number, how many calls one failure comes in, the mode and a number, separated by single
-//! spaces: `write 28 1 half 0`. `clock S 1 fail 0` steps the wall clock by S seconds. What cannot be read is passed over.
+//! A line holds the call, the error number, N where one call in N is to fail, the mode and the mode's argument, separated by
+//! single spaces: `write 28 1 half 0`. `clock S 1 fail 0` steps the wall clock by S seconds. Lines that cannot be parsed are
+//! ignored.
 use crate::system;
 use std::sync::atomic::{AtomicI32, AtomicU32, Ordering};
 
-/// Longest control file that is read.
-pub const LONGEST: usize = 1024;
+/// Maximum number of bytes read from the control file.
+pub const CONTROL_BYTES: usize = 1024;
 
-const UNOPENED: i32 = -1;
-const NONE: i32 = -2;
+const NOT_OPENED: i32 = -1;
+const NO_FILE: i32 = -2;
 
-static FILE: AtomicI32 = AtomicI32::new(UNOPENED);
+static CONTROL_FILE: AtomicI32 = AtomicI32::new(NOT_OPENED);
 
-/// A call that may be told to fail.
+/// A call that can be made to fail.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Call {
     /// Writes to files.
@@ -24,17 +25,17 @@
     Open,
     /// Renaming files.
     Rename,
-    /// Cutting files short.
+    /// Truncating files.
     Truncate,
     /// Syncing files.
     Sync,
-    /// Taking connections.
+    /// Accepting connections.
     Accept,
-    /// Making sockets.
+    /// Creating sockets.
     Socket,
     /// Connecting sockets.
     Connect,
-    /// Reads of sockets.
+    /// Reads from sockets.
     Receive,
     /// Waiting for events.
     Wait,
@@ -62,59 +63,59 @@
 /// How a call fails.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// With its error number, and nothing is done.
+    /// It does nothing and returns the error number.
     Fail,
-    /// Half of the bytes are written; the call for the rest fails.
+    /// It writes half of the bytes; the next call, for the rest, fails.
     Half,
-    /// So many bytes are written, and the process is killed.
+    /// It writes this many bytes, then the process is killed.
     Kill(usize),
 }
 
-/// A fault that is to strike now.
+/// A fault to inject into the current call.
 #[derive(Clone, Copy)]
 pub struct Fault {
-    /// The error number; for the clock, its step in seconds.
+    /// The error number; for [`Call::Clock`], the step in seconds.
     pub number: i32,
-    /// How it strikes.
+    /// How the call fails.
     pub mode: Mode,
 }
 
-/// The fault that a call is to meet, if any and if it is one of those that may fail; counts the call then.
+/// The fault to inject into this call, if any. A call for which `may_fail` is false never fails and isn't counted.
 pub fn fault(call: Call, may_fail: impl Fn() -> bool) -> Option<Fault> {
-    let mut room = [0; LONGEST];
-    let text = read(&mut room)?;
+    let mut buffer = [0; CONTROL_BYTES];
+    let text = read(&mut buffer)?;
     let (one_in, fault) = text.split(|byte| *byte == b'\n').find_map(|line| parse(line, call))?;
     if !may_fail() {
         return None;
     }
-    let place = CALLS.iter().position(|(_, known)| *known == call)?;
-    let count = COUNTS[place].fetch_add(1, Ordering::Relaxed);
+    let index = CALLS.iter().position(|(_, known)| *known == call)?;
+    let count = COUNTS[index].fetch_add(1, Ordering::Relaxed);
     count.is_multiple_of(one_in).then_some(fault)
 }
 
-/// The step of the wall clock in seconds.
+/// The current step of the wall clock in seconds.
 pub fn clock_step() -> i64 {
     fault(Call::Clock, || true).map_or(0, |fault| i64::from(fault.number))
 }
 
-fn read(room: &mut [u8; LONGEST]) -> Option<&[u8]> {
-    let mut file = FILE.load(Ordering::Relaxed);
-    if file == UNOPENED {
-        file = system::environment(c"ONYXGLADE_SHIM_CONTROL").map_or(NONE, system::open_to_read);
-        FILE.store(file, Ordering::Relaxed);
+fn read(buffer: &mut [u8; CONTROL_BYTES]) -> Option<&[u8]> {
+    let mut file = CONTROL_FILE.load(Ordering::Relaxed);
+    if file == NOT_OPENED {
+        file = system::environment(c"ONYXGLADE_SHIM_CONTROL").map_or(NO_FILE, system::open_read_only);
+        CONTROL_FILE.store(file, Ordering::Relaxed);
     }
-    let read = if file < 0 { 0 } else { system::read_from_start(file, room) };
-    room.get(..read).filter(|text| !text.is_empty())
+    let read = if file < 0 { 0 } else { system::read_from_start(file, buffer) };
+    buffer.get(..read).filter(|text| !text.is_empty())
 }
 
 fn parse(line: &[u8], call: Call) -> Option<(u32, Fault)> {
-    let mut words = line.split(|byte| *byte == b' ');
-    let name = words.next()?;
-    CALLS.iter().find(|(known, named)| *known == name && *named == call)?;
-    let mut number = || std::str::from_utf8(words.next()?).ok()?.parse::<i32>().ok();
+    let mut fields = line.split(|byte| *byte == b' ');
+    let name = fields.next()?;
+    CALLS.iter().find(|(known, known_call)| *known == name && *known_call == call)?;
+    let mut number = || std::str::from_utf8(fields.next()?).ok()?.parse::<i32>().ok();
     let (error, one_in) = (number()?, number()?);
-    let mode = words.next()?;
-    let bytes = words.next().and_then(|word| std::str::from_utf8(word).ok()?.parse().ok()).unwrap_or(0);
+    let mode = fields.next()?;
+    let bytes = fields.next().and_then(|field| std::str::from_utf8(field).ok()?.parse().ok()).unwrap_or(0);
     let mode = match mode {
         b"half" => Mode::Half,
         b"kill" => Mode::Kill(bytes),
--- a/shim/src/files.rs
+++ b/shim/src/files.rs
@@ -1,21 +1,23 @@
-//! Calls on files.
+//! Replacements for the C library's file calls.
 use libc::{iovec, mode_t, off64_t, size_t, ssize_t};
 use std::ffi::{CStr, c_char, c_int, c_long, c_void};
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use crate::control::{Call, Fault, Mode, fault};
-use crate::system::{die, fail, is_file_in_folder, is_in_folder};
+use crate::system::{fail, is_file_in_folder, is_in_folder, kill_process};
 
-/// Half of a write was done; the call for the rest is due.
+/// Whether a write was cut to its first half, so that the next call, for the rest, must fail.
 static HALF_WRITTEN: AtomicBool = AtomicBool::new(false);
 
-/// What a write of so many bytes is to do.
+/// What a write call does under the current fault.
 enum Write {
-    /// All that it is told to.
+    /// It writes all bytes.
     Whole,
-    /// So many bytes of it.
+    /// It writes only this many bytes.
     Part(usize),
-    PartAndDie(usize),
+    /// It writes this many bytes, then the process is killed.
+    PartAndKill(usize),
+    /// It writes nothing and fails with this error number.
     Fail(c_int),
 }
 
@@ -25,7 +27,7 @@
     };
     match mode {
         Mode::Fail => Write::Fail(number),
-        Mode::Kill(bytes) => Write::PartAndDie(bytes.min(length)),
+        Mode::Kill(bytes) => Write::PartAndKill(bytes.min(length)),
         Mode::Half if length > 1 && !HALF_WRITTEN.fetch_xor(true, Ordering::Relaxed) => {
             Write::Part(length / 2)
         }
@@ -37,14 +39,14 @@
     fault(call, || is_file_in_folder(file)).map(|fault| fault.number)
 }
 
-/// Writes as `write` does, as much as the fault lets pass.
+/// Calls `write` with the number of bytes that the current fault allows.
 fn faulty_write(file: c_int, length: usize, write: impl Fn(usize) -> ssize_t) -> ssize_t {
     match write_fault(file, length) {
         Write::Whole => write(length),
         Write::Part(bytes) => write(bytes),
-        Write::PartAndDie(bytes) => {
+        Write::PartAndKill(bytes) => {
             write(bytes);
-            die()
+            kill_process()
         }
         Write::Fail(number) => fail(number),
     }
@@ -54,17 +56,22 @@
 /// As `write(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(file: c_int, bytes: *const c_void, length: size_t) -> ssize_t {
-    // SAFETY: no more is written than the caller has.
+    // SAFETY: `part` is at most `length`, the size of the caller's buffer.
     faulty_write(file, length, |part| unsafe { libc::syscall(libc::SYS_write, file, bytes, part) as ssize_t })
 }
 
 /// # Safety
 /// As `pwrite(2)`.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn pwrite64(file: c_int, bytes: *const c_void, length: size_t, at: off64_t) -> ssize_t {
-    // SAFETY: no more is written than the caller has.
+pub unsafe extern "C" fn pwrite64(
+    file: c_int,
+    bytes: *const c_void,
+    length: size_t,
+    offset: off64_t,
+) -> ssize_t {
+    // SAFETY: `part` is at most `length`, the size of the caller's buffer.
     faulty_write(file, length, |part| unsafe {
-        libc::syscall(libc::SYS_pwrite64, file, bytes, part, at as c_long) as ssize_t
+        libc::syscall(libc::SYS_pwrite64, file, bytes, part, offset as c_long) as ssize_t
     })
 }
 
@@ -75,7 +82,7 @@
     let failing = fault(Call::Write, || is_file_in_folder(file));
     match failing {
         Some(fault) => fail(fault.number),
-        // SAFETY: as the caller promises.
+        // SAFETY: the caller upholds the call's contract.
         None => unsafe { libc::syscall(libc::SYS_writev, file, parts, count) as ssize_t },
     }
 }
@@ -83,39 +90,39 @@
 /// # Safety
 /// As `read(2)`.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn read(file: c_int, room: *mut c_void, length: size_t) -> ssize_t {
+pub unsafe extern "C" fn read(file: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
     match file_fault(Call::Read, file) {
         Some(number) => fail(number),
-        // SAFETY: as the caller promises.
-        None => unsafe { libc::syscall(libc::SYS_read, file, room, length) as ssize_t },
+        // SAFETY: the caller upholds the call's contract.
+        None => unsafe { libc::syscall(libc::SYS_read, file, buffer, length) as ssize_t },
     }
 }
 
 /// # Safety
-/// As `open(2)`, with the mode given.
+/// As `open(2)` with three arguments.
 unsafe fn open_at(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    // SAFETY: the path ends with a zero, as the caller promises.
+    // SAFETY: the caller passes a NUL-terminated path.
     let in_folder = is_in_folder(unsafe { CStr::from_ptr(path) }.to_bytes());
     match fault(Call::Open, || in_folder) {
         Some(fault) => fail(fault.number),
-        // SAFETY: as the caller promises.
+        // SAFETY: the caller upholds the call's contract.
         None => unsafe { libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path, flags, mode) as c_int },
     }
 }
 
 /// # Safety
-/// As `open(2)`; the third argument is read though it may not have been given, as the C library does.
+/// As `open(2)`. The third argument is read even where the caller passed none, as the C library does.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    // SAFETY: as the caller promises.
+    // SAFETY: the caller upholds the call's contract.
     unsafe { open_at(path, flags, mode) }
 }
 
 /// # Safety
-/// As `open(2)`; the third argument is read though it may not have been given, as the C library does.
+/// As `open(2)`. The third argument is read even where the caller passed none, as the C library does.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn open(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    // SAFETY: as the caller promises.
+    // SAFETY: the caller upholds the call's contract.
     unsafe { open_at(path, flags, mode) }
 }
 
@@ -123,11 +130,11 @@
 /// As `rename(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    // SAFETY: the path ends with a zero, as the caller promises.
+    // SAFETY: the caller passes a NUL-terminated path.
     let in_folder = is_in_folder(unsafe { CStr::from_ptr(to) }.to_bytes());
     match fault(Call::Rename, || in_folder) {
         Some(fault) => fail(fault.number),
-        // SAFETY: as the caller promises.
+        // SAFETY: the caller upholds the call's contract.
         None => unsafe { libc::syscall(libc::SYS_rename, from, to) as c_int },
     }
 }
@@ -138,7 +145,7 @@
 pub unsafe extern "C" fn ftruncate64(file: c_int, length: off64_t) -> c_int {
     match file_fault(Call::Truncate, file) {
         Some(number) => fail(number),
-        // SAFETY: it takes plain numbers.
+        // SAFETY: the call takes integers only.
         None => unsafe { libc::syscall(libc::SYS_ftruncate, file, length as c_long) as c_int },
     }
 }
@@ -149,7 +156,7 @@
 pub unsafe extern "C" fn fsync(file: c_int) -> c_int {
     match file_fault(Call::Sync, file) {
         Some(number) => fail(number),
-        // SAFETY: it takes plain numbers.
+        // SAFETY: the call takes integers only.
         None => unsafe { libc::syscall(libc::SYS_fsync, file) as c_int },
     }
 }
@@ -160,7 +167,7 @@
 pub unsafe extern "C" fn fdatasync(file: c_int) -> c_int {
     match file_fault(Call::Sync, file) {
         Some(number) => fail(number),
-        // SAFETY: it takes plain numbers.
+        // SAFETY: the call takes integers only.
         None => unsafe { libc::syscall(libc::SYS_fdatasync, file) as c_int },
     }
 }
--- a/shim/src/lib.rs
+++ b/shim/src/lib.rs
@@ -1,12 +1,12 @@
-//! A library that the dynamic linker loads into a relay under test (`LD_PRELOAD`) and that makes its system calls fail.
+//! A library for `LD_PRELOAD` that makes system calls of a relay under test fail.
 //!
-//! Each function here takes the place of the C library's function of the same name: it either fails as the control file
-//! says, or makes the system call itself. The control file is named by `ONYXGLADE_SHIM_CONTROL` and is read before each
-//! such call, so that whoever writes it ([`control`] has its form) turns faults on and off while the process runs. Calls
-//! on files fail only below the folder named by `ONYXGLADE_SHIM_FOLDER`.
+//! Each function here replaces the C library's function of the same name. It either fails as the control file specifies or
+//! makes the system call itself. `ONYXGLADE_SHIM_CONTROL` names the control file ([`control`] describes its format). The
+//! file is read before each call, so faults can be turned on and off while the process runs. File calls fail only below
+//! the folder that `ONYXGLADE_SHIM_FOLDER` names.
 //!
-//! This is the one crate with unsafe code: the C library's functions can be replaced in no other way. Nothing here
-//! allocates, so that it may be called from anywhere.
+//! This is the only crate with unsafe code, since there is no other way to replace functions of the C library. Nothing
+//! here allocates, so the functions can be called from any context.
 #![deny(missing_docs)]
 
 pub mod control;
--- a/shim/src/sockets.rs
+++ b/shim/src/sockets.rs
@@ -1,11 +1,11 @@
-//! Calls on sockets, and waits.
+//! Replacements for the C library's socket calls and `epoll_wait`.
 use libc::{epoll_event, size_t, sockaddr, socklen_t, ssize_t};
 use std::ffi::{c_int, c_long, c_void};
 
 use crate::control::{Call, fault};
 use crate::system::fail;
 
-fn number(call: Call) -> Option<c_int> {
+fn injected_error(call: Call) -> Option<c_int> {
     fault(call, || true).map(|fault| fault.number)
 }
 
@@ -18,9 +18,9 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    match number(Call::Accept) {
-        Some(number) => fail(number),
-        // SAFETY: as the caller promises.
+    match injected_error(Call::Accept) {
+        Some(error_number) => fail(error_number),
+        // SAFETY: the caller upholds the call's contract.
         None => unsafe { libc::syscall(libc::SYS_accept4, socket, address, length, flags) as c_int },
     }
 }
@@ -29,9 +29,9 @@
 /// As `socket(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    match number(Call::Socket) {
-        Some(number) => fail(number),
-        // SAFETY: it takes plain numbers.
+    match injected_error(Call::Socket) {
+        Some(error_number) => fail(error_number),
+        // SAFETY: the call takes integers only.
         None => unsafe { libc::syscall(libc::SYS_socket, domain, kind, protocol) as c_int },
     }
 }
@@ -40,9 +40,9 @@
 /// As `connect(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    match number(Call::Connect) {
-        Some(number) => fail(number),
-        // SAFETY: as the caller promises.
+    match injected_error(Call::Connect) {
+        Some(error_number) => fail(error_number),
+        // SAFETY: the caller upholds the call's contract.
         None => unsafe { libc::syscall(libc::SYS_connect, socket, address, length) as c_int },
     }
 }
@@ -50,13 +50,14 @@
 /// # Safety
 /// As `recv(2)`.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn recv(socket: c_int, room: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    match number(Call::Receive) {
-        Some(number) => fail(number),
-        // SAFETY: as the caller promises.
+pub unsafe extern "C" fn recv(socket: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
+    match injected_error(Call::Receive) {
+        Some(error_number) => fail(error_number),
+        // SAFETY: the caller upholds the call's contract.
         None => unsafe {
-            let nobody = std::ptr::null::<c_void>();
-            libc::syscall(libc::SYS_recvfrom, socket, room, length, flags, nobody, nobody) as ssize_t
+            let no_address = std::ptr::null::<c_void>();
+            libc::syscall(libc::SYS_recvfrom, socket, buffer, length, flags, no_address, no_address)
+                as ssize_t
         },
     }
 }
@@ -67,15 +68,16 @@
 pub unsafe extern "C" fn epoll_wait(
     epoll: c_int,
     events: *mut epoll_event,
-    room: c_int,
-    most: c_int,
+    max_events: c_int,
+    timeout: c_int,
 ) -> c_int {
-    match number(Call::Wait) {
-        Some(number) => fail(number),
-        // SAFETY: as the caller promises.
+    match injected_error(Call::Wait) {
+        Some(error_number) => fail(error_number),
+        // SAFETY: the caller upholds the call's contract.
         None => unsafe {
             let no_mask = std::ptr::null::<c_void>();
-            libc::syscall(libc::SYS_epoll_pwait, epoll, events, room, most, no_mask, 8 as c_long) as c_int
+            libc::syscall(libc::SYS_epoll_pwait, epoll, events, max_events, timeout, no_mask, 8 as c_long)
+                as c_int
         },
     }
 }
--- a/shim/src/time.rs
+++ b/shim/src/time.rs
@@ -1,4 +1,4 @@
-//! The wall clock, which may be stepped.
+//! The replacement for `clock_gettime`, which can step the wall clock.
 use libc::{clockid_t, timespec};
 use std::ffi::c_int;
 
@@ -8,11 +8,11 @@
 /// As `clock_gettime(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    // SAFETY: as the caller promises.
-    let told = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, time) as c_int };
-    if told == 0 && clock == libc::CLOCK_REALTIME {
-        // SAFETY: the system has just filled it.
+    // SAFETY: the caller upholds the call's contract.
+    let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, time) as c_int };
+    if result == 0 && clock == libc::CLOCK_REALTIME {
+        // SAFETY: the successful call has just written to it.
         unsafe { (*time).tv_sec += clock_step() };
     }
-    told
+    result
 }
