--- a/rig/src/check.rs
+++ b/rig/src/check.rs
@@ -1,156 +1,168 @@
-//! What is promised of a fleet, each as a check of what was seen from outside. A check that fails says by which events.
+//! Invariants of a fleet, checked against what was observed from outside. A violation names the events that show it.
 use onyxglade_lab::discovery::{CallFate, FALSE};
 
 use crate::drains;
-use crate::history::{History, Unanswered, What};
+use crate::history::{EventKind, History, UnansweredRequest};
 use std::time::Duration;
 
-/// A promise.
+/// An invariant that a fleet keeps under any fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promise {
+pub enum Invariant {
     /// The relay's rules hold over all processes together.
     Rules,
-    /// No process ends by itself.
+    /// No process ends except by the schedule.
     NoneCrashes,
-    /// Each relay that runs at the end holds the list.
+    /// Each relay that runs at the end has the list.
     AllHoldTheList,
-    /// Relays that talk to one another end up seeing all who run, and nobody else.
+    /// Where relays exchange membership, each one in the end sees exactly those that run.
     AllSeeAll,
-    /// In one process's life, no list is replaced by an older one.
+    /// During the lifetime of a process, no list is replaced by an older one.
     NoOlderList,
-    /// The list service's time goes into answers, at least two thirds of it.
+    /// The list service spends at least two thirds of its time on calls that it answers.
     ServiceTimeIsUseful,
-    /// Nothing new goes to an endpoint that drains, by what each relay was told.
+    /// No new call goes to a draining endpoint once the relay knows of the drain.
     Drains,
-    /// No endpoint has to open more connections in a second than it takes.
+    /// No endpoint sees more new connections in a second than it accepts.
     EndpointsSpared,
-    /// Whoever hands a message in on a connection of its own gets an answer there, unless the process is killed meanwhile.
+    /// Each request on a connection of its own gets a response there, unless the process is killed meanwhile.
     Answered,
 }
 
-/// Relays that a check names, at most.
-const TOLD: usize = 10;
+/// Maximum number of relays that a violation lists.
+const MAX_NAMED: usize = 10;
 
-pub const ALL: [(Promise, &str); 9] = [
-    (Promise::Rules, "rules"),
-    (Promise::NoneCrashes, "none-crashes"),
-    (Promise::AllHoldTheList, "all-hold-the-list"),
-    (Promise::AllSeeAll, "all-see-all"),
-    (Promise::NoOlderList, "no-older-list"),
-    (Promise::ServiceTimeIsUseful, "service-time-is-useful"),
-    (Promise::Drains, "drains"),
-    (Promise::EndpointsSpared, "endpoints-spared"),
-    (Promise::Answered, "answered"),
+/// All invariants, with the names under which results report them.
+pub const INVARIANTS: [(Invariant, &str); 9] = [
+    (Invariant::Rules, "rules"),
+    (Invariant::NoneCrashes, "none-crashes"),
+    (Invariant::AllHoldTheList, "all-hold-the-list"),
+    (Invariant::AllSeeAll, "all-see-all"),
+    (Invariant::NoOlderList, "no-older-list"),
+    (Invariant::ServiceTimeIsUseful, "service-time-is-useful"),
+    (Invariant::Drains, "drains"),
+    (Invariant::EndpointsSpared, "endpoints-spared"),
+    (Invariant::Answered, "answered"),
 ];
 
-/// Why a promise is not kept.
-pub fn broken(history: &History, promise: Promise) -> Option<String> {
-    match promise {
-        Promise::Rules => {
+/// How an invariant is violated; `None` if it holds.
+pub fn violation(history: &History, invariant: Invariant) -> Option<String> {
+    match invariant {
+        Invariant::Rules => {
             let first =
                 history.breaches.first().map(|b| format!("{:?} at {:.2} s: {}", b.rule, b.at_s, b.what));
-            (history.rules_broken > 0).then(|| format!("{} times, first {first:?}", history.rules_broken))
+            (history.rules_broken > 0)
+                .then(|| format!("{} violations, first {first:?}", history.rules_broken))
         }
-        Promise::NoneCrashes => history.events.iter().find_map(|e| match e.what {
-            What::Crashed(code) => Some(format!("r{} at {:.2} s with {code:?}", e.relay, e.at.as_secs_f64())),
+        Invariant::NoneCrashes => history.events.iter().find_map(|e| match e.kind {
+            EventKind::Crashed(code) => {
+                Some(format!("r{} at {:.2} s with {code:?}", e.relay, e.at.as_secs_f64()))
+            }
             _ => None,
         }),
-        Promise::AllHoldTheList => {
-            let listed = history.listed();
-            let runs = history.running();
-            let without: Vec<_> = (0..history.relays).filter(|r| runs[*r] && listed[*r].is_none()).collect();
-            let first = &without[..without.len().min(TOLD)];
-            (!without.is_empty()).then(|| format!("{} have none, the first: {first:?}", without.len()))
+        Invariant::AllHoldTheList => {
+            let listed_since = history.listed_since();
+            let running = history.running();
+            let without: Vec<_> =
+                (0..history.relays).filter(|r| running[*r] && listed_since[*r].is_none()).collect();
+            let first = &without[..without.len().min(MAX_NAMED)];
+            (!without.is_empty()).then(|| format!("{} relays have no list, first {first:?}", without.len()))
         }
-        Promise::AllSeeAll if !history.instances => None,
-        Promise::AllSeeAll => {
-            let (runs, views) = (history.running(), history.views());
-            let wrong = (0..history.relays).filter(|r| runs[*r]).find_map(|r| {
-                let other = (0..history.relays).find(|o| *o != r && runs[*o] != views[r].contains(o))?;
+        Invariant::AllSeeAll if !history.instances => None,
+        Invariant::AllSeeAll => {
+            let (running, views) = (history.running(), history.views());
+            let wrong = (0..history.relays).filter(|r| running[*r]).find_map(|r| {
+                let other = (0..history.relays).find(|o| *o != r && running[*o] != views[r].contains(o))?;
                 Some((r, other))
             });
-            wrong.map(|(r, other)| match runs[other] {
+            wrong.map(|(r, other)| match running[other] {
                 true => format!("r{r} does not see r{other}, which runs"),
                 false => format!("r{r} sees r{other}, which does not run"),
             })
         }
-        Promise::NoOlderList => {
-            let mut held = vec![(0, 0.0, 0); history.relays];
+        Invariant::NoOlderList => {
+            let mut newest = vec![(0, 0.0, 0); history.relays];
             history.events.iter().find_map(|e| {
                 let at = e.at.as_secs_f64();
-                let (had, since, lost) = held[e.relay];
-                match e.what {
-                    What::Started => held[e.relay] = (0, at, 0),
-                    // Told to some by a service that lies: neither older nor newer than what is true.
-                    What::Listed(FALSE) => {}
-                    What::Listed(generation) => {
-                        // A service that lost its memory counts anew; what it had counted before is older from then on.
-                        let before =
-                            history.forgot[..lost].last().is_some_and(|(_, last)| generation >= *last);
-                        let anew = history.forgot.get(lost).is_some_and(|(at, _)| e.at >= *at);
-                        if generation < had && !anew || before && generation > had {
+                let (previous, since, losses) = newest[e.relay];
+                match e.kind {
+                    EventKind::Started => newest[e.relay] = (0, at, 0),
+                    // The false generation of `list-lies` is neither older nor newer than a true one.
+                    EventKind::Listed(FALSE) => {}
+                    EventKind::Listed(generation) => {
+                        // A service that lost its state numbers generations from 1 again; those before the loss are older from then on.
+                        let older_numbering =
+                            history.state_losses[..losses].last().is_some_and(|(_, last)| generation >= *last);
+                        let restarted = history.state_losses.get(losses).is_some_and(|(at, _)| e.at >= *at);
+                        if generation < previous && !restarted || older_numbering && generation > previous {
                             let relay = e.relay;
                             return Some(format!(
-                                "r{relay} held {had} from {since:.2} s, {generation} from {at:.2} s"
+                                "r{relay} had list {previous} from {since:.2} s and list {generation} from {at:.2} s"
                             ));
                         }
-                        held[e.relay] = (generation, at, lost + usize::from(generation < had));
+                        newest[e.relay] = (generation, at, losses + usize::from(generation < previous));
                     }
                     _ => {}
                 }
                 None
             })
         }
-        Promise::ServiceTimeIsUseful => {
-            let (useful, useless) = (history.answering.as_secs_f64(), history.throwing.as_secs_f64());
-            let thrown = history.list_calls.iter().filter(|c| c.fate == CallFate::Thrown).count();
-            (useful < 2.0 * useless)
-                .then(|| format!("{useful:.1} s answering, {useless:.1} s on {thrown} thrown away"))
+        Invariant::ServiceTimeIsUseful => {
+            let (useful, useless) = (history.answering.as_secs_f64(), history.discarding.as_secs_f64());
+            let discarded_calls = history.list_calls.iter().filter(|c| c.fate == CallFate::Thrown).count();
+            (useful < 2.0 * useless).then(|| {
+                format!(
+                    "{useful:.1} s on answered calls, {useless:.1} s on {discarded_calls} discarded calls"
+                )
+            })
         }
-        Promise::Drains => drains::broken(history),
-        Promise::Answered => unanswered(history),
-        Promise::EndpointsSpared => {
-            let (most, taken, refused) = (history.opens_most, history.opens_taken, history.opens_refused);
-            (taken > 0 && (most > taken || refused > 0))
-                .then(|| format!("{most} in a second where {taken} are taken, {refused} refused"))
+        Invariant::Drains => drains::violation(history),
+        Invariant::Answered => unanswered_violation(history),
+        Invariant::EndpointsSpared => {
+            let (most, limit, refused) = (history.opens_most, history.opens_taken, history.opens_refused);
+            (limit > 0 && (most > limit || refused > 0))
+                .then(|| format!("{most} connections in a second, limit {limit}, {refused} refused"))
         }
     }
 }
 
-/// What a process's end does to its connections may be read so much before or after it is known to be gone.
-const END_READ: Duration = Duration::from_millis(100);
+/// Clients may see the connections of an exiting process close this much before or after the rig records the exit.
+const EXIT_SLACK: Duration = Duration::from_millis(100);
 
-/// After SIGTERM new connections arrive for so long (the platform's page, "Figures"): what connects later may find nobody.
-const STILL_ARRIVING: Duration = Duration::from_millis(400);
+/// New connections keep arriving for this long after SIGTERM (the platform's page, "Figures"). A later one may find no listener.
+const ACCEPTS_AFTER_SIGTERM: Duration = Duration::from_millis(400);
 
-fn unanswered(history: &History) -> Option<String> {
-    let of = |request: &Unanswered| {
+fn unanswered_violation(history: &History) -> Option<String> {
+    let events_of = |request: &UnansweredRequest| {
         let relay = request.relay;
         history.events.iter().filter(move |event| event.relay == relay)
     };
-    let killed = |request: &Unanswered| {
-        let mut gone = of(request).filter(|event| event.what == What::Gone);
-        gone.any(|event| event.at + END_READ >= request.connected && event.at <= request.ended + END_READ)
+    let killed = |request: &UnansweredRequest| {
+        let mut exits = events_of(request).filter(|event| event.kind == EventKind::Exited);
+        exits
+            .any(|event| event.at + EXIT_SLACK >= request.connected && event.at <= request.ended + EXIT_SLACK)
     };
-    let came_too_late = |request: &Unanswered| {
-        let last = of(request)
+    let connected_too_late = |request: &UnansweredRequest| {
+        let last = events_of(request)
             .filter(|event| event.at <= request.connected)
-            .rfind(|event| matches!(event.what, What::Started | What::Ended));
-        let told_to_end = last.filter(|event| event.what == What::Ended);
-        told_to_end.is_some_and(|event| request.connected > event.at + STILL_ARRIVING)
+            .rfind(|event| matches!(event.kind, EventKind::Started | EventKind::Ended));
+        let end_requested = last.filter(|event| event.kind == EventKind::Ended);
+        end_requested.is_some_and(|event| request.connected > event.at + ACCEPTS_AFTER_SIGTERM)
     };
-    let owed = |request: &&Unanswered| !killed(request) && !came_too_late(request);
-    let lost: Vec<_> = history.unanswered.iter().filter(owed).collect();
-    lost.first().map(|first| {
-        let Unanswered { relay, msg, ended, why, .. } = first;
+    let answer_due = |request: &&UnansweredRequest| !killed(request) && !connected_too_late(request);
+    let missing: Vec<_> = history.unanswered.iter().filter(answer_due).collect();
+    missing.first().map(|first| {
+        let UnansweredRequest { relay, msg, ended, why, .. } = first;
         let at = ended.as_secs_f64();
-        format!("{} requests, first message {msg} at r{relay} at {at:.2} s: {why}", lost.len())
+        format!(
+            "{} requests got no response, first message {msg} at r{relay} at {at:.2} s: {why}",
+            missing.len()
+        )
     })
 }
 
-/// The promises that are not kept, by name, and why.
-pub fn all(history: &History) -> Vec<(&'static str, String)> {
-    ALL.iter().filter_map(|(promise, name)| Some((*name, broken(history, *promise)?))).collect()
+/// The violated invariants, by name, with how each is violated.
+pub fn violations(history: &History) -> Vec<(&'static str, String)> {
+    INVARIANTS.iter().filter_map(|(invariant, name)| Some((*name, violation(history, *invariant)?))).collect()
 }
 
 #[cfg(test)]
--- a/rig/src/datagrams.rs
+++ b/rig/src/datagrams.rs
@@ -1,6 +1,6 @@
-//! Ways between relays, for datagrams and links: each relay is reached through sockets of the rig's, which know who sends by the address that
-//! it sends from, and what is wrong on the way between those two just now. What is said on a link over a cut way arrives once the
-//! cut is over, as with a network's retransmissions; what is slow for datagrams is as slow for links, without overtaking.
+//! Network paths between relays, for datagrams and connections. Each relay is reached through sockets of the rig, which identify
+//! the sender by its source address and apply the current faults of the path between the two. Bytes sent on a connection over a cut
+//! path arrive once the cut is over, as with TCP retransmissions. A path's delay applies to connections too, without reordering.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cell::RefCell;
@@ -15,154 +15,161 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Addresses at which relays are reached, in their order.
-const FIRST: u32 = 0x7f30_0001;
-const LARGEST: usize = 65_536;
-/// Bytes that are taken off a link at once, and how many such parts wait on a way: bounds what a cut one holds.
-const PART: usize = 16 * 1024;
-const PARTS: usize = 64;
-/// How often it is looked whether a cut is over.
-const LOOK: Duration = Duration::from_millis(50);
+/// Address at which the first relay is reached; the others follow it in order.
+const FIRST_ADDRESS: u32 = 0x7f30_0001;
+const MAX_DATAGRAM: usize = 65_536;
+/// Maximum number of bytes read from a connection at once.
+const CHUNK: usize = 16 * 1024;
+/// Maximum number of chunks queued on a path; bounds the memory of a cut one.
+const MAX_CHUNKS: usize = 64;
+/// How often to check whether a cut is over.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How the way from one relay to another is.
+/// Faults of the path from one relay to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
-    /// Partitions that part them.
+pub struct PathState {
+    /// Number of active partitions that separate the two.
     pub cuts: u32,
-    /// Share of datagrams that are lost.
+    /// Share of datagrams that are dropped.
     pub lose: f64,
-    /// Delay, and what a lot adds to it: datagrams overtake each other by that.
     pub delay: Duration,
+    /// Upper bound of the random extra delay, which reorders datagrams.
     pub jitter: Duration,
 }
 
-/// All ways between relays.
+/// All paths between relays.
 pub struct Datagrams {
-    /// Those that differ from a sound one.
-    ways: RefCell<HashMap<(usize, usize), Way>>,
+    /// Only the paths that have a fault.
+    paths: RefCell<HashMap<(usize, usize), PathState>>,
     random: RefCell<StdRng>,
-    /// The addresses that relays send from.
-    first: u32,
+    /// Address that the first relay sends from.
+    first_sender: u32,
 }
 
 impl Datagrams {
-    /// Ways between relays that send from addresses in their order.
-    pub fn new(first: u32, seed: u64) -> Rc<Self> {
+    /// Paths between relays that send from consecutive addresses, beginning with `first_sender`.
+    pub fn new(first_sender: u32, seed: u64) -> Rc<Self> {
         let random = RefCell::new(StdRng::seed_from_u64(seed));
-        Rc::new(Datagrams { ways: RefCell::default(), random, first })
+        Rc::new(Datagrams { paths: RefCell::default(), random, first_sender })
     }
 
-    /// A way in to a relay; gives its address.
-    pub async fn lead_to(self: &Rc<Self>, relay: usize, at: SocketAddr) -> io::Result<SocketAddr> {
-        let socket = Rc::new(UdpSocket::bind((Ipv4Addr::from(FIRST + relay as u32), 0)).await?);
+    /// Opens a path to the relay that listens at `target`; returns the address for the other relays to use.
+    pub async fn open_path_to(self: &Rc<Self>, relay: usize, target: SocketAddr) -> io::Result<SocketAddr> {
+        let socket = Rc::new(UdpSocket::bind((Ipv4Addr::from(FIRST_ADDRESS + relay as u32), 0)).await?);
         let address = socket.local_addr()?;
         let listener = TcpListener::bind(address).await?;
-        spawn_local(self.clone().carry(relay, at, socket));
-        spawn_local(self.clone().accept(relay, at, listener));
+        spawn_local(self.clone().forward_datagrams(relay, target, socket));
+        spawn_local(self.clone().accept(relay, target, listener));
         Ok(address)
     }
 
-    /// Which relay has an address, by what it sends from.
+    /// The relay that sends from an address.
     fn sender(&self, address: SocketAddr) -> Option<usize> {
         let IpAddr::V4(ip) = address.ip() else { return None };
-        u32::from(ip).checked_sub(self.first).map(|n| n as usize)
+        u32::from(ip).checked_sub(self.first_sender).map(|n| n as usize)
     }
 
-    fn way(&self, from: usize, to: usize) -> Way {
-        self.ways.borrow().get(&(from, to)).copied().unwrap_or_default()
+    fn path(&self, from: usize, to: usize) -> PathState {
+        self.paths.borrow().get(&(from, to)).copied().unwrap_or_default()
     }
 
-    async fn accept(self: Rc<Self>, to: usize, at: SocketAddr, listener: TcpListener) {
+    async fn accept(self: Rc<Self>, to: usize, target: SocketAddr, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((near, from)) => {
+                Ok((client, from)) => {
                     let Some(from) = self.sender(from) else { continue };
-                    spawn_local(self.clone().link(from, to, at, near));
+                    spawn_local(self.clone().forward_connection(from, to, target, client));
                 }
-                Err(_) => sleep(LOOK).await,
+                Err(_) => sleep(POLL_INTERVAL).await,
             }
         }
     }
 
-    async fn link(self: Rc<Self>, from: usize, to: usize, at: SocketAddr, near: TcpStream) {
-        // An answer needs the way back too.
-        while self.way(from, to).cuts + self.way(to, from).cuts > 0 {
-            if matches!(timeout(LOOK, near.peek(&mut [0; 1])).await, Ok(Ok(0) | Err(_))) {
+    async fn forward_connection(
+        self: Rc<Self>,
+        from: usize,
+        to: usize,
+        target: SocketAddr,
+        client: TcpStream,
+    ) {
+        // The handshake needs both directions.
+        while self.path(from, to).cuts + self.path(to, from).cuts > 0 {
+            if matches!(timeout(POLL_INTERVAL, client.peek(&mut [0; 1])).await, Ok(Ok(0) | Err(_))) {
                 return;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
-        let Ok(far) = TcpStream::connect(at).await else { return };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-        // One side's end is the other's: a link has no half.
+        let Ok(server) = TcpStream::connect(target).await else { return };
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let ((client_in, client_out), (server_in, server_out)) = (client.into_split(), server.into_split());
+        // Both directions close together; half-open connections are not supported.
         tokio::select! {
-            () = self.pass(from, to, near_in, far_out) => {}
-            () = self.pass(to, from, far_in, near_out) => {}
+            () = self.forward(from, to, client_in, server_out) => {}
+            () = self.forward(to, from, server_in, client_out) => {}
         }
     }
 
-    /// Passes one direction of a link on, to its end.
-    async fn pass(
+    /// Forwards one direction of a connection until it closes.
+    async fn forward(
         &self,
         from: usize,
         to: usize,
-        mut out: impl AsyncRead + Unpin,
-        mut into: impl AsyncWrite + Unpin,
+        mut source: impl AsyncRead + Unpin,
+        mut sink: impl AsyncWrite + Unpin,
     ) {
-        let (parts, mut arriving) = mpsc::channel::<(Instant, Vec<u8>)>(PARTS);
-        let take = async move {
-            let mut buffer = vec![0; PART];
-            while let Ok(length @ 1..) = out.read(&mut buffer).await {
-                let due = Instant::now() + self.way(from, to).delay;
-                if parts.send((due, buffer[..length].to_vec())).await.is_err() {
+        let (chunks, mut arriving) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_CHUNKS);
+        let read = async move {
+            let mut buffer = vec![0; CHUNK];
+            while let Ok(length @ 1..) = source.read(&mut buffer).await {
+                let due = Instant::now() + self.path(from, to).delay;
+                if chunks.send((due, buffer[..length].to_vec())).await.is_err() {
                     break;
                 }
             }
         };
-        let give = async move {
+        let write = async move {
             while let Some((due, bytes)) = arriving.recv().await {
                 sleep_until(due).await;
-                while self.way(from, to).cuts > 0 {
-                    sleep(LOOK).await;
+                while self.path(from, to).cuts > 0 {
+                    sleep(POLL_INTERVAL).await;
                 }
-                if into.write_all(&bytes).await.is_err() {
+                if sink.write_all(&bytes).await.is_err() {
                     break;
                 }
             }
         };
-        tokio::join!(take, give);
+        tokio::join!(read, write);
     }
 
-    async fn carry(self: Rc<Self>, to: usize, at: SocketAddr, socket: Rc<UdpSocket>) {
-        let mut buffer = vec![0; LARGEST];
+    async fn forward_datagrams(self: Rc<Self>, to: usize, target: SocketAddr, socket: Rc<UdpSocket>) {
+        let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
             let Some(from) = self.sender(from) else { continue };
-            let way = self.way(from, to);
-            let (lost, lot) = {
+            let path = self.path(from, to);
+            let (lost, jitter_share) = {
                 let mut random = self.random.borrow_mut();
-                (random.random::<f64>() < way.lose, random.random::<f64>())
+                (random.random::<f64>() < path.lose, random.random::<f64>())
             };
-            if way.cuts > 0 || lost {
+            if path.cuts > 0 || lost {
                 continue;
             }
             let (bytes, socket) = (buffer[..length].to_vec(), socket.clone());
-            let delay = way.delay + way.jitter.mul_f64(lot);
+            let delay = path.delay + path.jitter.mul_f64(jitter_share);
             spawn_local(async move {
                 sleep(delay).await;
-                let _ = socket.send_to(&bytes, at).await;
+                let _ = socket.send_to(&bytes, target).await;
             });
         }
     }
 
-    /// Changes the way from one relay to another.
-    pub fn change(&self, from: usize, to: usize, change: impl FnOnce(&mut Way)) {
-        let mut ways = self.ways.borrow_mut();
-        let way = ways.entry((from, to)).or_default();
-        change(way);
-        if *way == Way::default() {
-            ways.remove(&(from, to));
+    /// Changes the faults of the path from one relay to another.
+    pub fn change(&self, from: usize, to: usize, change: impl FnOnce(&mut PathState)) {
+        let mut paths = self.paths.borrow_mut();
+        let path = paths.entry((from, to)).or_default();
+        change(path);
+        if *path == PathState::default() {
+            paths.remove(&(from, to));
         }
     }
 }
--- a/rig/src/drains.rs
+++ b/rig/src/drains.rs
@@ -1,33 +1,33 @@
-//! Judges calls to draining endpoints by what each relay had been told when the call's first byte came.
+//! Checks calls to draining endpoints against what each relay knew when the first byte of the call arrived.
 //!
-//! A drain counts as told to a relay at the earliest of: an answer with that version or a later one that was written to its process
-//! since it started, the process's own word that it holds such a version, and the spans of the platform's rules after which it counts
-//! as told whether or not it came. Where lists pass between relays this is not judged here: the checker holds the drain to have been
-//! heard by all at once there.
+//! A relay counts as knowing of a drain from the earliest of these times: a list response with that version or a later one was
+//! written to its process since the process started; the process logged that it has such a version; a time limit of the platform's
+//! rules ran out, after which the relay counts as informed whether or not it received the change. This check does not apply where
+//! relays exchange lists: there the checker takes the drain as known to all relays at once.
 use onyxglade_lab::rules::{DRAIN_HEARD, DrainedCall};
 use std::time::Duration;
 
-use crate::history::{At, History, What};
+use crate::history::{Elapsed, EventKind, History};
 
-/// A change counts as told so long after the list service had it and could be reached.
-const TOLD_ANYWAY: Duration = Duration::from_secs(6);
-/// ... and so long after a SIGHUP.
-const TOLD_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// Every time limit is longer by this on sockets.
+/// A relay counts as knowing a change this long after the list service had it and was reachable.
+const KNOWN_AFTER_ANNOUNCEMENT: Duration = Duration::from_secs(6);
+/// A relay counts as knowing a change this long after a SIGHUP.
+const KNOWN_AFTER_RELOAD: Duration = Duration::from_secs(4);
+/// Added to every time limit, since calls go over real sockets.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
 
-/// The calls that came too late, the first ones by name; none if all came in time.
-pub fn broken(history: &History) -> Option<String> {
-    let late: Vec<_> = history
+/// The number of calls that came too late, and the first of them; `None` if all were in time.
+pub fn violation(history: &History) -> Option<String> {
+    let late_calls: Vec<_> = history
         .drained_calls
         .iter()
         .filter_map(|(relay, call)| Some((relay, call, lateness(history, *relay, call)?)))
         .collect();
-    let (relay, call, late_by) = late.first()?;
-    let relays = late.iter().map(|(relay, ..)| relay).collect::<std::collections::BTreeSet<_>>().len();
+    let (relay, call, late_by) = late_calls.first()?;
+    let relays = late_calls.iter().map(|(relay, ..)| relay).collect::<std::collections::BTreeSet<_>>().len();
     Some(format!(
         "{} calls of {relays} relays, first message {} of r{relay} at node {} at {:.2} s, {:.2} s after the drain, {:.2} s too late",
-        late.len(),
+        late_calls.len(),
         call.msg,
         call.node,
         call.first.as_secs_f64(),
@@ -36,43 +36,49 @@
     ))
 }
 
-/// How much later a call came than it may have, if it did.
+/// By how much a call came too late; `None` if it was in time.
 fn lateness(history: &History, relay: usize, call: &DrainedCall) -> Option<Duration> {
-    let allowed = told(history, relay, call) + DRAIN_HEARD + SOCKET_SLACK;
+    let allowed = known_since(history, relay, call) + DRAIN_HEARD + SOCKET_SLACK;
     call.first.checked_sub(allowed).filter(|late| !late.is_zero())
 }
 
-/// When a drain counts as told to the relay that made a call.
-fn told(history: &History, relay: usize, call: &DrainedCall) -> At {
-    let mine = || history.events.iter().filter(|event| event.relay == relay && event.at <= call.first);
-    let started = mine().rev().find(|event| event.what == What::Started).map_or(At::ZERO, |event| event.at);
-    // Versions count anew after the service lost its memory: then only the rules' spans can be held against a relay.
-    let version = history.told.iter().find(|(_, at)| *at == call.drained).map(|(version, _)| *version);
-    let written = history.list_answers.iter().find(|answer| {
-        let whole = answer.who == relay && answer.at >= started.max(call.drained);
-        whole && version.is_some_and(|version| answer.generation >= version)
+/// Since when the relay that made a call counts as knowing of the drain.
+fn known_since(history: &History, relay: usize, call: &DrainedCall) -> Elapsed {
+    let own_events = || history.events.iter().filter(|event| event.relay == relay && event.at <= call.first);
+    let started = own_events()
+        .rev()
+        .find(|event| event.kind == EventKind::Started)
+        .map_or(Elapsed::ZERO, |event| event.at);
+    // After the service lost its state, versions start from 1 again, and only the rules' time limits apply.
+    let version = history.changes.iter().find(|(_, at)| *at == call.drained).map(|(version, _)| *version);
+    let answered = history.list_answers.iter().find(|answer| {
+        let new_enough = answer.who == relay && answer.at >= started.max(call.drained);
+        new_enough && version.is_some_and(|version| answer.generation >= version)
     });
-    let said = mine().find(|event| {
-        let lists =
-            matches!(event.what, What::Listed(held) if version.is_some_and(|version| held >= version));
-        lists && event.at >= started.max(call.drained)
+    let reported = own_events().find(|event| {
+        let new_enough =
+            matches!(event.kind, EventKind::Listed(generation) if version.is_some_and(|version| generation >= version));
+        new_enough && event.at >= started.max(call.drained)
     });
-    let reloaded = mine().find(|event| {
-        event.what == What::Reloaded && event.at >= started && event.at + TOLD_AFTER_RELOAD >= call.drained
+    let reloaded = own_events().find(|event| {
+        event.kind == EventKind::Reloaded
+            && event.at >= started
+            && event.at + KNOWN_AFTER_RELOAD >= call.drained
     });
-    let anyway = reachable(history, call.drained) + TOLD_ANYWAY.min(history.must_ask_in);
-    let words = [
-        written.map(|answer| answer.at),
-        said.map(|event| event.at),
-        reloaded.map(|event| event.at + TOLD_AFTER_RELOAD),
-        // A process that starts later is told at its start.
-        Some(anyway.max(started)),
+    let by_rule =
+        service_reachable_at(history, call.drained) + KNOWN_AFTER_ANNOUNCEMENT.min(history.must_ask_in);
+    let candidates = [
+        answered.map(|answer| answer.at),
+        reported.map(|event| event.at),
+        reloaded.map(|event| event.at + KNOWN_AFTER_RELOAD),
+        // A process that starts later gets the list at its start.
+        Some(by_rule.max(started)),
     ];
-    words.into_iter().flatten().min().unwrap_or(anyway)
+    candidates.into_iter().flatten().min().unwrap_or(by_rule)
 }
 
-/// When the list service could be reached with a change: at once, or when its outage was over.
-fn reachable(history: &History, changed: At) -> At {
+/// When relays could get a change from the list service: at once, or at the end of its outage.
+fn service_reachable_at(history: &History, changed: Elapsed) -> Elapsed {
     let outage = history.outages.iter().find(|(from, to)| (*from..*to).contains(&changed));
     outage.map_or(changed, |(_, to)| *to)
 }
--- a/rig/src/fleet.rs
+++ b/rig/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes: started in folders of their own, ended, stopped and started again, and what they log.
+//! The relay processes: starting them in folders of their own, stopping and restarting them, and reading their logs.
 use onyxglade_lab::experiment::RelayTable;
 use onyxglade_lab::relay::configuration;
 use rustix::process::{Pid, Signal, kill_process};
@@ -18,50 +18,51 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use crate::history::{Event, What};
-use crate::schedule::Folder;
+use crate::history::{Event, EventKind};
+use crate::schedule::StateFolder;
 use crate::system_faults::SystemFault;
 
-/// After SIGTERM a process has so long.
-const WIND_DOWN: Duration = Duration::from_millis(3700);
-/// How often it is looked whether a process is ready.
-const LOOK: Duration = Duration::from_millis(50);
-/// The shim's control file is always so long, which is as much as the shim reads.
+/// Time that a process has to exit after SIGTERM.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3700);
+/// How often to check whether a process is ready.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Size of the shim's control file, which is the maximum that the shim reads.
 const CONTROL_BYTES: usize = 1024;
-/// Relays have addresses of their own, so that no connection's own port can be in their way.
-pub const FIRST: u32 = 0x7f20_0001;
+/// Address of the first relay; the others follow it. Each relay has an address of its own, so that the local port of no outgoing
+/// connection can collide with its listeners.
+pub const FIRST_ADDRESS: u32 = 0x7f20_0001;
 
 /// One relay: its folder and address, and its process while one runs.
 pub struct Relay {
     pub number: usize,
     pub address: SocketAddr,
     /// Where it listens for other relays.
-    pub instances: SocketAddr,
+    pub peer_address: SocketAddr,
     program: PathBuf,
-    /// Loaded into its processes, where their system is to fail.
+    /// The shim to preload into its processes, if system faults are scheduled.
     shim: Option<PathBuf>,
-    /// What their system does wrong just now.
-    struck: RefCell<Vec<SystemFault>>,
+    /// System faults in force.
+    active_faults: RefCell<Vec<SystemFault>>,
     folder: PathBuf,
-    life: RefCell<Option<Rc<Life>>>,
+    process: RefCell<Option<Rc<Process>>>,
     events: Rc<RefCell<Vec<Event>>>,
     start: Instant,
 }
 
-/// One process.
-struct Life {
+/// One process of a relay.
+struct Process {
     pid: Pid,
-    /// It is still there to be signalled.
+    /// Whether it has not exited, so that it can be signalled.
     runs: Cell<bool>,
-    /// It said that it can serve.
+    /// Whether it logged that it is ready to serve.
     ready: Cell<bool>,
-    /// Its end is the schedule's doing.
-    told: Cell<bool>,
-    ended: Notify,
+    /// Whether the schedule ended it.
+    end_requested: Cell<bool>,
+    exited: Notify,
 }
 
 impl Relay {
-    /// A relay's folder, with its files in it.
+    /// Creates a relay's folder and writes its configuration.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         program: &Path,
@@ -74,259 +75,272 @@
         shim: Option<PathBuf>,
         (events, start): (Rc<RefCell<Vec<Event>>>, Instant),
     ) -> Result<Rc<Relay>, String> {
-        let fault = |what: &str, e: io::Error| format!("r{number}: {what}: {e}");
-        let ip = Ipv4Addr::from(FIRST + number as u32);
-        // Both are held until both are known, so that they differ.
+        let describe = |what: &str, e: io::Error| format!("r{number}: {what}: {e}");
+        let ip = Ipv4Addr::from(FIRST_ADDRESS + number as u32);
+        // Both listeners stay open until both ports are known, so that the ports differ.
         let port = || std::net::TcpListener::bind((ip, 0)).and_then(|l| Ok((l.local_addr()?, l)));
-        let (address, _held) = port().map_err(|e| fault("no port", e))?;
-        let (instances, _held) = port().map_err(|e| fault("no port", e))?;
+        let (address, _reserved) = port().map_err(|e| describe("no free port", e))?;
+        let (peer_address, _reserved) = port().map_err(|e| describe("no free port", e))?;
         let folder = folder.join(format!("r{number}"));
-        fs::create_dir_all(folder.join("state")).map_err(|e| fault("its folder", e))?;
-        let mut told = configuration(table, &format!("n{number}"), address, list, seed);
-        told["known"] = known.unwrap_or(Value::Null);
-        if told["known"].is_null() {
-            told.as_object_mut().map(|told| told.remove("known"));
+        fs::create_dir_all(folder.join("state")).map_err(|e| describe("cannot prepare its folder", e))?;
+        let mut config = configuration(table, &format!("n{number}"), address, list, seed);
+        config["known"] = known.unwrap_or(Value::Null);
+        if config["known"].is_null() {
+            config.as_object_mut().map(|config| config.remove("known"));
         }
-        for (name, text) in [("config.json", told.to_string()), ("log", String::new())] {
-            fs::write(folder.join(name), text).map_err(|e| fault(name, e))?;
+        for (name, text) in [("config.json", config.to_string()), ("log", String::new())] {
+            fs::write(folder.join(name), text).map_err(|e| describe(name, e))?;
         }
         let program = program.to_owned();
         Ok(Rc::new(Relay {
             number,
             address,
-            instances,
+            peer_address,
             program,
             shim,
-            struck: RefCell::default(),
+            active_faults: RefCell::default(),
             folder,
-            life: RefCell::default(),
+            process: RefCell::default(),
             events,
             start,
         }))
     }
 
-    /// Writes its own file.
+    /// Writes the relay's own configuration file.
     pub fn write_own(&self, own: &toml::Table) -> Result<(), String> {
         let text = toml::to_string(own).map_err(|e| format!("relay.own: {e}"))?;
         fs::write(self.folder.join("own.toml"), text)
-            .map_err(|e| format!("r{}: its own file: {e}", self.number))
+            .map_err(|e| format!("r{}: cannot write its own configuration file: {e}", self.number))
     }
 
-    fn tell(&self, what: What) {
-        self.events.borrow_mut().push(Event { at: self.start.elapsed(), relay: self.number, what });
+    fn record(&self, kind: EventKind) {
+        self.events.borrow_mut().push(Event { at: self.start.elapsed(), relay: self.number, kind });
     }
 
-    fn state(&self) -> PathBuf {
+    fn state_folder(&self) -> PathBuf {
         self.folder.join("state")
     }
 
-    /// Starts its process.
+    /// Starts a process.
     pub fn start(self: &Rc<Self>) -> Result<(), String> {
-        let fault = |what: &str, e: io::Error| format!("r{}: {what}: {e}", self.number);
-        copy(&self.state(), &self.folder.join("earlier")).map_err(|e| fault("its folder", e))?;
+        let describe = |what: &str, e: io::Error| format!("r{}: {what}: {e}", self.number);
+        copy_files(&self.state_folder(), &self.folder.join("earlier"))
+            .map_err(|e| describe("cannot prepare its folder", e))?;
         let mut command = Command::new(&self.program);
         command.env_clear();
         if let Some(shim) = &self.shim {
-            self.write_control().map_err(|e| fault("the shim's control file", e))?;
+            self.write_control().map_err(|e| describe("cannot write the shim's control file", e))?;
             command
                 .env("LD_PRELOAD", shim)
-                .env("ONYXGLADE_SHIM_CONTROL", self.control())
-                .env("ONYXGLADE_SHIM_FOLDER", self.state());
+                .env("ONYXGLADE_SHIM_CONTROL", self.control_path())
+                .env("ONYXGLADE_SHIM_FOLDER", self.state_folder());
         }
         let log = std::env::var("ONYXGLADE_LOG").unwrap_or("info".into());
         let mut child = command
             .env("ONYXGLADE_LOG", log)
             .env("BALANCER_CONFIG", self.folder.join("config.json"))
-            .env("BALANCER_STATE", self.state())
+            .env("BALANCER_STATE", self.state_folder())
             .arg("--config")
             .arg(self.folder.join("own.toml"))
             .stdout(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .map_err(|e| fault("cannot be started", e))?;
-        let pid = child.id().and_then(|id| Pid::from_raw(id as i32)).ok_or("a process that has ended")?;
-        let life = Rc::new(Life {
+            .map_err(|e| describe("cannot be started", e))?;
+        let pid =
+            child.id().and_then(|id| Pid::from_raw(id as i32)).ok_or("the process has already exited")?;
+        let process = Rc::new(Process {
             pid,
             runs: Cell::new(true),
             ready: Cell::new(false),
-            told: Cell::new(false),
-            ended: Notify::new(),
+            end_requested: Cell::new(false),
+            exited: Notify::new(),
         });
-        self.life.replace(Some(life.clone()));
-        self.tell(What::Started);
-        let out = child.stdout.take().expect("piped");
-        spawn_local(self.clone().follow(child, BufReader::new(out), life));
+        self.process.replace(Some(process.clone()));
+        self.record(EventKind::Started);
+        let output = child.stdout.take().expect("piped");
+        spawn_local(self.clone().follow_log(child, BufReader::new(output), process));
         Ok(())
     }
 
-    /// Reads what a process logs, to its end.
-    async fn follow(
+    /// Reads the log of a process until it exits.
+    async fn follow_log(
         self: Rc<Self>,
         mut child: Child,
-        out: BufReader<tokio::process::ChildStdout>,
-        life: Rc<Life>,
+        output: BufReader<tokio::process::ChildStdout>,
+        process: Rc<Process>,
     ) {
         let mut log = fs::OpenOptions::new().append(true).open(self.folder.join("log")).ok();
-        let mut lines = out.lines();
+        let mut lines = output.lines();
         while let Ok(Some(line)) = lines.next_line().await {
-            self.heard(&line, &life);
+            self.record_log_line(&line, &process);
             if let Some(log) = &mut log {
                 let _ = writeln!(log, "{line}");
             }
         }
         let code = child.wait().await.ok().and_then(|status| status.code());
-        life.runs.set(false);
-        self.tell(What::Gone);
-        life.ended.notify_waiters();
-        if !life.told.get() {
-            self.tell(What::Crashed(code));
+        process.runs.set(false);
+        self.record(EventKind::Exited);
+        process.exited.notify_waiters();
+        if !process.end_requested.get() {
+            self.record(EventKind::Crashed(code));
         }
     }
 
-    fn heard(&self, line: &str, life: &Life) {
+    fn record_log_line(&self, line: &str, process: &Process) {
         if line.contains("platform front is ready") {
-            life.ready.set(true);
-            self.tell(What::Ready);
-        } else if let Some(word) = line.split("instances: one is ").nth(1) {
-            let name = word.split("name=\"n").nth(1).and_then(|name| name.split('"').next());
+            process.ready.set(true);
+            self.record(EventKind::Ready);
+        } else if let Some(change) = line.split("instances: one is ").nth(1) {
+            let name = change.split("name=\"n").nth(1).and_then(|name| name.split('"').next());
             let Some(other) = name.and_then(|name| name.parse().ok()) else { return };
-            self.tell(if word.starts_with("gone") { What::Misses(other) } else { What::Sees(other) });
+            self.record(if change.starts_with("gone") {
+                EventKind::Misses(other)
+            } else {
+                EventKind::Sees(other)
+            });
         } else if line.contains("list of execute nodes") {
             let generation = line.split("generation=").nth(1).and_then(|g| g.split_whitespace().next());
-            self.tell(What::Listed(generation.and_then(|g| g.parse().ok()).unwrap_or(0)));
+            self.record(EventKind::Listed(generation.and_then(|g| g.parse().ok()).unwrap_or(0)));
         }
     }
 
-    /// Waits until its present process is ready; false if it ends before.
+    /// Waits until the current process is ready; false if it exits first.
     pub async fn ready(&self) -> bool {
-        let Some(life) = self.life.borrow().clone() else { return false };
-        while life.runs.get() && !life.ready.get() {
-            sleep(LOOK).await;
+        let Some(process) = self.process.borrow().clone() else { return false };
+        while process.runs.get() && !process.ready.get() {
+            sleep(POLL_INTERVAL).await;
         }
-        life.ready.get()
+        process.ready.get()
     }
 
     pub fn runs(&self) -> bool {
-        self.life.borrow().as_ref().is_some_and(|life| life.runs.get())
+        self.process.borrow().as_ref().is_some_and(|process| process.runs.get())
     }
 
-    fn signal(&self, signal: Signal) -> Option<Rc<Life>> {
-        let life = self.life.borrow().clone().filter(|life| life.runs.get())?;
-        kill_process(life.pid, signal).ok()?;
-        Some(life)
+    fn signal(&self, signal: Signal) -> Option<Rc<Process>> {
+        let process = self.process.borrow().clone().filter(|process| process.runs.get())?;
+        kill_process(process.pid, signal).ok()?;
+        Some(process)
     }
 
-    /// Ends its process: at once, or by SIGTERM with the time that is due then.
+    /// Ends the process: with SIGKILL at once, or with SIGTERM and, after the time to exit, SIGKILL.
     pub async fn end(&self, at_once: bool) {
-        let Some(life) = self.life.borrow().clone().filter(|life| life.runs.get()) else { return };
-        if !life.told.replace(true) {
-            self.tell(What::Ended);
+        let Some(process) = self.process.borrow().clone().filter(|process| process.runs.get()) else {
+            return;
+        };
+        if !process.end_requested.replace(true) {
+            self.record(EventKind::Ended);
         }
         if !at_once {
             self.signal(Signal::TERM);
-            if timeout(WIND_DOWN, ended(&life)).await.is_ok() {
+            if timeout(SHUTDOWN_TIMEOUT, wait_for_exit(&process)).await.is_ok() {
                 return;
             }
         }
-        // One that was stopped dies of it too.
+        // SIGKILL also ends a process that is stopped.
         self.signal(Signal::KILL);
-        ended(&life).await;
+        wait_for_exit(&process).await;
     }
 
-    /// Starts it again, with its folder as the schedule has it.
-    pub fn start_again(self: &Rc<Self>, folder: Folder) -> Result<(), String> {
+    /// Starts a new process unless one runs, with the state folder as the schedule specifies.
+    pub fn restart(self: &Rc<Self>, folder: StateFolder) -> Result<(), String> {
         if self.runs() {
             return Ok(());
         }
-        let fault = |e: io::Error| format!("r{}: its folder: {e}", self.number);
+        let describe = |e: io::Error| format!("r{}: cannot restore its folder: {e}", self.number);
         match folder {
-            Folder::Kept => {}
-            Folder::Emptied => empty(&self.state()).map_err(fault)?,
-            Folder::Earlier => {
-                empty(&self.state()).map_err(fault)?;
-                copy(&self.folder.join("earlier"), &self.state()).map_err(fault)?;
+            StateFolder::Kept => {}
+            StateFolder::Emptied => clear_folder(&self.state_folder()).map_err(describe)?,
+            StateFolder::Earlier => {
+                clear_folder(&self.state_folder()).map_err(describe)?;
+                copy_files(&self.folder.join("earlier"), &self.state_folder()).map_err(describe)?;
             }
         }
         self.start()
     }
 
-    /// Has its system do something wrong from now on.
-    pub fn strike(&self, fault: SystemFault) -> Result<(), String> {
-        self.struck.borrow_mut().push(fault);
-        self.write_control().map_err(|e| format!("r{}: the shim's control file: {e}", self.number))
+    /// Injects a system fault until it is cleared.
+    pub fn inject(&self, fault: SystemFault) -> Result<(), String> {
+        self.active_faults.borrow_mut().push(fault);
+        self.write_control()
+            .map_err(|e| format!("r{}: cannot write the shim's control file: {e}", self.number))
     }
 
-    /// Ends what its system does wrong.
-    pub fn heal(&self, fault: SystemFault) -> Result<(), String> {
-        let mut struck = self.struck.borrow_mut();
-        if let Some(place) = struck.iter().position(|other| *other == fault) {
-            struck.remove(place);
+    /// Clears a system fault.
+    pub fn clear_fault(&self, fault: SystemFault) -> Result<(), String> {
+        let mut active_faults = self.active_faults.borrow_mut();
+        if let Some(index) = active_faults.iter().position(|other| *other == fault) {
+            active_faults.remove(index);
         }
-        drop(struck);
-        self.write_control().map_err(|e| format!("r{}: the shim's control file: {e}", self.number))
+        drop(active_faults);
+        self.write_control()
+            .map_err(|e| format!("r{}: cannot write the shim's control file: {e}", self.number))
     }
 
-    /// Has its process killed in the middle of its next write, or when it has written nothing for so long.
-    pub async fn die_in_write(&self, torn: SystemFault, most: Duration) -> Result<(), String> {
-        let Some(life) = self.life.borrow().clone().filter(|life| life.runs.get()) else { return Ok(()) };
-        let by_schedule = !life.told.replace(true);
-        self.strike(torn)?;
-        if timeout(most, ended(&life)).await.is_err() {
+    /// Has the process killed in the middle of its next write, or after `max_wait` if it writes nothing.
+    pub async fn kill_during_write(&self, torn_write: SystemFault, max_wait: Duration) -> Result<(), String> {
+        let Some(process) = self.process.borrow().clone().filter(|process| process.runs.get()) else {
+            return Ok(());
+        };
+        let by_schedule = !process.end_requested.replace(true);
+        self.inject(torn_write)?;
+        if timeout(max_wait, wait_for_exit(&process)).await.is_err() {
             self.signal(Signal::KILL);
-            ended(&life).await;
+            wait_for_exit(&process).await;
         }
         if by_schedule {
-            self.tell(What::Ended);
+            self.record(EventKind::Ended);
         }
-        self.heal(torn)
+        self.clear_fault(torn_write)
     }
 
-    fn control(&self) -> PathBuf {
+    fn control_path(&self) -> PathBuf {
         self.folder.join("system-faults")
     }
 
-    /// Written over in place, so that the shim, which keeps it open, never reads half of it.
+    /// Overwrites the control file in place with one write of fixed size, so that the shim, which keeps it open, never reads half of it.
     fn write_control(&self) -> io::Result<()> {
-        let lines: Vec<_> = self.struck.borrow().iter().map(SystemFault::line).collect();
+        let lines: Vec<_> = self.active_faults.borrow().iter().map(SystemFault::control_line).collect();
         let mut text = lines.join("\n").into_bytes();
         text.resize(CONTROL_BYTES, b'\n');
-        let file = fs::OpenOptions::new().write(true).create(true).truncate(false).open(self.control())?;
+        let file =
+            fs::OpenOptions::new().write(true).create(true).truncate(false).open(self.control_path())?;
         file.write_all_at(&text, 0)
     }
 
-    /// Stops it for so long.
+    /// Stops the process for a time.
     pub async fn stop(&self, time: Duration) {
         if self.signal(Signal::STOP).is_none() {
             return;
         }
-        self.tell(What::Stopped);
+        self.record(EventKind::Stopped);
         sleep(time).await;
         if self.signal(Signal::CONT).is_some() {
-            self.tell(What::GoesOn);
+            self.record(EventKind::Resumed);
         }
     }
 
-    /// Has it read its configuration anew.
-    pub fn hup(&self) {
+    /// Sends SIGHUP, so that the process reloads its configuration.
+    pub fn reload(&self) {
         if self.signal(Signal::HUP).is_some() {
-            self.tell(What::Reloaded);
+            self.record(EventKind::Reloaded);
         }
     }
 }
 
-async fn ended(life: &Life) {
-    while life.runs.get() {
-        let _ = timeout(Duration::from_millis(50), life.ended.notified()).await;
+async fn wait_for_exit(process: &Process) {
+    while process.runs.get() {
+        let _ = timeout(Duration::from_millis(50), process.exited.notified()).await;
     }
 }
 
-fn empty(folder: &Path) -> io::Result<()> {
+fn clear_folder(folder: &Path) -> io::Result<()> {
     fs::remove_dir_all(folder)?;
     fs::create_dir_all(folder)
 }
 
-/// Copies plain files; the folder that lasts has no others below it.
-fn copy(from: &Path, to: &Path) -> io::Result<()> {
+/// Copies the regular files of a folder; the state folder has no subfolders.
+fn copy_files(from: &Path, to: &Path) -> io::Result<()> {
     fs::create_dir_all(to)?;
     for entry in fs::read_dir(from)? {
         let entry = entry?;
--- a/rig/src/history.rs
+++ b/rig/src/history.rs
@@ -1,5 +1,5 @@
-//! What was seen of a fleet from outside, in the order of time: by the stand-ins, and in what the processes logged. Knows nothing of
-//! how it came about.
+//! Observations of a fleet from outside, in order of time: from the emulated partners and list service, and from the logs of the
+//! relay processes. Causes are not recorded.
 use onyxglade_lab::discovery::{ListAnswer, ListCall};
 use onyxglade_lab::rules::{Breach, DrainedCall};
 use serde::Serialize;
@@ -7,95 +7,107 @@
 use std::time::Duration;
 
 /// Time since the first process was started.
-pub type At = Duration;
+pub type Elapsed = Duration;
 
-/// Something that one relay did or that was done to it.
+/// Something that a relay did, or that the schedule did to it.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Event {
-    pub at: At,
+    pub at: Elapsed,
     pub relay: usize,
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: EventKind,
 }
 
 #[derive(Clone, Debug, Serialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum EventKind {
     Started,
-    /// It says that it can serve.
+    /// It logged that it is ready to serve.
     Ready,
-    /// It says that it holds a list, of such a generation.
+    /// It logged that it has a list, of this generation.
     Listed(u64),
-    /// It says that it sees another relay, or no longer.
+    /// It logged that another relay is a member.
     Sees(usize),
+    /// It logged that another relay is no longer a member.
     Misses(usize),
-    /// It was ended, stopped or set going by the schedule.
+    /// The schedule ended it.
     Ended,
+    /// The schedule stopped it with SIGSTOP.
     Stopped,
-    GoesOn,
-    /// It was told to read its configuration anew.
+    /// The schedule continued it with SIGCONT.
+    #[serde(rename = "goes-on")]
+    Resumed,
+    /// It was sent SIGHUP to reload its configuration.
     Reloaded,
-    /// It has ended by itself, with such a code.
+    /// It ended though the schedule did not end it, with this exit code.
     Crashed(Option<i32>),
-    /// Its process is gone, whatever ended it.
-    Gone,
+    /// Its process has exited, for whatever reason.
+    #[serde(rename = "gone")]
+    Exited,
 }
 
-/// A request on a connection of its own that ended without an answer.
+/// A request on a connection of its own that closed without a response.
 #[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct Unanswered {
+pub struct UnansweredRequest {
     pub relay: usize,
     pub msg: u64,
-    /// How the connection ended.
+    /// How the connection closed.
     pub why: String,
-    pub connected: At,
-    pub ended: At,
+    pub connected: Elapsed,
+    pub ended: Elapsed,
 }
 
-/// All of it.
+/// All observations of one run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct History {
     pub relays: usize,
-    /// What they knew of the list when they first started.
+    /// Whether all relays had a list when they first started.
     pub known: bool,
-    /// They talk to one another.
+    /// Whether the relays exchange membership with one another.
     pub instances: bool,
     pub events: Vec<Event>,
     pub list_calls: Vec<ListCall>,
-    /// Answers that the list service wrote.
+    /// Responses that the list service wrote.
     pub list_answers: Vec<ListAnswer>,
-    /// Spans in which the list service could not be reached by anybody.
-    pub outages: Vec<(At, At)>,
-    /// Longest that a relay may go without asking for the list, by the settings.
+    /// Spans in which no relay could reach the list service.
+    pub outages: Vec<(Elapsed, Elapsed)>,
+    /// Longest time that a relay may go without requesting the list, by the settings.
     pub must_ask_in: Duration,
-    /// Calls to draining endpoints, and whose they were; kept only where relays learn the list each by itself.
+    /// Calls to draining endpoints, with the relay that made each. They are recorded only where each relay fetches the list itself.
     pub drained_calls: Vec<(usize, DrainedCall)>,
-    /// Changes that the list service told of: generations, and when.
-    pub told: Vec<(u64, At)>,
-    /// When the list service lost its memory, and how far it had counted then.
-    pub forgot: Vec<(At, u64)>,
-    /// What the list service's time went into.
+    /// Changes that the list service published: generation and time.
+    #[serde(rename = "told")]
+    pub changes: Vec<(u64, Elapsed)>,
+    /// When the list service lost its state, and the last generation before that.
+    #[serde(rename = "forgot")]
+    pub state_losses: Vec<(Elapsed, u64)>,
+    /// Time that the list service spent on calls that it answered.
     pub answering: Duration,
-    pub throwing: Duration,
-    /// Most connections opened at one endpoint in a second, those that it takes (0 is any number), and those refused.
+    /// Time that the list service spent on calls that it then discarded.
+    #[serde(rename = "throwing")]
+    pub discarding: Duration,
+    /// Most connections opened at one endpoint in a second.
     pub opens_most: u32,
+    /// Connections that an endpoint accepts in a second; 0 is unlimited.
     pub opens_taken: u32,
+    /// Connections that endpoints refused.
     pub opens_refused: u32,
-    /// All that were opened, at all endpoints.
+    /// Connections opened at all endpoints together.
     pub opens_all: u32,
-    /// The relay's rules, over all processes together.
+    /// Violations of the relay's rules, over all processes together.
     pub breaches: Vec<Breach>,
     pub rules_broken: usize,
     pub handed_in: u32,
     pub delivered: u32,
-    /// Requests that got no answer.
-    pub unanswered: Vec<Unanswered>,
+    /// Requests that got no response.
+    pub unanswered: Vec<UnansweredRequest>,
 }
 
 impl History {
-    /// When the last relay was first ready.
-    pub fn up(&self) -> Option<At> {
+    /// When the last relay became ready for the first time; `None` unless all did.
+    pub fn all_ready_at(&self) -> Option<Elapsed> {
         let first =
-            |relay| self.events.iter().find(|e| e.relay == relay && e.what == What::Ready).map(|e| e.at);
+            |relay| self.events.iter().find(|e| e.relay == relay && e.kind == EventKind::Ready).map(|e| e.at);
         (0..self.relays).map(first).collect::<Option<Vec<_>>>()?.into_iter().max()
     }
 
@@ -103,77 +115,85 @@
     pub fn running(&self) -> Vec<bool> {
         let mut running = vec![false; self.relays];
         for event in &self.events {
-            match event.what {
-                What::Started => running[event.relay] = true,
-                What::Ended | What::Crashed(_) => running[event.relay] = false,
+            match event.kind {
+                EventKind::Started => running[event.relay] = true,
+                EventKind::Ended | EventKind::Crashed(_) => running[event.relay] = false,
                 _ => {}
             }
         }
         running
     }
 
-    /// Whom each relay sees at the end.
+    /// The members that each relay sees at the end.
     pub fn views(&self) -> Vec<BTreeSet<usize>> {
         let mut views = vec![BTreeSet::new(); self.relays];
         for event in &self.events {
             let view = &mut views[event.relay];
-            match event.what {
-                What::Started => view.clear(),
-                What::Sees(other) => drop(view.insert(other)),
-                What::Misses(other) => drop(view.remove(&other)),
+            match event.kind {
+                EventKind::Started => view.clear(),
+                EventKind::Sees(other) => drop(view.insert(other)),
+                EventKind::Misses(other) => drop(view.remove(&other)),
                 _ => {}
             }
         }
         views
     }
 
-    /// From the last thing that was done to a process until the last view changed.
-    pub fn views_agree(&self) -> At {
-        let last = |of: fn(&What) -> bool| self.events.iter().filter(|e| of(&e.what)).map(|e| e.at).max();
-        let done = last(|w| matches!(w, What::Started | What::Ended | What::GoesOn)).unwrap_or_default();
-        let changed = last(|w| matches!(w, What::Sees(_) | What::Misses(_))).unwrap_or_default();
-        changed.saturating_sub(done)
+    /// Time from the last start, end or resumption of a process until the last change of a membership view.
+    pub fn view_convergence_time(&self) -> Elapsed {
+        let last =
+            |of: fn(&EventKind) -> bool| self.events.iter().filter(|e| of(&e.kind)).map(|e| e.at).max();
+        let last_action = last(|w| matches!(w, EventKind::Started | EventKind::Ended | EventKind::Resumed))
+            .unwrap_or_default();
+        let last_change =
+            last(|w| matches!(w, EventKind::Sees(_) | EventKind::Misses(_))).unwrap_or_default();
+        last_change.saturating_sub(last_action)
     }
 
-    /// How long each change took to be heard, by each relay that held a list when it was told and ran on: the time until it said that
-    /// it holds that list or a later one; none where it never did.
-    pub fn heard(&self) -> Vec<Option<At>> {
-        let mut heard = Vec::new();
-        for (generation, told) in &self.told {
+    /// How long each list change took to reach each relay that had a list when the change was published and that went on running:
+    /// the time until the relay logged that list or a later one, `None` if it never did. In ascending order.
+    pub fn propagation_times(&self) -> Vec<Option<Elapsed>> {
+        let mut times = Vec::new();
+        for (generation, published) in &self.changes {
             for relay in 0..self.relays {
-                let mine = || self.events.iter().filter(|e| e.relay == relay);
-                let over = |what: &What| matches!(what, What::Started | What::Ended | What::Crashed(_));
-                let after = || mine().filter(|e| e.at >= *told);
-                let held = mine().rev().filter(|e| e.at < *told);
-                let held = held.map(|e| &e.what).find(|what| over(what) || matches!(what, What::Listed(_)));
-                if !matches!(held, Some(What::Listed(_))) {
+                let own_events = || self.events.iter().filter(|e| e.relay == relay);
+                let ends_life = |kind: &EventKind| {
+                    matches!(kind, EventKind::Started | EventKind::Ended | EventKind::Crashed(_))
+                };
+                let after = || own_events().filter(|e| e.at >= *published);
+                let last_before = own_events().rev().filter(|e| e.at < *published);
+                let last_before = last_before
+                    .map(|e| &e.kind)
+                    .find(|kind| ends_life(kind) || matches!(kind, EventKind::Listed(_)));
+                if !matches!(last_before, Some(EventKind::Listed(_))) {
                     continue;
                 }
-                let first =
-                    after().find(|e| over(&e.what) || matches!(e.what, What::Listed(g) if g >= *generation));
+                let first = after().find(|e| {
+                    ends_life(&e.kind) || matches!(e.kind, EventKind::Listed(g) if g >= *generation)
+                });
                 match first {
-                    Some(Event { what: What::Listed(_), at, .. }) => heard.push(Some(*at - *told)),
-                    // It ended before: that is not its failing.
+                    Some(Event { kind: EventKind::Listed(_), at, .. }) => times.push(Some(*at - *published)),
+                    // The process ended before it could receive the change.
                     Some(_) => {}
-                    None => heard.push(None),
+                    None => times.push(None),
                 }
             }
         }
-        heard.sort_unstable_by_key(|at| at.unwrap_or(At::MAX));
-        heard
+        times.sort_unstable_by_key(|at| at.unwrap_or(Elapsed::MAX));
+        times
     }
 
-    /// When each relay that runs at the end came to hold a list in its present life; none if it does not.
-    pub fn listed(&self) -> Vec<Option<At>> {
-        let mut listed = vec![None; self.relays];
+    /// Since when the current process of each relay has had a list; `None` if it has none.
+    pub fn listed_since(&self) -> Vec<Option<Elapsed>> {
+        let mut listed_since = vec![None; self.relays];
         for event in &self.events {
-            let here = &mut listed[event.relay];
-            match event.what {
-                What::Started => *here = self.known.then_some(event.at),
-                What::Listed(_) => *here = here.or(Some(event.at)),
+            let since = &mut listed_since[event.relay];
+            match event.kind {
+                EventKind::Started => *since = self.known.then_some(event.at),
+                EventKind::Listed(_) => *since = since.or(Some(event.at)),
                 _ => {}
             }
         }
-        listed
+        listed_since
     }
 }
--- a/rig/src/links.rs
+++ b/rig/src/links.rs
@@ -1,8 +1,8 @@
-//! Links that can go wrong: forwarders of connections in user space, one for each link of each relay.
+//! Links with injectable faults: user-space TCP forwarders, one for each faulty link of each relay.
 //!
-//! Owns how a link is just now and the connections on it; knows no schedule and no relay. What was cut holds the bytes and delivers
-//! them once it has healed, as a network's retransmissions do. A connection that is begun on a cut link comes up here (the
-//! forwarder's own side accepts it) and then stays silent: user space cannot leave a connection request unanswered.
+//! This module owns the state of a link and its connections and depends on neither schedule nor relay. A cut link holds bytes back
+//! and delivers them once the cut ends, as with TCP retransmissions. A connection opened on a cut link is established with the
+//! forwarder and then stays silent, since a user-space process cannot leave a SYN unanswered.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
@@ -17,95 +17,97 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep_until};
 
-/// Bytes that are taken off a connection at once, and how many such parts wait on a link: bounds what a cut one holds.
-const PART: usize = 16 * 1024;
-const PARTS: usize = 64;
+/// Maximum number of bytes read from a connection at once.
+const CHUNK: usize = 16 * 1024;
+/// Maximum number of chunks queued on a link; bounds the memory of a cut one.
+const MAX_CHUNKS: usize = 64;
 
-/// How one direction of a link is.
+/// Faults of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
+pub struct Direction {
     pub cut: bool,
     pub delay: Duration,
     pub jitter: Duration,
-    /// 0 is any number.
+    /// Maximum throughput; 0 is unlimited.
     pub bytes_per_s: u64,
 }
 
-/// How a link is.
+/// Faults of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct State {
-    /// From who connects to who is connected to, and back.
-    pub to: Way,
-    pub from: Way,
-    /// Connections are refused, and those open break.
+pub struct LinkState {
+    /// From the connecting side to the target.
+    pub to: Direction,
+    /// From the target back.
+    pub from: Direction,
+    /// New connections are refused, and open ones are reset.
     pub refused: bool,
-    /// Grows with each time all open connections break.
+    /// Incremented to reset all open connections.
     pub resets: u64,
-    /// Grows with each time the far side of all open connections vanishes.
+    /// Incremented to make the target side of all open connections vanish without a FIN or RST.
     pub stuck: u64,
-    /// Connections break after so many bytes from the far side; 0 is never.
+    /// Connections are reset after this many bytes from the target; 0 is never.
     pub tear: u64,
 }
 
-/// Where a link's connections go.
+/// Where a link forwards its connections to.
 #[derive(Clone, Copy, Debug)]
-pub enum Far {
-    At(SocketAddr),
-    /// To the address that was called, at this port.
-    Same(u16),
+pub enum Target {
+    Fixed(SocketAddr),
+    /// The address that the client connected to, at this port.
+    SameAddress(u16),
 }
 
-/// One link.
+/// One link, listening at `address`.
 pub struct Link {
     pub address: SocketAddr,
-    far: Far,
-    state: watch::Sender<State>,
-    listening: RefCell<Option<JoinHandle<()>>>,
+    target: Target,
+    state: watch::Sender<LinkState>,
+    accept_task: RefCell<Option<JoinHandle<()>>>,
     seed: u64,
 }
 
 impl Link {
     /// A link to one address.
-    pub fn to(far: SocketAddr, seed: u64) -> io::Result<Rc<Link>> {
-        Link::start(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), Far::At(far), seed)
+    pub fn to(target: SocketAddr, seed: u64) -> io::Result<Rc<Link>> {
+        Link::start(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), Target::Fixed(target), seed)
     }
 
-    /// A link to all addresses of the loopback device at one port.
-    pub fn wide(port: u16, seed: u64) -> io::Result<Rc<Link>> {
-        Link::start(SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)), Far::Same(port), seed)
+    /// A link to any address of the loopback device, at one port.
+    pub fn to_any_address(port: u16, seed: u64) -> io::Result<Rc<Link>> {
+        Link::start(SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)), Target::SameAddress(port), seed)
     }
 
-    fn start(at: SocketAddr, far: Far, seed: u64) -> io::Result<Rc<Link>> {
+    fn start(at: SocketAddr, target: Target, seed: u64) -> io::Result<Rc<Link>> {
         let listener = listener(at)?;
         let address = listener.local_addr()?;
-        let state = watch::Sender::new(State::default());
-        let link = Rc::new(Link { address, far, state, listening: RefCell::default(), seed });
-        link.listening.replace(Some(spawn_local(link.clone().accept(listener))));
+        let state = watch::Sender::new(LinkState::default());
+        let link = Rc::new(Link { address, target, state, accept_task: RefCell::default(), seed });
+        link.accept_task.replace(Some(spawn_local(link.clone().accept(listener))));
         Ok(link)
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> LinkState {
         *self.state.borrow()
     }
 
-    /// Changes how it is.
-    pub fn change(self: &Rc<Self>, change: impl FnOnce(&mut State)) {
+    /// Changes its faults.
+    pub fn change(self: &Rc<Self>, change: impl FnOnce(&mut LinkState)) {
         self.state.send_modify(change);
         let refused = self.state().refused;
-        let mut listening = self.listening.borrow_mut();
+        let mut accept_task = self.accept_task.borrow_mut();
         if refused {
-            listening.take().iter().for_each(JoinHandle::abort);
-        } else if listening.is_none() {
-            *listening = Some(spawn_local(self.clone().listen_again()));
+            accept_task.take().iter().for_each(JoinHandle::abort);
+        } else if accept_task.is_none() {
+            *accept_task = Some(spawn_local(self.clone().rebind()));
         }
     }
 
-    async fn listen_again(self: Rc<Self>) {
+    async fn rebind(self: Rc<Self>) {
         loop {
             if let Ok(listener) = listener(self.address) {
                 return self.accept(listener).await;
             }
-            // The listener before is on its way out.
+            // The aborted task's listener may still hold the port.
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
@@ -114,81 +116,88 @@
         let mut seed = self.seed;
         loop {
             match listener.accept().await {
-                Ok((near, _)) => {
+                Ok((client, _)) => {
                     seed = seed.wrapping_add(1);
-                    spawn_local(self.clone().carry(near, seed));
+                    spawn_local(self.clone().forward(client, seed));
                 }
                 Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
             }
         }
     }
 
-    /// Carries one connection to its end.
-    async fn carry(self: Rc<Self>, near: TcpStream, seed: u64) {
-        let far = match self.far {
-            Far::At(address) => address,
-            Far::Same(port) => match near.local_addr().map(|a| a.ip()) {
+    /// Forwards one connection until it closes.
+    async fn forward(self: Rc<Self>, client: TcpStream, seed: u64) {
+        let target = match self.target {
+            Target::Fixed(address) => address,
+            Target::SameAddress(port) => match client.local_addr().map(|a| a.ip()) {
                 Ok(IpAddr::V4(ip)) => SocketAddr::from((ip, port)),
                 _ => return,
             },
         };
         let mut state = self.state.subscribe();
-        let begun = *state.borrow_and_update();
-        // A call that is not let through must not reach the far side either.
-        let open = state.wait_for(|s| !s.to.cut || broken(&begun, s)).await.is_ok();
-        if !open || broken(&begun, &state.borrow()) {
-            return reset(&near);
+        let initial = *state.borrow_and_update();
+        // A connection opened during a cut must not reach the target before the cut ends.
+        let open = state.wait_for(|s| !s.to.cut || is_broken(&initial, s)).await.is_ok();
+        if !open || is_broken(&initial, &state.borrow()) {
+            return reset_on_close(&client);
         }
-        let Ok(far) = TcpStream::connect(far).await else { return reset(&near) };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        // Held beside the halves, which say nothing when they are dropped: whether it ends in good order is told here.
-        let near_held = SockRef::from(&near).try_clone().ok();
-        let mut far_held = SockRef::from(&far).try_clone().ok();
-        let (near_in, near_out) = split(near);
-        let (far_in, far_out) = split(far);
-        let to = pump(near_in, far_out, self.state.subscribe(), |s| s.to, None, seed);
-        let from =
-            pump(far_in, near_out, self.state.subscribe(), |s| s.from, Some(|s: &State| s.tear), seed ^ 1);
-        // One side that breaks takes the other along; one that ends in good order leaves it open.
-        let both = async { tokio::try_join!(to, from).is_ok() };
+        let Ok(target) = TcpStream::connect(target).await else { return reset_on_close(&client) };
+        let _ = (client.set_nodelay(true), target.set_nodelay(true));
+        // Dropping the halves closes with a FIN; these handles allow a reset instead, by setting SO_LINGER to 0.
+        let client_socket = SockRef::from(&client).try_clone().ok();
+        let mut target_socket = SockRef::from(&target).try_clone().ok();
+        let (client_in, client_out) = split(client);
+        let (target_in, target_out) = split(target);
+        let to = pump(client_in, target_out, self.state.subscribe(), |s| s.to, None, seed);
+        let from = pump(
+            target_in,
+            client_out,
+            self.state.subscribe(),
+            |s| s.from,
+            Some(|s: &LinkState| s.tear),
+            seed ^ 1,
+        );
+        // An error in one direction ends both; a clean end of one leaves the other open.
+        let both_directions = async { tokio::try_join!(to, from).is_ok() };
         let mut state = self.state.subscribe();
-        let changed =
-            async { state.wait_for(|s| broken(&begun, s) || s.stuck != begun.stuck).await.map(|s| *s) };
+        let changed = async {
+            state.wait_for(|s| is_broken(&initial, s) || s.stuck != initial.stuck).await.map(|s| *s)
+        };
         let done = tokio::select! {
-            whole = both => whole,
-            now = changed => {
-                let vanished = now.is_ok_and(|now| !broken(&begun, &now));
-                if let (true, Some(near), Some(far)) = (vanished, &near_held, far_held.take()) {
-                    // The far side is gone and nobody says so: the near one stays open until its own side gives it up.
-                    let _ = far.set_linger(Some(Duration::ZERO));
-                    drop(far);
+            result = both_directions => result,
+            changed_to = changed => {
+                let vanished = changed_to.is_ok_and(|changed_to| !is_broken(&initial, &changed_to));
+                if let (true, Some(client), Some(target)) = (vanished, &client_socket, target_socket.take()) {
+                    // The target vanishes silently: the client's connection stays open until the client closes it.
+                    let _ = target.set_linger(Some(Duration::ZERO));
+                    drop(target);
                     let mut state = self.state.subscribe();
                     tokio::select! {
-                        () = ended(near) => {}
-                        _ = state.wait_for(|s| broken(&begun, s)) => {}
+                        () = wait_for_close(client) => {}
+                        _ = state.wait_for(|s| is_broken(&initial, s)) => {}
                     }
                 }
                 false
             }
         };
         if !done {
-            for side in [near_held, far_held].into_iter().flatten() {
+            for side in [client_socket, target_socket].into_iter().flatten() {
                 let _ = side.set_linger(Some(Duration::ZERO));
             }
         }
     }
 }
 
-/// Whether connections that began under one state have been broken by another.
-fn broken(begun: &State, now: &State) -> bool {
-    now.refused || now.resets != begun.resets
+/// Whether connections opened under `initial` are reset under `now`.
+fn is_broken(initial: &LinkState, now: &LinkState) -> bool {
+    now.refused || now.resets != initial.resets
 }
 
-/// Done once the other side has ended a connection; what it sends until then is lost.
-async fn ended(stream: &Socket) {
-    let mut lost = [std::mem::MaybeUninit::uninit(); 1024];
+/// Waits until the peer closes a connection; bytes that it sends until then are discarded.
+async fn wait_for_close(stream: &Socket) {
+    let mut discarded = [std::mem::MaybeUninit::uninit(); 1024];
     loop {
-        match stream.recv(&mut lost) {
+        match stream.recv(&mut discarded) {
             Ok(0) => return,
             Ok(_) => {}
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
@@ -199,77 +208,78 @@
     }
 }
 
-fn reset(stream: &TcpStream) {
+fn reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// A connection broke.
-struct Broke;
+/// A connection failed or is to be reset.
+struct ConnectionBroken;
 
-/// Carries bytes one way, each part no sooner than its time, until that side ends.
+/// Forwards one direction, delivering each chunk no sooner than its due time, until the source closes.
 async fn pump(
     mut from: ReadHalf<TcpStream>,
     mut to: WriteHalf<TcpStream>,
-    mut state: watch::Receiver<State>,
-    way: fn(&State) -> Way,
-    tear: Option<fn(&State) -> u64>,
+    mut state: watch::Receiver<LinkState>,
+    direction: fn(&LinkState) -> Direction,
+    tear: Option<fn(&LinkState) -> u64>,
     seed: u64,
-) -> Result<(), Broke> {
-    let (send, mut parts) = mpsc::channel::<(Instant, Vec<u8>)>(PARTS);
-    let told = state.clone();
+) -> Result<(), ConnectionBroken> {
+    let (send, mut chunks) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_CHUNKS);
+    let reader_state = state.clone();
     let reading = async move {
         let mut random = StdRng::seed_from_u64(seed);
         let mut due = Instant::now();
         loop {
-            let mut part = Vec::with_capacity(PART);
-            match from.read_buf(&mut part).await {
+            let mut chunk = Vec::with_capacity(CHUNK);
+            match from.read_buf(&mut chunk).await {
                 Ok(0) => return Ok(()),
-                Err(_) => return Err(Broke),
+                Err(_) => return Err(ConnectionBroken),
                 Ok(_) => {}
             }
-            let way = way(&told.borrow());
-            let lot = way.jitter.mul_f64(random.random::<f64>());
-            // Bytes keep their order, and a narrow link takes its time for each part.
-            let passing =
-                part.len() as f64 / if way.bytes_per_s == 0 { f64::INFINITY } else { way.bytes_per_s as f64 };
-            due = (Instant::now() + way.delay + lot).max(due + Duration::from_secs_f64(passing));
-            if send.send((due, part)).await.is_err() {
-                return Err(Broke);
+            let direction = direction(&reader_state.borrow());
+            let jitter = direction.jitter.mul_f64(random.random::<f64>());
+            // Bytes keep their order, and limited throughput adds transmission time to each chunk.
+            let transmission = chunk.len() as f64
+                / if direction.bytes_per_s == 0 { f64::INFINITY } else { direction.bytes_per_s as f64 };
+            due =
+                (Instant::now() + direction.delay + jitter).max(due + Duration::from_secs_f64(transmission));
+            if send.send((due, chunk)).await.is_err() {
+                return Err(ConnectionBroken);
             }
         }
     };
     let writing = async move {
-        let mut passed = 0;
-        while let Some((due, part)) = parts.recv().await {
+        let mut forwarded = 0;
+        while let Some((due, chunk)) = chunks.recv().await {
             sleep_until(due).await;
-            if state.wait_for(|s| !way(s).cut).await.is_err() {
-                return Err(Broke);
+            if state.wait_for(|s| !direction(s).cut).await.is_err() {
+                return Err(ConnectionBroken);
             }
             let tear = tear.map_or(0, |tear| tear(&state.borrow()));
-            let left = if tear == 0 { u64::MAX } else { tear.saturating_sub(passed) };
-            let part = &part[..part.len().min(usize::try_from(left).unwrap_or(usize::MAX))];
-            if to.write_all(part).await.is_err() {
-                return Err(Broke);
+            let left = if tear == 0 { u64::MAX } else { tear.saturating_sub(forwarded) };
+            let chunk = &chunk[..chunk.len().min(usize::try_from(left).unwrap_or(usize::MAX))];
+            if to.write_all(chunk).await.is_err() {
+                return Err(ConnectionBroken);
             }
-            passed += part.len() as u64;
-            if tear > 0 && passed >= tear {
-                return Err(Broke);
+            forwarded += chunk.len() as u64;
+            if tear > 0 && forwarded >= tear {
+                return Err(ConnectionBroken);
             }
         }
-        to.shutdown().await.map_err(|_| Broke)
+        to.shutdown().await.map_err(|_| ConnectionBroken)
     };
     let (mut reading, mut writing) = (Box::pin(reading), Box::pin(writing));
     tokio::select! {
-        whole = &mut reading => {
-            // What is on its way still arrives.
+        result = &mut reading => {
+            // Chunks already queued are still delivered.
             drop(reading);
-            writing.await.and(whole)
+            writing.await.and(result)
         }
-        whole = &mut writing => whole,
+        result = &mut writing => result,
     }
 }
 
-/// A listener on the loopback device, on a port that may have been used just before.
+/// A listener on the loopback device, which may reuse a port just released.
 fn listener(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
--- a/rig/src/links/tests.rs
+++ b/rig/src/links/tests.rs
@@ -2,11 +2,11 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-/// Longer than anything here takes; a guard, not a verdict.
-const LONG: Duration = Duration::from_secs(10);
+/// Guards against a hang; nothing here takes that long.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A server that answers each byte with four, and how a link to it behaves.
-fn with_link<F: Future<Output = ()>>(play: impl FnOnce(Rc<Link>) -> F) {
+/// Runs `test` with a link to a server that answers each byte with four.
+fn with_link<F: Future<Output = ()>>(test: impl FnOnce(Rc<Link>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let server = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a server");
@@ -18,7 +18,7 @@
                 });
             }
         });
-        play(link).await;
+        test(link).await;
     });
 }
 
@@ -26,63 +26,63 @@
     TcpStream::connect(link.address).await.expect("connected")
 }
 
-async fn asked(stream: &mut TcpStream) -> io::Result<usize> {
+async fn request(stream: &mut TcpStream) -> io::Result<usize> {
     stream.write_all(b"x").await?;
     let mut answer = [0; 4];
-    timeout(LONG, stream.read_exact(&mut answer)).await.expect("in time")
+    timeout(TIMEOUT, stream.read_exact(&mut answer)).await.expect("in time")
 }
 
-/// Nothing comes within a while that is long for a link that works.
-async fn silent(stream: &mut TcpStream) {
+/// Asserts that nothing arrives within 200 ms, which is long for a working link.
+async fn assert_silent(stream: &mut TcpStream) {
     assert!(timeout(Duration::from_millis(200), stream.read_u8()).await.is_err());
 }
 
 #[test]
-fn a_cut_link_holds_what_is_sent_and_delivers_it_once_healed() {
+fn a_cut_link_queues_bytes_and_delivers_them_after_the_cut() {
     with_link(async |link| {
         let mut stream = connect(&link).await;
-        assert_eq!(asked(&mut stream).await.expect("answered"), 4);
-        for way in [0, 1] {
-            link.change(|s| if way == 0 { s.to.cut = true } else { s.from.cut = true });
+        assert_eq!(request(&mut stream).await.expect("answered"), 4);
+        for direction in [0, 1] {
+            link.change(|s| if direction == 0 { s.to.cut = true } else { s.from.cut = true });
             stream.write_all(b"x").await.expect("sent");
-            silent(&mut stream).await;
-            link.change(|s| *s = State::default());
+            assert_silent(&mut stream).await;
+            link.change(|s| *s = LinkState::default());
             let mut answer = [0; 4];
-            timeout(LONG, stream.read_exact(&mut answer)).await.expect("in time").expect("answered");
+            timeout(TIMEOUT, stream.read_exact(&mut answer)).await.expect("in time").expect("answered");
         }
     });
 }
 
 #[test]
-fn refused_reset_and_torn_connections_break_and_a_healed_link_carries_again() {
+fn refused_reset_and_torn_connections_break_and_a_restored_link_forwards_again() {
     with_link(async |link| {
         let mut stream = connect(&link).await;
-        asked(&mut stream).await.expect("answered");
+        request(&mut stream).await.expect("answered");
         link.change(|s| s.resets += 1);
-        let broke = timeout(LONG, stream.read_u8()).await.expect("in time").expect_err("broken");
+        let broke = timeout(TIMEOUT, stream.read_u8()).await.expect("in time").expect_err("broken");
         assert_eq!(broke.kind(), io::ErrorKind::ConnectionReset);
         link.change(|s| s.tear = 6);
         let mut stream = connect(&link).await;
-        asked(&mut stream).await.expect("the first four bytes");
-        asked(&mut stream).await.expect_err("broken in the middle");
+        request(&mut stream).await.expect("the first four bytes");
+        request(&mut stream).await.expect_err("broken in the middle");
         link.change(|s| (s.tear, s.refused) = (0, true));
         let refused = async {
             while TcpStream::connect(link.address).await.is_ok() {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
         };
-        timeout(LONG, refused).await.expect("refused");
+        timeout(TIMEOUT, refused).await.expect("refused");
         link.change(|s| s.refused = false);
-        let carried = async {
+        let forwarded = async {
             loop {
                 if let Ok(mut stream) = TcpStream::connect(link.address).await
-                    && asked(&mut stream).await.is_ok()
+                    && request(&mut stream).await.is_ok()
                 {
                     return;
                 }
             }
         };
-        timeout(LONG, carried).await.expect("carried again");
+        timeout(TIMEOUT, forwarded).await.expect("carried again");
     });
 }
 
@@ -90,22 +90,22 @@
 fn a_stuck_connection_stays_open_and_silent_and_new_ones_work() {
     with_link(async |link| {
         let mut stream = connect(&link).await;
-        asked(&mut stream).await.expect("answered");
+        request(&mut stream).await.expect("answered");
         link.change(|s| s.stuck += 1);
         stream.write_all(b"x").await.expect("sent");
-        silent(&mut stream).await;
+        assert_silent(&mut stream).await;
         let mut other = connect(&link).await;
-        asked(&mut other).await.expect("answered");
+        request(&mut other).await.expect("answered");
     });
 }
 
 #[test]
-fn a_slow_link_takes_its_time() {
+fn a_slow_link_delays_bytes() {
     with_link(async |link| {
         link.change(|s| s.to.delay = Duration::from_millis(120));
         let mut stream = connect(&link).await;
         let begun = Instant::now();
-        asked(&mut stream).await.expect("answered");
+        request(&mut stream).await.expect("answered");
         assert!(begun.elapsed() >= Duration::from_millis(120));
     });
 }
--- a/rig/src/main.rs
+++ b/rig/src/main.rs
@@ -15,28 +15,27 @@
 use onyxglade_rig::shrink::shrink;
 use onyxglade_rig::soak;
 
-/// Starts many processes of the relay and does harm to them, as a schedule says.
+/// Runs many processes of the relay and injects faults according to a schedule.
 #[derive(Parser)]
 #[command(version)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a schedule. The exit code is 0 if all promises were kept and all expectations held, 1 if not, 2 if it could not be
-    /// played
+    /// Play a schedule. The exit code is 0 if all invariants and expectations held, 1 if not, 2 if the schedule could not be played
     Play {
         file: PathBuf,
-        /// Where result.json, history.json, schedule.toml and seconds.csv go
+        /// Folder for result.json, history.json, schedule.toml and seconds.csv
         #[arg(long)]
         out: PathBuf,
-        /// In place of the file's
+        /// Seed to use instead of the file's
         #[arg(long)]
         seed: Option<u64>,
         #[command(flatten)]
-        how: How,
+        options: PlayOptions,
     },
     /// Play a schedule several times, such as one that failed once
     Replay {
@@ -44,70 +43,70 @@
         #[arg(long, default_value_t = 3)]
         times: usize,
         #[command(flatten)]
-        how: How,
+        options: PlayOptions,
     },
-    /// Play schedules with faults drawn from seeds until one fails; that one is printed
+    /// Play schedules with faults drawn from consecutive seeds until one fails, and print that one
     Hunt {
         /// The schedule to which faults are added
         file: PathBuf,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 20)]
         seeds: u64,
-        /// Faults in each
+        /// Number of faults added to each schedule
         #[arg(long, default_value_t = 4)]
         faults: usize,
         #[command(flatten)]
-        how: How,
+        options: PlayOptions,
     },
-    /// Play schedules that are drawn whole from seeds: signals in series, system calls, disk and clock failing, some with a crowd. Each
-    /// that fails is printed with its seed; the exit code is 1 if any did
+    /// Play schedules drawn entirely from seeds: series of signals, and faults of system calls, disk and clock, some with idle clients.
+    /// Each failure is printed with its seed; the exit code is 1 if there was any
     Soak {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 50)]
         seeds: u64,
-        /// So many are played beside one another
+        /// Number of schedules played in parallel
         #[arg(long, default_value_t = 4)]
         at_once: usize,
-        /// Where the schedules that failed go
+        /// Folder for the schedules that failed
         #[arg(long)]
         out: Option<PathBuf>,
         #[command(flatten)]
-        how: How,
+        options: PlayOptions,
     },
-    /// Shorten a schedule that fails; what is left is printed
+    /// Shorten a schedule that fails, and print the result
     Shrink {
         file: PathBuf,
-        /// At most so many plays
+        /// Maximum number of plays
         #[arg(long, default_value_t = 40)]
         plays: usize,
         #[command(flatten)]
-        how: How,
+        options: PlayOptions,
     },
 }
 
 #[derive(Args, Clone)]
-struct How {
-    /// The relay's program, in place of the one beside the rig's own
+struct PlayOptions {
+    /// Path of the relay's program; by default the one next to the rig's own
     #[arg(long)]
     program: Option<PathBuf>,
-    /// The program of the version before, for schedules that have some of it
-    #[arg(long)]
-    before: Option<PathBuf>,
-    /// No progress is shown
+    /// Path of the previous version's program, for schedules in which some relays run it
+    #[arg(long = "before", value_name = "BEFORE")]
+    previous: Option<PathBuf>,
+    /// Show no progress
     #[arg(long)]
     quiet: bool,
 }
 
 fn main() -> ExitCode {
-    match run(Line::parse().command) {
+    match run(CommandLine::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(2)
         }
     }
@@ -115,72 +114,80 @@
 
 fn run(command: Command) -> Result<bool, String> {
     match command {
-        Command::Play { file, out, seed, how } => {
+        Command::Play { file, out, seed, options } => {
             let mut schedule = Schedule::read(&file)?;
             schedule.seed = seed.unwrap_or(schedule.seed);
-            let (outcome, history) = once(&schedule, &how, Some(&out))?;
+            let (outcome, history) = play_once(&schedule, &options, Some(&out))?;
             outcome.write(&schedule, &history, &out)?;
-            tell(&outcome);
-            Ok(outcome.held())
+            print_outcome(&outcome);
+            Ok(outcome.passed())
         }
-        Command::Replay { file, times, how } => {
+        Command::Replay { file, times, options } => {
             let schedule = Schedule::read(&file)?;
-            let mut held = true;
+            let mut passed = true;
             for _ in 0..times {
-                let (outcome, _) = once(&schedule, &how, None)?;
-                tell(&outcome);
-                held &= outcome.held();
+                let (outcome, _) = play_once(&schedule, &options, None)?;
+                print_outcome(&outcome);
+                passed &= outcome.passed();
             }
-            Ok(held)
+            Ok(passed)
         }
-        Command::Hunt { file, seed, seeds, faults, how } => {
+        Command::Hunt { file, seed, seeds, faults, options } => {
             let base = Schedule::read(&file)?;
             for seed in seed..seed.saturating_add(seeds) {
                 let drawn = draw(&base, seed, faults);
-                let (outcome, _) = once(&drawn, &how, None)?;
-                tell(&outcome);
-                if !outcome.held() {
-                    println!("{}", drawn.text());
+                let (outcome, _) = play_once(&drawn, &options, None)?;
+                print_outcome(&outcome);
+                if !outcome.passed() {
+                    println!("{}", drawn.to_toml());
                     return Ok(false);
                 }
             }
             Ok(true)
         }
-        Command::Soak { seed, seeds, at_once, out, how } => soak(seed, seeds, at_once, out.as_deref(), &how),
-        Command::Shrink { file, plays, how } => {
+        Command::Soak { seed, seeds, at_once, out, options } => {
+            soak(seed, seeds, at_once, out.as_deref(), &options)
+        }
+        Command::Shrink { file, plays, options } => {
             let schedule = Schedule::read(&file)?;
-            let mut fault = None;
-            let least = shrink(&schedule, plays, |shorter| match once(shorter, &how, None) {
-                Ok((outcome, _)) => !outcome.held(),
+            let mut error = None;
+            let shortest = shrink(&schedule, plays, |shorter| match play_once(shorter, &options, None) {
+                Ok((outcome, _)) => !outcome.passed(),
                 Err(why) => {
-                    fault = Some(why);
+                    error = Some(why);
                     false
                 }
             });
-            fault.map_or(Ok(()), Err)?;
-            println!("{}", least.text());
+            error.map_or(Ok(()), Err)?;
+            println!("{}", shortest.to_toml());
             Ok(true)
         }
     }
 }
 
-/// Plays drawn schedules, several beside one another.
-fn soak(first: u64, seeds: u64, at_once: usize, out: Option<&Path>, how: &How) -> Result<bool, String> {
-    let how = How { quiet: true, ..how.clone() };
+/// Plays drawn schedules, several in parallel.
+fn soak(
+    first: u64,
+    seeds: u64,
+    at_once: usize,
+    out: Option<&Path>,
+    options: &PlayOptions,
+) -> Result<bool, String> {
+    let options = PlayOptions { quiet: true, ..options.clone() };
     let next = AtomicU64::new(first);
     let end = first.saturating_add(seeds);
     let failed = Mutex::new(Vec::new());
-    let play_on = || -> Result<(), String> {
+    let play_seeds = || -> Result<(), String> {
         loop {
             let seed = next.fetch_add(1, Ordering::Relaxed);
             if seed >= end {
                 return Ok(());
             }
             let drawn = soak::schedule(seed);
-            let (outcome, history) = once(&drawn, &how, out)?;
-            tell(&outcome);
-            if !outcome.held() {
-                failed.lock().expect("nobody panics with it").push(seed);
+            let (outcome, history) = play_once(&drawn, &options, out)?;
+            print_outcome(&outcome);
+            if !outcome.passed() {
+                failed.lock().expect("no thread panics while holding the lock").push(seed);
                 if let Some(out) = out {
                     outcome.write(&drawn, &history, &out.join(&drawn.name))?;
                 }
@@ -188,35 +195,39 @@
         }
     };
     std::thread::scope(|scope| {
-        let players: Vec<_> = (0..at_once.max(1)).map(|_| scope.spawn(play_on)).collect();
-        players.into_iter().try_for_each(|player| player.join().expect("no panic"))
+        let players: Vec<_> = (0..at_once.max(1)).map(|_| scope.spawn(play_seeds)).collect();
+        players.into_iter().try_for_each(|player| player.join().expect("players do not panic"))
     })?;
-    let mut failed = failed.into_inner().expect("nobody panics with it");
+    let mut failed = failed.into_inner().expect("no thread panics while holding the lock");
     failed.sort_unstable();
     println!("soak: {seeds} seeds from {first}, {} failed: {failed:?}", failed.len());
     Ok(failed.is_empty())
 }
 
-/// Plays a schedule once; the relays' folders are kept below `out` if it fails.
-fn once(schedule: &Schedule, how: &How, out: Option<&Path>) -> Result<(Outcome, History), String> {
-    let present = how.program.clone().map_or_else(relay::program, Ok)?;
-    let programs = Programs { present, before: how.before.clone() };
+/// Plays a schedule once. If it fails and `out` is given, the relays' temporary folders are kept.
+fn play_once(
+    schedule: &Schedule,
+    options: &PlayOptions,
+    out: Option<&Path>,
+) -> Result<(Outcome, History), String> {
+    let current = options.program.clone().map_or_else(relay::program, Ok)?;
+    let programs = Programs { current, previous: options.previous.clone() };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
-    let folder = tempfile::tempdir().map_err(|e| format!("a folder for the relays: {e}"))?;
-    let played = LocalSet::new().block_on(&runtime, play(schedule, &programs, folder.path(), !how.quiet));
-    if played.as_ref().map_or(true, |(outcome, _)| !outcome.held()) && out.is_some() {
-        eprintln!("the relays' folders are kept: {}", folder.keep().display());
+    let runtime = runtime.map_err(|e| format!("cannot start the async runtime: {e}"))?;
+    let folder = tempfile::tempdir().map_err(|e| format!("cannot create a folder for the relays: {e}"))?;
+    let played = LocalSet::new().block_on(&runtime, play(schedule, &programs, folder.path(), !options.quiet));
+    if played.as_ref().map_or(true, |(outcome, _)| !outcome.passed()) && out.is_some() {
+        eprintln!("the relays' folders are kept in {}", folder.keep().display());
     }
     played
 }
 
-fn tell(outcome: &Outcome) {
-    for (name, why) in &outcome.promises_broken {
-        println!("not kept: {name}: {why}");
+fn print_outcome(outcome: &Outcome) {
+    for (name, why) in &outcome.violations {
+        println!("invariant violated: {name}: {why}");
     }
-    for why in &outcome.expectations_not_held {
-        println!("not held: {why}");
+    for why in &outcome.failed_expectations {
+        println!("expectation failed: {why}");
     }
-    println!("{}", outcome.line());
+    println!("{}", outcome.summary_line());
 }
--- a/rig/src/play.rs
+++ b/rig/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays a schedule: stand-ins, links and processes are set up, faults come at their times, and what was seen is kept.
+//! Plays a schedule: sets up emulated services, links and processes, injects faults at their times, and records what is observed.
 use indicatif::{ProgressBar, ProgressStyle};
 use onyxglade_lab::arrivals::draw;
 use onyxglade_lab::discovery::Discovery;
@@ -16,55 +16,55 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
 
-use crate::check::{self, Promise};
-use crate::clients::{Clients, Holders};
+use crate::check::{self, Invariant};
+use crate::clients::{AcceptedBy, Clients};
 use crate::datagrams::Datagrams;
 use crate::fleet::{self, Relay};
-use crate::history::{History, Unanswered, What};
+use crate::history::{EventKind, History, UnansweredRequest};
 use crate::links::Link;
 use crate::report::Outcome;
-use crate::schedule::{Fault, Folder, Kind, Known, LinkTo, Schedule};
+use crate::schedule::{Fault, FaultKind, KnownList, LinkTo, Schedule, StateFolder};
 
-/// After the last message, what is open has so long to end.
-const AFTER: Duration = Duration::from_secs(13);
-/// ... and views so long to agree, where relays talk to one another.
-const AGREE: Duration = Duration::from_secs(60);
-/// The key that relays share.
+/// Time after the last message for open messages to complete.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(13);
+/// Time after the last message for membership views to agree, where relays exchange membership.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
+/// The key that all relays share.
 const KEY: &str = "a key for relays that a rig has started";
-/// Messages begin at the latest so long after the first process's start.
-const READY: Duration = Duration::from_secs(60);
-/// A process that was restarted may be so late, from when it is ready, with what was due before.
-const TOLD_AGAIN: Duration = Duration::from_millis(1500);
-/// A process that was killed in a write is back after so long.
-const BACK: Duration = Duration::from_millis(600);
-/// How often it is looked whether a time has come.
-const LOOK: Duration = Duration::from_millis(50);
+/// Messages begin at the latest this long after the start of the first process.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Once a restarted process is ready, messages that were due earlier may complete this late.
+const DEADLINE_EXTENSION: Duration = Duration::from_millis(1500);
+/// Time from a kill during a write to the restart.
+const RESTART_DELAY: Duration = Duration::from_millis(600);
+/// How often to check a condition that is waited for.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The programs that are played.
+/// The relay programs to run.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    pub present: PathBuf,
-    /// The version before, where the schedule has some of it.
-    pub before: Option<PathBuf>,
+    pub current: PathBuf,
+    /// The previous version, for schedules in which some relays run it.
+    pub previous: Option<PathBuf>,
 }
 
-/// What faults are done to.
-struct Stage {
+/// A run in progress: everything that faults act on.
+struct Run {
     schedule: Schedule,
     relays: Vec<Rc<Relay>>,
     links: HashMap<(usize, LinkTo), Rc<Link>>,
     world: Rc<RefCell<World>>,
     discovery: Rc<Discovery>,
-    holders: Holders,
+    accepted_by: AcceptedBy,
     datagrams: Rc<Datagrams>,
     start: Instant,
-    /// What could not be done: the play is void.
-    void: RefCell<Option<String>>,
-    /// Faults that are under way or yet to come.
+    /// Why the run cannot go on, if a fault could not be injected.
+    abort_reason: RefCell<Option<String>>,
+    /// Number of faults that are in progress or still to come.
     faults_left: Cell<usize>,
 }
 
-/// Plays a schedule in a folder.
+/// Plays a schedule, with the relays' files in `folder`.
 pub async fn play(
     schedule: &Schedule,
     programs: &Programs,
@@ -72,203 +72,215 @@
     progress: bool,
 ) -> Result<(Outcome, History), String> {
     let experiment = schedule.experiment();
-    let size = experiment.dests();
-    let world = Rc::new(RefCell::new(World::new(&experiment, size, schedule.seed)));
-    let lists_pass = schedule.instances.as_ref().is_some_and(|instances| instances.lists);
-    if !lists_pass {
+    let dests = experiment.dests();
+    let world = Rc::new(RefCell::new(World::new(&experiment, dests, schedule.seed)));
+    let lists_shared = schedule.instances.as_ref().is_some_and(|instances| instances.lists);
+    if !lists_shared {
         world.borrow_mut().checker.keep_drained_calls();
     }
-    let fault = |what: &str, e: std::io::Error| format!("{what}: {e}");
+    let describe = |what: &str, e: std::io::Error| format!("{what}: {e}");
     let start = Instant::now();
-    let emulator =
-        Emulator::start(world.clone(), start, false).map_err(|e| fault("the emulator's listener", e))?;
+    let emulator = Emulator::start(world.clone(), start, false)
+        .map_err(|e| describe("cannot start the emulator's listener", e))?;
     let discovery =
         Discovery::start(world.clone(), emulator.clone(), start, Vec::new(), schedule.service.clone());
-    let discovery = discovery.await.map_err(|e| fault("the list service's listener", e))?;
+    let discovery = discovery.await.map_err(|e| describe("cannot start the list service's listener", e))?;
     let events = Rc::new(RefCell::new(Vec::new()));
     let shim = schedule.needs_shim().then(onyxglade_lab::relay::shim).transpose()?;
-    let carried = schedule.carried();
-    let knowing = schedule.relays(&schedule.start.known_by)?;
-    let is_old = |number: usize| schedule.start.before_in_100 as usize > number * 100 / schedule.relay.count;
+    let faulty_links = schedule.faulty_links();
+    let relays_with_list = schedule.relays(&schedule.start.known_by)?;
+    let runs_previous =
+        |number: usize| schedule.start.before_in_100 as usize > number * 100 / schedule.relay.count;
     let (mut relays, mut links, mut submitters) = (Vec::new(), HashMap::new(), Vec::new());
     for number in 0..schedule.relay.count {
         let seed = schedule.seed.wrapping_mul(7919).wrapping_add(number as u64);
-        let link = |link: std::io::Result<Rc<Link>>| link.map_err(|e| format!("a link of r{number}: {e}"));
-        let port = if carried.contains(&LinkTo::Endpoints) {
-            let wide = link(Link::wide(emulator.port, seed))?;
-            let port = wide.address.port();
-            links.insert((number, LinkTo::Endpoints), wide);
+        let link = |link: std::io::Result<Rc<Link>>| {
+            link.map_err(|e| format!("cannot start a link of r{number}: {e}"))
+        };
+        let port = if faulty_links.contains(&LinkTo::Endpoints) {
+            let endpoint_forwarder = link(Link::to_any_address(emulator.port, seed))?;
+            let port = endpoint_forwarder.address.port();
+            links.insert((number, LinkTo::Endpoints), endpoint_forwarder);
             Some(port)
         } else {
             None
         };
-        let mut list =
-            discovery.listen(number, port).await.map_err(|e| fault("the list service's listener", e))?;
-        if carried.contains(&LinkTo::List) {
-            let to = link(Link::to(list, seed))?;
-            list = to.address;
-            links.insert((number, LinkTo::List), to);
+        let mut list = discovery
+            .listen(number, port)
+            .await
+            .map_err(|e| describe("cannot start the list service's listener", e))?;
+        if faulty_links.contains(&LinkTo::List) {
+            let forwarder = link(Link::to(list, seed))?;
+            list = forwarder.address;
+            links.insert((number, LinkTo::List), forwarder);
         }
-        let knows = knowing.contains(&number);
-        let known = known(if knows { schedule.start.known } else { Known::Nothing }, &discovery, port).await;
-        let old = is_old(number);
-        let program = match &programs.before {
-            Some(before) if old => before,
-            None if old => {
-                return Err("start.before_in_100: no program of the version before is named".into());
+        let has_list = relays_with_list.contains(&number);
+        let known =
+            known_list(if has_list { schedule.start.known } else { KnownList::Nothing }, &discovery, port)
+                .await;
+        let previous_version = runs_previous(number);
+        let program = match &programs.previous {
+            Some(previous) if previous_version => previous,
+            None if previous_version => {
+                return Err("start.before_in_100: the previous version's program is not given".into());
             }
-            _ => &programs.present,
+            _ => &programs.current,
         };
-        let told = (events.clone(), start);
+        let observer = (events.clone(), start);
         let relay =
-            Relay::new(program, folder, number, &schedule.relay, list, known, seed, shim.clone(), told)?;
+            Relay::new(program, folder, number, &schedule.relay, list, known, seed, shim.clone(), observer)?;
         let mut address = relay.address;
-        if carried.contains(&LinkTo::Submitters) {
-            let to = link(Link::to(address, seed))?;
-            address = to.address;
-            links.insert((number, LinkTo::Submitters), to);
+        if faulty_links.contains(&LinkTo::Submitters) {
+            let forwarder = link(Link::to(address, seed))?;
+            address = forwarder.address;
+            links.insert((number, LinkTo::Submitters), forwarder);
         }
         submitters.push(Submitters::new(address, schedule.load.body));
         relays.push(relay);
     }
-    let datagrams = Datagrams::new(fleet::FIRST, schedule.seed);
-    let mut owns = vec![schedule.relay.own.clone(); relays.len()];
+    let datagrams = Datagrams::new(fleet::FIRST_ADDRESS, schedule.seed);
+    let mut own_files = vec![schedule.relay.own.clone(); relays.len()];
     if let Some(instances) = &schedule.instances {
         let key = folder.join("key");
-        std::fs::write(&key, KEY).map_err(|e| fault("the key", e))?;
-        let mut reached = Vec::new();
+        std::fs::write(&key, KEY).map_err(|e| describe("cannot write the key", e))?;
+        let mut advertised = Vec::new();
         for relay in &relays {
-            let way = datagrams.lead_to(relay.number, relay.instances).await;
-            reached.push(way.map_err(|e| fault("a way between relays", e))?.to_string());
+            let path = datagrams.open_path_to(relay.number, relay.peer_address).await;
+            advertised.push(path.map_err(|e| describe("cannot open a path between relays", e))?.to_string());
         }
-        for (number, own) in owns.iter_mut().enumerate() {
+        for (number, own_file) in own_files.iter_mut().enumerate() {
             let zone =
                 instances.zones.get(number % instances.zones.len().max(1)).cloned().unwrap_or_default();
             let mut table = toml::Table::new();
             table.insert("zone".into(), zone.into());
-            table.insert("listen".into(), relays[number].instances.to_string().into());
-            table.insert("advertise".into(), reached[number].clone().into());
-            table.insert("seeds".into(), reached[..instances.seeds].to_vec().into());
+            table.insert("listen".into(), relays[number].peer_address.to_string().into());
+            table.insert("advertise".into(), advertised[number].clone().into());
+            table.insert("seeds".into(), advertised[..instances.seeds].to_vec().into());
             table.insert("key_file".into(), key.display().to_string().into());
-            // The version before knows nothing of these.
-            if !is_old(number) {
+            // The previous version does not know these settings.
+            if !runs_previous(number) {
                 table.insert("lists".into(), instances.lists.into());
                 table.insert("shares".into(), instances.shares.into());
             }
             table.insert("expected".into(), (relays.len() as i64).into());
-            own.insert("instances".into(), table.into());
+            own_file.insert("instances".into(), table.into());
         }
     }
-    for (relay, own) in relays.iter().zip(&owns) {
-        relay.write_own(own)?;
+    for (relay, own_file) in relays.iter().zip(&own_files) {
+        relay.write_own(own_file)?;
     }
-    // The clock of the schedule begins here; the stand-ins' own began a moment before.
-    let stage = Rc::new(Stage {
+    // The schedule's clock starts here; that of the emulated services started a moment earlier.
+    let run = Rc::new(Run {
         schedule: schedule.clone(),
         relays,
         links,
         world: world.clone(),
         discovery: discovery.clone(),
-        holders: Rc::default(),
+        accepted_by: Rc::default(),
         datagrams,
         start: Instant::now(),
-        void: RefCell::default(),
+        abort_reason: RefCell::default(),
         faults_left: Cell::new(schedule.faults.len()),
     });
     for fault in &schedule.faults {
-        let (stage, fault) = (stage.clone(), fault.clone());
+        let (run, fault) = (run.clone(), fault.clone());
         spawn_local(async move {
-            sleep_until((stage.start + Duration::from_secs_f64(fault.at_s)).into()).await;
-            if let Err(why) = stage.happen(&fault).await {
-                stage.is_void(why);
+            sleep_until((run.start + Duration::from_secs_f64(fault.at_s)).into()).await;
+            if let Err(why) = run.apply(&fault).await {
+                run.abort(why);
             }
-            stage.faults_left.set(stage.faults_left.get() - 1);
+            run.faults_left.set(run.faults_left.get() - 1);
         });
     }
-    let step = Duration::from_secs_f64(schedule.start.over_s / stage.relays.len() as f64);
-    for (number, relay) in stage.relays.iter().enumerate() {
-        sleep_until((stage.start + step * number as u32).into()).await;
+    let step = Duration::from_secs_f64(schedule.start.over_s / run.relays.len() as f64);
+    for (number, relay) in run.relays.iter().enumerate() {
+        sleep_until((run.start + step * number as u32).into()).await;
         relay.start()?;
     }
-    // A front hands a relay its clients once it is ready.
-    let first_ready = |history: &History| history.up().is_some();
-    let warm = |history: &History| history.listed().iter().all(Option::is_some);
-    let seen = || History {
-        relays: stage.relays.len(),
-        known: schedule.start.known != Known::Nothing && knowing.len() == stage.relays.len(),
+    // The platform's front sends clients to a relay only once the relay is ready.
+    let all_ready = |history: &History| history.all_ready_at().is_some();
+    let all_have_list = |history: &History| history.listed_since().iter().all(Option::is_some);
+    let snapshot = || History {
+        relays: run.relays.len(),
+        known: schedule.start.known != KnownList::Nothing && relays_with_list.len() == run.relays.len(),
         instances: schedule.instances.is_some(),
         events: events.borrow().clone(),
         ..History::default()
     };
-    while stage.start.elapsed() < READY {
-        let history = seen();
-        let crashed = history.events.iter().any(|event| matches!(event.what, What::Crashed(_)));
-        if crashed || first_ready(&history) && (!schedule.start.warm || warm(&history)) {
+    while run.start.elapsed() < READY_TIMEOUT {
+        let history = snapshot();
+        let crashed = history.events.iter().any(|event| matches!(event.kind, EventKind::Crashed(_)));
+        if crashed || all_ready(&history) && (!schedule.start.warm || all_have_list(&history)) {
             break;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    let begin = Instant::now();
-    let mut arrivals = vec![Vec::new(); stage.relays.len()];
-    let drawn = draw(&schedule.load, schedule.seconds, size, schedule.seed);
+    let load_start = Instant::now();
+    let mut arrivals = vec![Vec::new(); run.relays.len()];
+    let drawn = draw(&schedule.load, schedule.seconds, dests, schedule.seed);
     for (n, arrival) in drawn.into_iter().enumerate() {
-        arrivals[n % stage.relays.len()].push((n as u64 + 1, arrival));
+        arrivals[n % run.relays.len()].push((n as u64 + 1, arrival));
     }
-    let addresses: Vec<_> = stage.relays.iter().map(|relay| relay.address).collect();
-    schedule.crowd.gather(&addresses);
+    let addresses: Vec<_> = run.relays.iter().map(|relay| relay.address).collect();
+    schedule.idle_clients.keep_open(&addresses);
     let submitters = Rc::new(submitters);
-    for (mine, arrivals) in arrivals.into_iter().enumerate() {
-        let holders = stage.holders.clone();
-        let clients = Rc::new(Clients { relays: submitters.clone(), mine, holders });
-        spawn_local(load::play(clients, world.clone(), start, arrivals, begin));
+    for (home, arrivals) in arrivals.into_iter().enumerate() {
+        let accepted_by = run.accepted_by.clone();
+        let clients = Rc::new(Clients { relays: submitters.clone(), home, accepted_by });
+        spawn_local(load::play(clients, world.clone(), start, arrivals, load_start));
     }
     let total = schedule.seconds.ceil() as u64;
     let bar = if progress { ProgressBar::new(total) } else { ProgressBar::hidden() };
-    bar.set_style(ProgressStyle::with_template("{msg} {bar:40} {pos}/{len} s").expect("a sound template"));
-    bar.set_message(format!("{} relays", stage.relays.len()));
+    bar.set_style(
+        ProgressStyle::with_template("{msg} {bar:40} {pos}/{len} s").expect("the template is valid"),
+    );
+    bar.set_message(format!("{} relays", run.relays.len()));
     loop {
         sleep(Duration::from_millis(1000 - (start.elapsed().as_millis() % 1000) as u64)).await;
         world.borrow_mut().tick(start.elapsed());
-        bar.set_position(begin.elapsed().as_secs().min(total));
-        if let Some(why) = stage.void.borrow().clone() {
+        bar.set_position(load_start.elapsed().as_secs().min(total));
+        if let Some(why) = run.abort_reason.borrow().clone() {
             return Err(why);
         }
-        let end = begin + Duration::from_secs_f64(schedule.seconds);
-        let over = Instant::now() > end && stage.faults_left.get() == 0;
+        let end = load_start + Duration::from_secs_f64(schedule.seconds);
+        let done = Instant::now() > end && run.faults_left.get() == 0;
         let open = world.borrow().checker.open();
-        let agree = !over || check::broken(&seen(), Promise::AllSeeAll).is_none();
-        if over && (open == 0 && agree || Instant::now() > end + if agree { AFTER } else { AGREE }) {
+        let converged = !done || check::violation(&snapshot(), Invariant::AllSeeAll).is_none();
+        if done
+            && (open == 0 && converged
+                || Instant::now() > end + if converged { DRAIN_TIMEOUT } else { CONVERGENCE_TIMEOUT })
+        {
             break;
         }
     }
     bar.finish_and_clear();
-    let mut history = seen();
-    // What ends from here on is the rig's doing.
-    for relay in &stage.relays {
+    let mut history = snapshot();
+    // From here on the rig itself ends processes, which the snapshot must not contain.
+    for relay in &run.relays {
         relay.end(true).await;
     }
-    let taken = schedule.partners.iter().map(|p| p.nature.opens).filter(|n| *n > 0).min();
+    let opens_limit = schedule.partners.iter().map(|p| p.nature.opens).filter(|n| *n > 0).min();
     let world = std::mem::replace(&mut *world.borrow_mut(), World::new(&experiment, 1, 0));
     history.list_calls = discovery.calls.borrow().clone();
     history.list_answers = discovery.answers.borrow().clone();
     history.outages = spans(discovery.outages().into_iter().chain(refusals(schedule)));
     history.must_ask_in = Duration::from_millis(schedule.relay.must_ask_in_ms);
-    let holders = stage.holders.borrow();
-    let whose = |call: &DrainedCall| Some((*holders.get(&call.msg)?, *call));
-    history.drained_calls = world.checker.drained_calls().iter().filter_map(whose).collect();
-    history.forgot = discovery.forgot.borrow().clone();
-    history.told = discovery.told.borrow().clone();
-    (history.answering, history.throwing) = discovery.used();
+    let accepted_by = run.accepted_by.borrow();
+    let with_relay = |call: &DrainedCall| Some((*accepted_by.get(&call.msg)?, *call));
+    history.drained_calls = world.checker.drained_calls().iter().filter_map(with_relay).collect();
+    history.state_losses = discovery.forgot.borrow().clone();
+    history.changes = discovery.told.borrow().clone();
+    (history.answering, history.discarding) = discovery.used();
     (history.opens_most, history.opens_refused, history.opens_all) = world.record.opens();
-    history.opens_taken = taken.unwrap_or(0);
+    history.opens_taken = opens_limit.unwrap_or(0);
     history.breaches = world.checker.breaches().to_vec();
     history.rules_broken = world.checker.total();
     let figures = world.record.figures();
     (history.handed_in, history.delivered) = (figures["handed_in"] as u32, figures["delivered"] as u32);
-    // By the same clock as what is seen of processes.
+    // On the same clock as the process events.
     let since = |at: Instant| at.saturating_duration_since(start);
     let unanswered = submitters.iter().enumerate().flat_map(|(relay, clients)| {
-        clients.unanswered().into_iter().map(move |request| Unanswered {
+        clients.unanswered().into_iter().map(move |request| UnansweredRequest {
             relay,
             msg: request.msg,
             why: request.why,
@@ -281,141 +293,142 @@
     Ok((Outcome::new(schedule, &history, seconds), history))
 }
 
-/// Spans in seconds as spans of time.
+/// Converts spans from seconds.
 fn spans(seconds: impl Iterator<Item = (f64, f64)>) -> Vec<(Duration, Duration)> {
     let span = |(from, to)| (Duration::from_secs_f64(from), Duration::from_secs_f64(to));
     seconds.map(span).collect()
 }
 
-/// Spans in which every relay's connections to the list service are refused, in seconds.
+/// Spans, in seconds, in which the list service connections of every relay are refused.
 fn refusals(schedule: &Schedule) -> impl Iterator<Item = (f64, f64)> {
-    let refuses = |fault: &&Fault| fault.kind == Kind::Refuse && fault.link == Some(LinkTo::List);
+    let is_refusal = |fault: &&Fault| fault.kind == FaultKind::Refuse && fault.link == Some(LinkTo::List);
     let all = |fault: &&Fault| schedule.relays(&fault.relays).is_ok_and(|r| r.len() == schedule.relay.count);
-    let faults = schedule.faults.iter().filter(refuses).filter(all);
+    let faults = schedule.faults.iter().filter(is_refusal).filter(all);
     faults.map(|fault| (fault.at_s, fault.at_s + fault.for_s.unwrap_or(schedule.seconds)))
 }
 
-/// The list that a relay is told to have held last.
-async fn known(known: Known, discovery: &Discovery, port: Option<u16>) -> Option<Value> {
-    if known == Known::Nothing {
+/// The list that a relay is configured to have had last.
+async fn known_list(known: KnownList, discovery: &Discovery, port: Option<u16>) -> Option<Value> {
+    if known == KnownList::Nothing {
         return None;
     }
     let mut list: Value = serde_json::from_slice(&discovery.known(port).await).ok()?;
-    if known == Known::Old {
-        // Every address is the next one's now.
+    if known == KnownList::Old {
+        // Shifts all addresses by one entry.
         list["generation"] = 0.into();
         let entries = list["instances"].as_array_mut()?;
         let addresses: Vec<_> = entries.iter().map(|e| e["hostPort"].clone()).collect();
-        let places = addresses.len();
-        entries.iter_mut().enumerate().for_each(|(n, e)| e["hostPort"] = addresses[(n + 1) % places].clone());
+        let count = addresses.len();
+        entries.iter_mut().enumerate().for_each(|(n, e)| e["hostPort"] = addresses[(n + 1) % count].clone());
     }
     Some(list)
 }
 
-impl Stage {
-    /// Does what the schedule has happen, to its end.
-    async fn happen(self: &Rc<Self>, fault: &Fault) -> Result<(), String> {
-        let lasts = fault.for_s.map(Duration::from_secs_f64);
+impl Run {
+    /// Injects a fault and, if it has a duration, ends it.
+    async fn apply(self: &Rc<Self>, fault: &Fault) -> Result<(), String> {
+        let duration = fault.for_s.map(Duration::from_secs_f64);
         let numbers = self.schedule.relays(&fault.relays)?;
         let chosen: Vec<_> = numbers.iter().map(|n| self.relays[*n].clone()).collect();
         match fault.kind {
-            Kind::ListDown => self.discovery.go_down(lasts.unwrap_or_default()),
-            Kind::ListForgets => self.discovery.forget(),
-            Kind::ListChanges => self.discovery.tell_all_anew(),
-            Kind::ListBusy => {
+            FaultKind::ListDown => self.discovery.go_down(duration.unwrap_or_default()),
+            FaultKind::ListForgets => self.discovery.forget(),
+            FaultKind::ListChanges => self.discovery.tell_all_anew(),
+            FaultKind::ListBusy => {
                 self.discovery.take_one_in(fault.one_in);
-                if let Some(lasts) = lasts {
-                    sleep(lasts).await;
+                if let Some(duration) = duration {
+                    sleep(duration).await;
                     self.discovery.take_one_in(0);
                 }
             }
-            Kind::ListLies => {
+            FaultKind::ListLies => {
                 self.discovery.lie_to(&numbers, true);
-                if let Some(lasts) = lasts {
-                    sleep(lasts).await;
+                if let Some(duration) = duration {
+                    sleep(duration).await;
                     self.discovery.lie_to(&numbers, false);
                 }
             }
-            Kind::Partner => self.partner(fault),
-            Kind::Hup => chosen.iter().for_each(|relay| relay.hup()),
-            Kind::Call | Kind::Clock => {
-                let system = fault.of_system().expect("checked");
-                chosen.iter().try_for_each(|relay| relay.strike(system))?;
-                if let Some(lasts) = lasts {
-                    sleep(lasts).await;
-                    chosen.iter().try_for_each(|relay| relay.heal(system))?;
+            FaultKind::Partner => self.apply_partner_trouble(fault),
+            FaultKind::Hup => chosen.iter().for_each(|relay| relay.reload()),
+            FaultKind::Call | FaultKind::Clock => {
+                let system_fault = fault.system_fault().expect("Schedule::check requires it");
+                chosen.iter().try_for_each(|relay| relay.inject(system_fault))?;
+                if let Some(duration) = duration {
+                    sleep(duration).await;
+                    chosen.iter().try_for_each(|relay| relay.clear_fault(system_fault))?;
                 }
             }
-            Kind::TornWrite => {
-                let system = fault.of_system().expect("checked");
+            FaultKind::TornWrite => {
+                let system_fault = fault.system_fault().expect("Schedule::check requires it");
                 for relay in chosen {
-                    let stage = self.clone();
-                    let dies = async move {
-                        relay.die_in_write(system, lasts.unwrap_or_default()).await?;
-                        stage.put_off(relay.number, Duration::MAX);
-                        sleep(BACK).await;
-                        relay.start_again(Folder::Kept)?;
-                        stage.ready_again(relay).await;
+                    let run = self.clone();
+                    let die_and_restart = async move {
+                        relay.kill_during_write(system_fault, duration.unwrap_or_default()).await?;
+                        run.extend_deadlines(relay.number, Duration::MAX);
+                        sleep(RESTART_DELAY).await;
+                        relay.restart(StateFolder::Kept)?;
+                        run.resume_deadlines(relay).await;
                         Ok::<_, String>(())
                     };
-                    let stage = self.clone();
-                    spawn_local(async move { dies.await.unwrap_or_else(|why| stage.is_void(why)) });
+                    let run = self.clone();
+                    spawn_local(async move { die_and_restart.await.unwrap_or_else(|why| run.abort(why)) });
                 }
             }
-            Kind::Stop => {
+            FaultKind::Stop => {
                 let stops = chosen.into_iter().map(|relay| {
-                    let lasts = lasts.unwrap_or_default();
-                    spawn_local(async move { relay.stop(lasts).await })
+                    let duration = duration.unwrap_or_default();
+                    spawn_local(async move { relay.stop(duration).await })
                 });
                 for stop in stops.collect::<Vec<_>>() {
                     stop.await.map_err(|e| e.to_string())?;
                 }
             }
-            Kind::Kill | Kind::Term => {
-                let at_once = fault.kind == Kind::Kill;
-                if lasts.is_some() {
-                    numbers.iter().for_each(|relay| self.put_off(*relay, Duration::MAX));
+            FaultKind::Kill | FaultKind::Term => {
+                let at_once = fault.kind == FaultKind::Kill;
+                if duration.is_some() {
+                    numbers.iter().for_each(|relay| self.extend_deadlines(*relay, Duration::MAX));
                 }
                 let ends =
                     chosen.iter().cloned().map(|relay| spawn_local(async move { relay.end(at_once).await }));
                 for end in ends.collect::<Vec<_>>() {
                     end.await.map_err(|e| e.to_string())?;
                 }
-                if fault.folder != Folder::Kept {
-                    // What the folder held is gone with it, which is the schedule's doing.
-                    let holders = self.holders.borrow();
+                if fault.folder != StateFolder::Kept {
+                    // The schedule discarded the folder's messages, so they are not counted as lost.
+                    let accepted_by = self.accepted_by.borrow();
                     let mut world = self.world.borrow_mut();
-                    let lost = holders.iter().filter(|(_, relay)| numbers.contains(relay));
+                    let lost = accepted_by.iter().filter(|(_, relay)| numbers.contains(relay));
                     lost.for_each(|(msg, _)| world.checker.excuse(*msg));
                 }
-                let Some(lasts) = lasts else { return Ok(()) };
-                sleep(lasts).await;
+                let Some(duration) = duration else { return Ok(()) };
+                sleep(duration).await;
                 let step = fault.back_over_s.unwrap_or(0.0) / chosen.len() as f64;
                 for relay in &chosen {
-                    relay.start_again(fault.folder)?;
-                    spawn_local(self.clone().ready_again(relay.clone()));
+                    relay.restart(fault.folder)?;
+                    spawn_local(self.clone().resume_deadlines(relay.clone()));
                     sleep(Duration::from_secs_f64(step)).await;
                 }
             }
             _ if fault.link == Some(LinkTo::Instances) => {
                 let others = (0..self.relays.len()).filter(|n| !numbers.contains(n)).collect();
-                let peers = fault.peers.as_ref().map_or(Ok(others), |named| self.schedule.relays(named))?;
-                self.part(fault, &numbers, &peers, true);
-                if let Some(lasts) = lasts {
-                    sleep(lasts).await;
-                    self.part(fault, &numbers, &peers, false);
+                let peers =
+                    fault.peers.as_ref().map_or(Ok(others), |selector| self.schedule.relays(selector))?;
+                self.set_paths(fault, &numbers, &peers, true);
+                if let Some(duration) = duration {
+                    sleep(duration).await;
+                    self.set_paths(fault, &numbers, &peers, false);
                 }
             }
             _ => {
-                let link = fault.link.expect("checked");
+                let link = fault.link.expect("Schedule::check requires it");
                 let links: Vec<_> = numbers.iter().map(|n| self.links[&(*n, link)].clone()).collect();
                 for link in &links {
-                    link.change(|state| set(state, fault, true));
+                    link.change(|state| set_link(state, fault, true));
                 }
-                if let Some(lasts) = lasts {
-                    sleep(lasts).await;
+                if let Some(duration) = duration {
+                    sleep(duration).await;
                     for link in &links {
-                        link.change(|state| set(state, fault, false));
+                        link.change(|state| set_link(state, fault, false));
                     }
                 }
             }
@@ -423,62 +436,67 @@
         Ok(())
     }
 
-    /// Something could not be done.
-    fn is_void(&self, why: String) {
-        self.void.replace(Some(why));
+    /// Aborts the run, since a fault could not be injected.
+    fn abort(&self, why: String) {
+        self.abort_reason.replace(Some(why));
     }
 
-    /// No end of what a relay holds is overdue before a time.
-    fn put_off(&self, relay: usize, until: Duration) {
-        let holders = self.holders.borrow();
+    /// Extends the deadlines of all messages that a relay accepted: none is overdue before `until`.
+    fn extend_deadlines(&self, relay: usize, until: Duration) {
+        let accepted_by = self.accepted_by.borrow();
         let mut world = self.world.borrow_mut();
-        let held = holders.iter().filter(|(_, holder)| **holder == relay);
-        held.for_each(|(msg, _)| world.checker.put_off(*msg, until));
+        let accepted = accepted_by.iter().filter(|(_, acceptor)| **acceptor == relay);
+        accepted.for_each(|(msg, _)| world.checker.put_off(*msg, until));
     }
 
-    /// A relay that was started again owes what it holds a while after it is ready.
-    async fn ready_again(self: Rc<Self>, relay: Rc<Relay>) {
+    /// Once a restarted relay is ready, its accepted messages are due again, after [`DEADLINE_EXTENSION`].
+    async fn resume_deadlines(self: Rc<Self>, relay: Rc<Relay>) {
         if relay.ready().await {
-            self.put_off(relay.number, self.discovery.begun().elapsed() + TOLD_AGAIN);
+            self.extend_deadlines(relay.number, self.discovery.begun().elapsed() + DEADLINE_EXTENSION);
         }
     }
 
-    /// Begins or ends a fault of the ways between some relays and others.
-    fn part(&self, fault: &Fault, relays: &[usize], peers: &[usize], begins: bool) {
+    /// Begins or ends a fault of the paths between relays and their peers.
+    fn set_paths(&self, fault: &Fault, relays: &[usize], peers: &[usize], begins: bool) {
         let change = |from, to| {
-            self.datagrams.change(from, to, |way| match fault.kind {
-                Kind::Lossy => way.lose = if begins { fault.lose } else { 0.0 },
-                Kind::Slow => {
-                    let part = |ms| Duration::from_millis(if begins { ms } else { 0 });
-                    (way.delay, way.jitter) = (part(fault.delay_ms), part(fault.jitter_ms));
+            self.datagrams.change(from, to, |path| match fault.kind {
+                FaultKind::Lossy => path.lose = if begins { fault.lose } else { 0.0 },
+                FaultKind::Slow => {
+                    let duration = |ms| Duration::from_millis(if begins { ms } else { 0 });
+                    (path.delay, path.jitter) = (duration(fault.delay_ms), duration(fault.jitter_ms));
                 }
-                _ if begins => way.cuts += 1,
-                _ => way.cuts -= 1,
+                _ if begins => path.cuts += 1,
+                _ => path.cuts -= 1,
             });
         };
         for (relay, peer) in
             relays.iter().flat_map(|r| peers.iter().map(move |p| (*r, *p))).filter(|(r, p)| r != p)
         {
-            if fault.kind != Kind::CutFrom {
+            if fault.kind != FaultKind::CutFrom {
                 change(relay, peer);
             }
-            if fault.kind != Kind::CutTo {
+            if fault.kind != FaultKind::CutTo {
                 change(peer, relay);
             }
         }
     }
 
-    /// A partner is in trouble, and the list tells of it.
-    fn partner(self: &Rc<Self>, fault: &Fault) {
+    /// Begins a partner's trouble and publishes the list changes that come of it.
+    fn apply_partner_trouble(self: &Rc<Self>, fault: &Fault) {
         let (Some(dest), Some(trouble)) = (fault.dest, fault.trouble) else { return };
-        let zero = self.discovery.begun();
+        let begun = self.discovery.begun();
         let seconds = fault.for_s.unwrap_or(86_400.0);
-        let told =
-            self.world.borrow_mut().happen(zero.elapsed(), trouble, dest, seconds, trouble != Partner::Drain);
-        for (at, entry) in told {
+        let list_changes = self.world.borrow_mut().happen(
+            begun.elapsed(),
+            trouble,
+            dest,
+            seconds,
+            trouble != Partner::Drain,
+        );
+        for (at, entry) in list_changes {
             let discovery = self.discovery.clone();
             spawn_local(async move {
-                sleep_until((zero + at).into()).await;
+                sleep_until((begun + at).into()).await;
                 discovery.tell(entry);
             });
         }
@@ -486,20 +504,20 @@
 }
 
 /// Begins or ends a fault of a link.
-fn set(state: &mut crate::links::State, fault: &Fault, begins: bool) {
+fn set_link(state: &mut crate::links::LinkState, fault: &Fault, begins: bool) {
     match fault.kind {
-        Kind::Cut => (state.to.cut, state.from.cut) = (begins, begins),
-        Kind::CutTo => state.to.cut = begins,
-        Kind::CutFrom => state.from.cut = begins,
-        Kind::Refuse => state.refused = begins,
-        Kind::Reset => state.resets += u64::from(begins),
-        Kind::Stuck => state.stuck += u64::from(begins),
-        Kind::Tear => state.tear = if begins { fault.after_bytes } else { 0 },
-        Kind::Slow => {
-            let part = |ms| Duration::from_millis(if begins { ms } else { 0 });
-            for way in [&mut state.to, &mut state.from] {
-                (way.delay, way.jitter) = (part(fault.delay_ms), part(fault.jitter_ms));
-                way.bytes_per_s = if begins { fault.bytes_per_s } else { 0 };
+        FaultKind::Cut => (state.to.cut, state.from.cut) = (begins, begins),
+        FaultKind::CutTo => state.to.cut = begins,
+        FaultKind::CutFrom => state.from.cut = begins,
+        FaultKind::Refuse => state.refused = begins,
+        FaultKind::Reset => state.resets += u64::from(begins),
+        FaultKind::Stuck => state.stuck += u64::from(begins),
+        FaultKind::Tear => state.tear = if begins { fault.after_bytes } else { 0 },
+        FaultKind::Slow => {
+            let duration = |ms| Duration::from_millis(if begins { ms } else { 0 });
+            for direction in [&mut state.to, &mut state.from] {
+                (direction.delay, direction.jitter) = (duration(fault.delay_ms), duration(fault.jitter_ms));
+                direction.bytes_per_s = if begins { fault.bytes_per_s } else { 0 };
             }
         }
         _ => {}
--- a/rig/src/schedule.rs
+++ b/rig/src/schedule.rs
@@ -1,5 +1,5 @@
-//! The file that says which processes run, what happens to them and between them, and what is expected; read and checked here.
-//! Every fault names its key.
+//! The schedule file: which processes run, which faults are injected, and what is expected. This module parses and checks it. Every
+//! error names the key at fault.
 use onyxglade_lab::arrivals::Load;
 use onyxglade_lab::experiment::{Event, Expectation, Experiment, Front, ListTable, Partners, RelayTable};
 use onyxglade_lab::file;
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use crate::crowd::Crowd;
+use crate::idle_clients::IdleClients;
 use crate::system_faults::{Call, Failure, SystemFault};
 
 /// A schedule.
@@ -17,12 +17,12 @@
 #[serde(deny_unknown_fields)]
 pub struct Schedule {
     pub name: String,
-    /// What it is to show, for the report.
+    /// Purpose of the schedule, for the report.
     #[serde(default)]
     pub about: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// How long messages come, in seconds. They begin once the first processes are ready.
+    /// How long messages are submitted, in seconds, from when every process has been ready once.
     pub seconds: f64,
     #[serde(default)]
     pub start: Start,
@@ -30,16 +30,16 @@
     pub relay: RelayTable,
     pub partners: Vec<Partners>,
     pub load: Load,
-    /// What calls cost the list service.
+    /// Cost of calls to the list service.
     #[serde(default)]
     pub service: Costs,
     /// Idle clients of each relay.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub crowd: Crowd,
-    /// Relays talk to one another.
+    #[serde(rename = "crowd", default, skip_serializing_if = "is_zero")]
+    pub idle_clients: IdleClients,
+    /// How relays exchange membership with one another; they don't if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub instances: Option<Instances>,
-    /// Names for relays: `half = "r0-r149"`.
+    /// Named groups of relays: `half = "r0-r149"`.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub groups: BTreeMap<String, String>,
     #[serde(rename = "fault", default, skip_serializing_if = "Vec::is_empty")]
@@ -48,49 +48,55 @@
     pub expectations: Vec<Expectation>,
 }
 
-/// How the processes come up.
+/// How the processes start.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Start {
-    /// They are started within so many seconds.
+    /// Seconds over which the starts are spread.
     pub over_s: f64,
-    /// What they know of the list when they first start.
-    pub known: Known,
-    /// Which of them; the others know nothing.
+    /// The list that relays have when they first start.
+    pub known: KnownList,
+    /// The relays that have this list; the others have none.
     pub known_by: String,
-    /// Messages begin only once every relay holds the list: the same fleet warm, to compare with.
+    /// Whether messages begin only once every relay has the list, for comparison with a cold start.
     pub warm: bool,
-    /// Of a hundred relays, so many run the program of the version before, if one is named on the command line.
+    /// Percentage of relays that run the previous version's program, which the command line must name.
     pub before_in_100: u32,
 }
 
 impl Default for Start {
     fn default() -> Self {
-        Start { over_s: 0.5, known: Known::Nothing, known_by: all(), warm: false, before_in_100: 0 }
+        Start {
+            over_s: 0.5,
+            known: KnownList::Nothing,
+            known_by: all_relays(),
+            warm: false,
+            before_in_100: 0,
+        }
     }
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Known {
+pub enum KnownList {
     Nothing,
-    /// The list as it stands.
+    /// The current list.
     List,
-    /// A list of a week ago in which every address is another's now.
+    /// A list from a week ago, in which every address now belongs to another endpoint.
     Old,
 }
 
-/// How relays talk to one another.
+/// How relays exchange membership with one another.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Instances {
-    /// The first so many are the seeds of all.
+    /// The number of relays, from r0 on, that are the seeds of all.
     pub seeds: usize,
-    /// Relays are of these zones in turn.
+    /// Zones, assigned to the relays round-robin.
     pub zones: Vec<String>,
-    /// Lists pass between them.
+    /// Whether relays pass lists to one another.
     pub lists: bool,
-    /// Limits are divided among those that are there.
+    /// Whether limits are divided among the members.
     pub shares: bool,
 }
 
@@ -100,88 +106,94 @@
     }
 }
 
-/// Something that goes wrong, and when it is over.
+/// A fault, with its time and duration.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Seconds from the first process's start.
+    /// Seconds from the start of the first process.
     pub at_s: f64,
-    /// For so long; to the end if absent.
+    /// Duration in seconds; until the end of the run if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub for_s: Option<f64>,
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Which relays: `all`, `r7`, `r0-r9`, `70%` (the first of them), a group's name, several with commas.
-    #[serde(default = "all")]
+    #[serde(default = "all_relays")]
     pub relays: String,
-    /// Which link of theirs, where it is one that goes wrong.
+    /// The link concerned, for faults of links.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub link: Option<LinkTo>,
-    /// The relays at the link's other end, where it is one between relays: all others if absent.
+    /// The relays at the other end of a link between relays; all others if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peers: Option<String>,
-    /// Share of datagrams that a lossy link loses.
+    /// Share of datagrams that a lossy link drops.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub lose: f64,
-    /// Delay and its jitter of a slow link, in milliseconds, and what passes, in bytes a second (0 is any number).
+    /// Delay of a slow link, in milliseconds.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub delay_ms: u64,
+    /// Upper bound of a slow link's random extra delay, in milliseconds.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub jitter_ms: u64,
+    /// Throughput of a slow link, in bytes per second; 0 is unlimited.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub bytes_per_s: u64,
-    /// A torn connection breaks after so many bytes from the far side.
+    /// Bytes from the far side after which a connection is torn, or bytes of a torn write that are still written.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub after_bytes: u64,
-    /// What a process that was ended finds in its folder when it comes back, after `for_s`.
+    /// What an ended process finds in its state folder when it is restarted, after `for_s`.
     #[serde(default)]
-    pub folder: Folder,
-    /// Processes come back one after another, all within so many seconds.
+    pub folder: StateFolder,
+    /// Seconds over which restarts are spread.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub back_over_s: Option<f64>,
-    /// Of so many calls a busy list service takes one, or one of a process's calls fails; 0 is every one.
+    /// A busy list service accepts one call in this many, or one system call in this many fails; 0 means every call.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub one_in: u32,
-    /// The system call that fails, and what it says.
+    /// The system call that fails.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub call: Option<Call>,
+    /// The error that the call reports.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub failure: Option<Failure>,
-    /// Writes are done by half before they fail.
+    /// Whether a write writes half of its bytes before the call for the rest fails.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub half: bool,
-    /// The wall clock's step in seconds.
+    /// Step of the wall clock in seconds.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub step_s: i64,
-    /// The destination, where a partner is in trouble, and its trouble.
+    /// The destination concerned, for a partner's trouble.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub dest: Option<usize>,
+    /// The partner's trouble.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub trouble: Option<Event>,
 }
 
-/// What goes wrong.
+/// Kind of fault.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
-    /// A link falls silent, both ways, or one way only: towards the relays' peer, or towards the relays.
+pub enum FaultKind {
+    /// A link carries nothing in either direction.
     Cut,
+    /// A link carries nothing from the relays to the peer.
     CutTo,
+    /// A link carries nothing from the peer to the relays.
     CutFrom,
-    /// A link refuses connections and breaks those it has.
+    /// A link refuses connections and resets open ones.
     Refuse,
-    /// A link breaks the connections it has.
+    /// A link resets its open connections.
     Reset,
-    /// Connections of a link break after so many bytes.
+    /// Connections of a link are reset after `after_bytes`.
     Tear,
-    /// The far side of a link's connections vanishes without a word; the near one stays open.
+    /// The far side of a link's connections vanishes without a FIN or RST; the near side stays open.
     Stuck,
-    /// A link is slow; datagrams overtake each other by its jitter.
+    /// A link is slow; its jitter reorders datagrams.
     Slow,
-    /// A link between relays loses datagrams.
+    /// A link between relays drops datagrams.
     Lossy,
     /// SIGKILL.
     Kill,
-    /// SIGTERM; SIGKILL after 3.7 s for what has not ended.
+    /// SIGTERM, and SIGKILL after 3.7 s if the process still runs.
     Term,
     /// SIGSTOP, and SIGCONT at the end.
     Stop,
@@ -189,38 +201,38 @@
     Hup,
     /// A system call of the processes fails.
     Call,
-    /// The next write to the folder ends after `after_bytes`, and the process is killed there; it is back 0.6 s later. One that writes
-    /// nothing within `for_s` is killed then.
+    /// The process is killed after `after_bytes` of its next write to the state folder, or after `for_s` if it writes nothing. It is
+    /// restarted 0.6 s later.
     TornWrite,
     /// The processes' wall clocks are stepped by `step_s`, and back at the end.
     Clock,
     /// The list service is down.
     ListDown,
-    /// It takes one call in `one_in`, and turns the others away.
+    /// The list service accepts one call in `one_in` and rejects the others.
     ListBusy,
-    /// It loses its memory, and counts anew.
+    /// The list service loses its state and numbers generations from 1 again.
     ListForgets,
-    /// It tells some relays a generation that it never had.
+    /// The list service sends some relays a generation that never existed.
     ListLies,
-    /// It tells the whole list anew, with other weights.
+    /// The list service publishes the whole list again, with other weights.
     ListChanges,
     /// A partner is in trouble.
     Partner,
 }
 
-impl Kind {
+impl FaultKind {
     pub fn is_link(self) -> bool {
-        use Kind::*;
+        use FaultKind::*;
         matches!(self, Cut | CutTo | CutFrom | Refuse | Reset | Tear | Stuck | Slow | Lossy)
     }
 
-    pub fn is_end(self) -> bool {
-        matches!(self, Kind::Kill | Kind::Term)
+    pub fn ends_process(self) -> bool {
+        matches!(self, FaultKind::Kill | FaultKind::Term)
     }
 
-    /// Whether the shim does it.
-    pub fn is_system(self) -> bool {
-        matches!(self, Kind::Call | Kind::TornWrite | Kind::Clock)
+    /// Whether the shim injects it.
+    pub fn needs_shim(self) -> bool {
+        matches!(self, FaultKind::Call | FaultKind::TornWrite | FaultKind::Clock)
     }
 }
 
@@ -231,28 +243,28 @@
     List,
     Endpoints,
     Submitters,
-    /// Datagrams between relays.
+    /// Datagrams and connections between relays.
     Instances,
 }
 
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Folder {
+pub enum StateFolder {
     #[default]
     Kept,
     Emptied,
-    /// As it was when the process was last started.
+    /// As it was when the process last started.
     Earlier,
 }
 
 impl Fault {
-    /// Nothing but a time and a kind.
-    pub fn plain(at_s: f64, kind: Kind) -> Fault {
+    /// A fault with a time and a kind, and defaults for everything else.
+    pub fn new(at_s: f64, kind: FaultKind) -> Fault {
         Fault {
             at_s,
             for_s: None,
             kind,
-            relays: all(),
+            relays: all_relays(),
             link: None,
             peers: None,
             lose: 0.0,
@@ -260,7 +272,7 @@
             jitter_ms: 0,
             bytes_per_s: 0,
             after_bytes: 0,
-            folder: Folder::Kept,
+            folder: StateFolder::Kept,
             back_over_s: None,
             one_in: 0,
             call: None,
@@ -272,13 +284,15 @@
         }
     }
 
-    /// What the processes' system does wrong, if this is about it.
-    pub fn of_system(&self) -> Option<SystemFault> {
+    /// The corresponding system fault, if it is one.
+    pub fn system_fault(&self) -> Option<SystemFault> {
         match (self.kind, self.call, self.failure) {
-            (Kind::TornWrite, ..) => Some(SystemFault::TornWrite { bytes: self.after_bytes }),
-            (Kind::Clock, ..) => Some(SystemFault::ClockStep { seconds: self.step_s }),
-            (Kind::Call, Some(_), Some(failure)) if self.half => Some(SystemFault::HalfWrites { failure }),
-            (Kind::Call, Some(call), Some(failure)) => {
+            (FaultKind::TornWrite, ..) => Some(SystemFault::TornWrite { bytes: self.after_bytes }),
+            (FaultKind::Clock, ..) => Some(SystemFault::ClockStep { seconds: self.step_s }),
+            (FaultKind::Call, Some(_), Some(failure)) if self.half => {
+                Some(SystemFault::HalfWrites { failure })
+            }
+            (FaultKind::Call, Some(call), Some(failure)) => {
                 Some(SystemFault::Fails { call, failure, one_in: self.one_in })
             }
             _ => None,
@@ -286,11 +300,11 @@
     }
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
-fn all() -> String {
+fn all_relays() -> String {
     "all".into()
 }
 
@@ -299,31 +313,31 @@
 }
 
 impl Schedule {
-    /// Reads a file.
+    /// Reads and checks a file.
     pub fn read(path: &Path) -> Result<Schedule, String> {
         file::read(path, Schedule::parse)
     }
 
-    /// The same from the file's text.
+    /// Parses and checks a file's text.
     pub fn parse(text: &str) -> Result<Schedule, String> {
         let schedule: Schedule = file::decode(text)?;
         schedule.check()?;
         Ok(schedule)
     }
 
-    /// The file's text.
-    pub fn text(&self) -> String {
-        toml::to_string(self).expect("plain values")
+    /// The schedule as the text of a file.
+    pub fn to_toml(&self) -> String {
+        toml::to_string(self).expect("the values are serializable")
     }
 
-    /// The first fault, with its key.
+    /// Returns the first error, with its key.
     pub fn check(&self) -> Result<(), String> {
         if let Some((key, why)) = self.service.fault() {
             return Err(format!("service.{key}: {why}"));
         }
         self.experiment().check()?;
         if self.relay.front != Front::Platform {
-            return Err("relay.front: the rig plays the platform's front".into());
+            return Err("relay.front: must be the platform front, the only one that the rig supports".into());
         }
         if !(0.0..=60.0).contains(&self.start.over_s) {
             return Err(format!("start.over_s: {} must be from 0 to 60", self.start.over_s));
@@ -336,12 +350,12 @@
             return Err(format!("instances.seeds: must be from 1 to relay.count ({})", self.relay.count));
         }
         let shared = self.instances.as_ref().is_some_and(|i| i.lists);
-        if shared && self.carried().contains(&LinkTo::Endpoints) {
-            // Each relay is told other addresses there, and a list that passes between them has another's.
-            return Err("instances.lists: lists cannot pass where faults are about links to endpoints".into());
+        if shared && self.faulty_links().contains(&LinkTo::Endpoints) {
+            // Each relay's list has other addresses there, so a list from another relay would bypass the faulty link.
+            return Err("instances.lists: must be false when a fault affects links to endpoints".into());
         }
         for (name, relays) in &self.groups {
-            self.plain(relays).map_err(|e| format!("groups.{name}: {e}"))?;
+            self.without_groups(relays).map_err(|e| format!("groups.{name}: {e}"))?;
         }
         for (i, fault) in self.faults.iter().enumerate() {
             self.check_fault(fault).map_err(|e| format!("fault[{i}].{e}"))?;
@@ -349,127 +363,144 @@
         Ok(())
     }
 
-    fn check_fault(&self, f: &Fault) -> Result<(), String> {
-        if !(f.at_s >= 0.0 && f.at_s.is_finite()) {
-            return Err(format!("at_s: {} must not be negative", f.at_s));
+    fn check_fault(&self, fault: &Fault) -> Result<(), String> {
+        if !(fault.at_s >= 0.0 && fault.at_s.is_finite()) {
+            return Err(format!("at_s: {} must not be negative", fault.at_s));
         }
-        if f.for_s.is_some_and(|s| !(s > 0.0 && s.is_finite())) {
+        if fault.for_s.is_some_and(|s| !(s > 0.0 && s.is_finite())) {
             return Err("for_s: must be above 0".into());
         }
-        self.relays(&f.relays).map_err(|e| format!("relays: {e}"))?;
-        if f.kind.is_link() != f.link.is_some() {
-            let why =
-                if f.kind.is_link() { "must be told which link" } else { "is for faults of links only" };
+        self.relays(&fault.relays).map_err(|e| format!("relays: {e}"))?;
+        if fault.kind.is_link() != fault.link.is_some() {
+            let why = if fault.kind.is_link() {
+                "must be given for a fault of a link"
+            } else {
+                "must be absent unless the fault is one of a link"
+            };
             return Err(format!("link: {why}"));
         }
-        if f.link == Some(LinkTo::Instances) {
+        if fault.link == Some(LinkTo::Instances) {
             if self.instances.is_none() {
-                return Err("link: relays talk to one another only where [instances] is".into());
+                return Err("link: links between relays need the table [instances]".into());
             }
-            if !matches!(f.kind, Kind::Cut | Kind::CutTo | Kind::CutFrom | Kind::Slow | Kind::Lossy) {
-                return Err("kind: datagrams are cut, slow or lost".into());
+            if !matches!(
+                fault.kind,
+                FaultKind::Cut | FaultKind::CutTo | FaultKind::CutFrom | FaultKind::Slow | FaultKind::Lossy
+            ) {
+                return Err("kind: a link between relays can only be cut, slow or lossy".into());
             }
-        } else if f.peers.is_some() || f.kind == Kind::Lossy {
-            return Err("link: only links between relays have peers or lose datagrams".into());
+        } else if fault.peers.is_some() || fault.kind == FaultKind::Lossy {
+            return Err("link: peers and lossy links are for links between relays only".into());
         }
-        if let Some(peers) = &f.peers {
+        if let Some(peers) = &fault.peers {
             self.relays(peers).map_err(|e| format!("peers: {e}"))?;
         }
-        if (f.kind == Kind::Lossy) != (f.lose > 0.0) || !(0.0..=1.0).contains(&f.lose) {
-            return Err("lose: a lossy link loses a share above 0, up to 1".into());
+        if (fault.kind == FaultKind::Lossy) != (fault.lose > 0.0) || !(0.0..=1.0).contains(&fault.lose) {
+            return Err("lose: must be above 0 and at most 1 for a lossy link, and absent otherwise".into());
         }
-        if f.kind == Kind::Slow && f.delay_ms + f.jitter_ms + f.bytes_per_s == 0 {
-            return Err("delay_ms: a slow link needs a delay, a jitter or bytes_per_s".into());
+        if fault.kind == FaultKind::Slow && fault.delay_ms + fault.jitter_ms + fault.bytes_per_s == 0 {
+            return Err("delay_ms: a slow link needs delay_ms, jitter_ms or bytes_per_s".into());
         }
-        if f.kind == Kind::Tear && f.after_bytes == 0 {
+        if fault.kind == FaultKind::Tear && fault.after_bytes == 0 {
             return Err("after_bytes: must be above 0".into());
         }
-        if f.kind != Kind::Call && (f.kind == Kind::ListBusy) != (f.one_in > 1) {
-            return Err("one_in: a busy list service takes one call in two or more".into());
+        if fault.kind != FaultKind::Call && (fault.kind == FaultKind::ListBusy) != (fault.one_in > 1) {
+            return Err("one_in: must be at least 2 for a busy list service, and absent for other faults than failing calls".into());
         }
-        if (f.kind == Kind::Call) != f.call.is_some() || f.call.is_some() != f.failure.is_some() {
-            return Err("call: a failing call needs call and failure, and nothing else has them".into());
+        if (fault.kind == FaultKind::Call) != fault.call.is_some()
+            || fault.call.is_some() != fault.failure.is_some()
+        {
+            return Err(
+                "call: a failing call needs call and failure, and other faults must not have them".into()
+            );
         }
-        if f.half && f.call != Some(Call::Write) {
-            return Err("half: only writes are done by half".into());
+        if fault.half && fault.call != Some(Call::Write) {
+            return Err("half: must be absent unless call is write".into());
         }
-        if (f.kind == Kind::Clock) != (f.step_s != 0) {
-            return Err("step_s: the clock is stepped by some seconds, and nothing else is".into());
+        if (fault.kind == FaultKind::Clock) != (fault.step_s != 0) {
+            return Err("step_s: must not be 0 for a clock fault, and must be absent otherwise".into());
         }
-        if matches!(f.kind, Kind::Stop | Kind::ListDown | Kind::TornWrite) && f.for_s.is_none() {
-            return Err("for_s: must be told".into());
+        if matches!(fault.kind, FaultKind::Stop | FaultKind::ListDown | FaultKind::TornWrite)
+            && fault.for_s.is_none()
+        {
+            return Err("for_s: must be given".into());
         }
-        if f.back_over_s.is_some() && !(f.kind.is_end() && f.for_s.is_some()) {
-            return Err("back_over_s: is for processes that come back".into());
+        if fault.back_over_s.is_some() && !(fault.kind.ends_process() && fault.for_s.is_some()) {
+            return Err("back_over_s: must be absent unless processes are ended and restarted".into());
         }
-        if (f.kind == Kind::Partner) != f.trouble.is_some() || f.trouble.is_some() != f.dest.is_some() {
-            return Err("trouble: a partner needs dest and trouble, and nothing else has them".into());
+        if (fault.kind == FaultKind::Partner) != fault.trouble.is_some()
+            || fault.trouble.is_some() != fault.dest.is_some()
+        {
+            return Err(
+                "trouble: a partner fault needs dest and trouble, and other faults must not have them".into(),
+            );
         }
         let dests = self.experiment().dests();
-        if f.dest.is_some_and(|dest| dest >= dests) {
-            return Err(format!("dest: there are {dests}"));
+        if fault.dest.is_some_and(|dest| dest >= dests) {
+            return Err(format!("dest: must be below the number of destinations ({dests})"));
         }
-        if f.trouble.is_some_and(|t| !matches!(t, Event::Drain | Event::Trouble(_)))
-            || matches!(f.trouble, Some(Event::Trouble(Trouble::Refuse | Trouble::Down)))
+        if fault.trouble.is_some_and(|t| !matches!(t, Event::Drain | Event::Trouble(_)))
+            || matches!(fault.trouble, Some(Event::Trouble(Trouble::Refuse | Trouble::Down)))
         {
-            return Err("trouble: drain, or one that leaves the endpoints' listeners alone".into());
+            return Err("trouble: must be drain, or one that keeps the endpoints' listeners open".into());
         }
         Ok(())
     }
 
-    /// The relays that a fault names.
-    pub fn relays(&self, named: &str) -> Result<Vec<usize>, String> {
-        let mut all = Vec::new();
-        for name in named.split(',').map(str::trim) {
+    /// The relays that a selector names.
+    pub fn relays(&self, selector: &str) -> Result<Vec<usize>, String> {
+        let mut relays = Vec::new();
+        for name in selector.split(',').map(str::trim) {
             match self.groups.get(name) {
-                Some(group) => all.extend(self.plain(group)?),
-                None => all.extend(self.plain(name)?),
+                Some(group) => relays.extend(self.without_groups(group)?),
+                None => relays.extend(self.without_groups(name)?),
             }
         }
-        all.sort_unstable();
-        all.dedup();
-        Ok(all)
+        relays.sort_unstable();
+        relays.dedup();
+        Ok(relays)
     }
 
-    /// The same, without groups' names.
-    fn plain(&self, named: &str) -> Result<Vec<usize>, String> {
+    /// The relays that a selector names, where it may not name groups.
+    fn without_groups(&self, selector: &str) -> Result<Vec<usize>, String> {
         let count = self.relay.count;
         let number = |name: &str| name.strip_prefix('r').and_then(|n| n.parse::<usize>().ok());
-        let mut all = Vec::new();
-        for name in named.split(',').map(str::trim) {
+        let mut relays = Vec::new();
+        for name in selector.split(',').map(str::trim) {
             let (first, last) = match name.split_once('-') {
                 None if name == "all" => (0, count - 1),
                 None if name.starts_with("zone:") => {
-                    all.extend(self.of_zone(&name[5..])?);
+                    relays.extend(self.relays_in_zone(&name[5..])?);
                     continue;
                 }
                 None => match name.strip_suffix('%').and_then(|n| n.parse::<f64>().ok()) {
                     Some(share) if share > 0.0 && share <= 100.0 => {
                         (0, (((count as f64) * share / 100.0).round() as usize).max(1) - 1)
                     }
-                    _ => number(name).map(|n| (n, n)).ok_or(format!("`{name}` names no relays"))?,
+                    _ => {
+                        number(name).map(|n| (n, n)).ok_or(format!("`{name}` is not a selector of relays"))?
+                    }
                 },
                 Some((first, last)) => {
-                    number(first).zip(number(last)).ok_or(format!("`{name}` names no relays"))?
+                    number(first).zip(number(last)).ok_or(format!("`{name}` is not a selector of relays"))?
                 }
             };
             if first > last || last >= count {
-                return Err(format!("`{name}`: there are r0 to r{}", count - 1));
+                return Err(format!("`{name}`: must be within r0 to r{}", count - 1));
             }
-            all.extend(first..=last);
+            relays.extend(first..=last);
         }
-        Ok(all)
+        Ok(relays)
     }
 
-    /// The relays of a zone: they are given to relays in turn.
-    fn of_zone(&self, name: &str) -> Result<Vec<usize>, String> {
+    /// The relays of a zone; zones are assigned round-robin.
+    fn relays_in_zone(&self, name: &str) -> Result<Vec<usize>, String> {
         let zones = self.instances.as_ref().map_or(&[][..], |instances| &instances.zones);
-        let place =
-            zones.iter().position(|zone| zone == name).ok_or(format!("no zone is called `{name}`"))?;
-        Ok((place..self.relay.count).step_by(zones.len()).collect())
+        let index = zones.iter().position(|zone| zone == name).ok_or(format!("there is no zone `{name}`"))?;
+        Ok((index..self.relay.count).step_by(zones.len()).collect())
     }
 
-    /// What the laboratory's parts are told.
+    /// The schedule as an experiment of the laboratory, whose parts it configures.
     pub fn experiment(&self) -> Experiment {
         Experiment {
             name: self.name.clone(),
@@ -489,17 +520,17 @@
         }
     }
 
-    /// Whether processes are to run with the shim.
+    /// Whether processes must run with the shim.
     pub fn needs_shim(&self) -> bool {
-        self.faults.iter().any(|fault| fault.kind.is_system())
+        self.faults.iter().any(|fault| fault.kind.needs_shim())
     }
 
-    /// The links that some fault is about: only they are carried by forwarders.
-    pub fn carried(&self) -> Vec<LinkTo> {
-        let mut all: Vec<_> = self.faults.iter().filter_map(|f| f.link).collect();
-        all.sort_unstable();
-        all.dedup();
-        all
+    /// The links that some fault affects; only these go through forwarders.
+    pub fn faulty_links(&self) -> Vec<LinkTo> {
+        let mut links: Vec<_> = self.faults.iter().filter_map(|fault| fault.link).collect();
+        links.sort_unstable();
+        links.dedup();
+        links
     }
 }
 
--- a/rig/src/schedule/tests.rs
+++ b/rig/src/schedule/tests.rs
@@ -4,8 +4,8 @@
                              [groups]\nodd = \"r1, r3,r5-r6\"\n";
 
 #[test]
-fn relays_are_named_in_several_ways() {
-    let schedule = Schedule::parse(PLAIN).expect("sound");
+fn relays_can_be_selected_in_several_ways() {
+    let schedule = Schedule::parse(PLAIN).expect("valid");
     assert_eq!(schedule.relays("70%").expect("named"), (0..7).collect::<Vec<_>>());
     assert_eq!(schedule.relays("odd,r5").expect("named"), [1, 3, 5, 6]);
     assert_eq!(schedule.relays("all").expect("named").len(), 10);
@@ -15,16 +15,16 @@
 }
 
 #[test]
-fn a_schedule_is_the_same_once_written_and_read() {
+fn a_schedule_is_unchanged_by_writing_and_reading() {
     let fault = "[[fault]]\nat_s = 1.0\nfor_s = 2.0\nkind = \"slow\"\nlink = \"list\"\ndelay_ms = 9\n\
                      [[fault]]\nat_s = 1\nkind = \"partner\"\ndest = 1\ntrouble = \"drain\"\n";
-    let schedule = Schedule::parse(&format!("{PLAIN}{fault}")).expect("sound");
-    assert_eq!(Schedule::parse(&schedule.text()).expect("sound"), schedule);
-    assert_eq!(schedule.carried(), [LinkTo::List]);
+    let schedule = Schedule::parse(&format!("{PLAIN}{fault}")).expect("valid");
+    assert_eq!(Schedule::parse(&schedule.to_toml()).expect("valid"), schedule);
+    assert_eq!(schedule.faulty_links(), [LinkTo::List]);
 }
 
 #[test]
-fn faults_name_their_key() {
+fn errors_name_the_key_at_fault() {
     let faulty = |more: &str| Schedule::parse(&format!("{PLAIN}{more}")).expect_err("faulty");
     for (more, key) in [
         ("[[fault]]\nat_s = 1\nkind = \"cut\"\n", "fault[0].link"),
--- a/rig/src/shrink.rs
+++ b/rig/src/shrink.rs
@@ -1,50 +1,50 @@
-//! Shortens a schedule that fails: what is left out is left out for good if it fails all the same.
+//! Shortens a failing schedule: a part is dropped if the schedule still fails without it.
 use crate::schedule::Schedule;
 
-/// A shorter schedule that still fails, by `fails`, which plays it. At most so many plays.
+/// A shorter schedule that still fails. `fails` plays a schedule and is called at most `plays` times.
 pub fn shrink(schedule: &Schedule, mut plays: usize, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
-    let mut least = schedule.clone();
-    let mut attempt = |least: &mut Schedule, shorter: Schedule| {
-        if plays == 0 || shorter == *least || shorter.check().is_err() {
+    let mut shortest = schedule.clone();
+    let mut attempt = |shortest: &mut Schedule, shorter: Schedule| {
+        if plays == 0 || shorter == *shortest || shorter.check().is_err() {
             return false;
         }
         plays -= 1;
-        let kept = fails(&shorter);
-        if kept {
-            *least = shorter;
+        let still_fails = fails(&shorter);
+        if still_fails {
+            *shortest = shorter;
         }
-        kept
+        still_fails
     };
-    // Whole spans of faults first, then smaller ones, down to each alone.
-    let mut span = least.faults.len();
-    while span > 0 {
+    // Drops large ranges of faults first, then smaller ones, down to single faults.
+    let mut window = shortest.faults.len();
+    while window > 0 {
         let mut first = 0;
-        while first < least.faults.len() {
-            let mut shorter = least.clone();
-            let end = (first + span).min(shorter.faults.len());
+        while first < shortest.faults.len() {
+            let mut shorter = shortest.clone();
+            let end = (first + window).min(shorter.faults.len());
             shorter.faults.drain(first..end);
-            if !attempt(&mut least, shorter) {
-                first += span;
+            if !attempt(&mut shortest, shorter) {
+                first += window;
             }
         }
-        span /= 2;
+        window /= 2;
     }
-    // Then fewer relays, where no fault names those that go; and less time.
-    while least.relay.count > 1 {
-        let mut fewer = least.clone();
+    // Then tries fewer relays, as far as no fault names the dropped ones, and a shorter time.
+    while shortest.relay.count > 1 {
+        let mut fewer = shortest.clone();
         fewer.relay.count = fewer.relay.count.div_ceil(2);
-        if !attempt(&mut least, fewer) {
+        if !attempt(&mut shortest, fewer) {
             break;
         }
     }
     loop {
-        let mut shorter = least.clone();
+        let mut shorter = shortest.clone();
         shorter.seconds = (shorter.seconds / 2.0).max(1.0);
-        if !attempt(&mut least, shorter) {
+        if !attempt(&mut shortest, shorter) {
             break;
         }
     }
-    least
+    shortest
 }
 
 #[cfg(test)]
--- a/rig/src/soak.rs
+++ b/rig/src/soak.rs
@@ -1,26 +1,26 @@
-//! Soak runs: schedules that are drawn whole from a seed. A handful of relays under signals in series, with partners, the list service,
-//! system calls, the disk and the wall clock failing beside them; some have a crowd of idle clients. Clients keep using open connections
-//! until a process is killed, which is at the platform's earliest.
+//! Soak runs: schedules drawn entirely from a seed. A few relays receive series of signals while partners, the list service, system
+//! calls, the disk and the wall clock fail; some runs have idle clients. Clients keep using open connections until a process is
+//! killed, which happens as early as the platform may do it.
 use onyxglade_lab::experiment::Event as Partner;
 use onyxglade_lab::model::Trouble;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::crowd::Crowd;
-use crate::schedule::{Fault, Kind, Schedule};
+use crate::idle_clients::IdleClients;
+use crate::schedule::{Fault, FaultKind, Schedule};
 use crate::system_faults::{Call, Failure};
 
-/// What all of them have; its figures are replaced by drawn ones.
+/// The schedule that all runs begin with; drawn values replace some of its own.
 const BASE: &str = include_str!("../soak.toml");
 
-/// Signals begin after this time, in seconds, when all relays serve.
-const FIRST: f64 = 2.0;
-/// Faults of system calls last so long at most, in seconds.
+/// Earliest time of a signal, in seconds, by which all relays serve.
+const FIRST_SIGNAL: f64 = 2.0;
+/// Maximum duration of a system call fault, in seconds.
 const LONGEST_FAULT: f64 = 2.0;
-/// From SIGKILL to the next start, in seconds.
-const BACK: f64 = 0.6;
-/// One run in so many has a crowd.
-const CROWD_IN: u32 = 4;
+/// Time from SIGKILL to the next start, in seconds.
+const RESTART_DELAY: f64 = 0.6;
+/// One run in this many has idle clients.
+const IDLE_CLIENTS_ONE_IN: u32 = 4;
 
 const DISK: [(Call, Failure, bool); 6] = [
     (Call::Write, Failure::Enospc, false),
@@ -43,39 +43,39 @@
 const TROUBLES: [Trouble; 5] =
     [Trouble::Hang, Trouble::Fail, Trouble::Slow, Trouble::Shut, Trouble::LoseAnswers];
 
-/// The schedule of a seed: always the same.
+/// The schedule of a seed, always the same.
 pub fn schedule(seed: u64) -> Schedule {
     let mut random = StdRng::seed_from_u64(seed);
-    let mut schedule = Schedule::parse(BASE).expect("the base is sound");
+    let mut schedule = Schedule::parse(BASE).expect("the base schedule is valid");
     schedule.name = format!("soak-{seed}");
     schedule.seed = seed;
     schedule.relay.count = random.random_range(3..=5);
-    if random.random_ratio(1, CROWD_IN) {
-        schedule.crowd = Crowd { connections: random.random_range(150..300), pause_ms: 20 };
+    if random.random_ratio(1, IDLE_CLIENTS_ONE_IN) {
+        schedule.idle_clients = IdleClients { connections: random.random_range(150..300), pause_ms: 20 };
     }
-    let mut draw =
-        Draw { random, seconds: schedule.seconds, relays: schedule.relay.count, faults: Vec::new() };
-    draw.signals();
-    draw.partners();
-    draw.list_service();
-    draw.disk();
-    draw.sockets();
-    draw.clock();
-    schedule.faults = draw.faults;
+    let mut drawing =
+        Drawing { random, seconds: schedule.seconds, relays: schedule.relay.count, faults: Vec::new() };
+    drawing.signals();
+    drawing.partners();
+    drawing.list_service();
+    drawing.disk();
+    drawing.sockets();
+    drawing.clock();
+    schedule.faults = drawing.faults;
     schedule.faults.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-    schedule.check().expect("only sound faults are drawn");
+    schedule.check().expect("drawn faults are valid");
     schedule
 }
 
-struct Draw {
+struct Drawing {
     random: StdRng,
     seconds: f64,
     relays: usize,
     faults: Vec<Fault>,
 }
 
-impl Draw {
-    /// A time in tenths of a second, so that a schedule reads well.
+impl Drawing {
+    /// A time in tenths of a second, which keeps schedules readable.
     fn tenths(&mut self, from: f64, to: f64) -> f64 {
         (self.random.random_range(from..to) * 10.0).round() / 10.0
     }
@@ -84,21 +84,22 @@
         format!("r{}", self.random.random_range(0..self.relays))
     }
 
-    /// Each relay has a series of its own: it is told to end, killed, or told to read its configuration, over and over.
+    /// Draws a series of signals for each relay: SIGTERM, SIGKILL, SIGSTOP and SIGHUP, over and over.
     fn signals(&mut self) {
         for relay in 0..self.relays {
-            let mut at = self.tenths(FIRST, FIRST + 4.0);
+            let mut at = self.tenths(FIRST_SIGNAL, FIRST_SIGNAL + 4.0);
             while at < self.seconds - 6.0 {
-                let (kind, lasts) = match self.random.random_range(0..10) {
-                    0..=3 => (Kind::Term, 3.7 + BACK),
-                    4..=6 => (Kind::Kill, BACK),
-                    7 => (Kind::Stop, 0.1),
-                    _ => (Kind::Hup, 0.0),
+                let (kind, duration) = match self.random.random_range(0..10) {
+                    0..=3 => (FaultKind::Term, 3.7 + RESTART_DELAY),
+                    4..=6 => (FaultKind::Kill, RESTART_DELAY),
+                    7 => (FaultKind::Stop, 0.1),
+                    _ => (FaultKind::Hup, 0.0),
                 };
-                let is_end = kind.is_end();
-                let for_s = is_end.then_some(BACK).or((kind == Kind::Stop).then_some(lasts));
-                self.faults.push(Fault { relays: format!("r{relay}"), for_s, ..Fault::plain(at, kind) });
-                at = (at + lasts + self.random.random_range(0.2..5.0)) * 10.0;
+                let ends_process = kind.ends_process();
+                let for_s =
+                    ends_process.then_some(RESTART_DELAY).or((kind == FaultKind::Stop).then_some(duration));
+                self.faults.push(Fault { relays: format!("r{relay}"), for_s, ..Fault::new(at, kind) });
+                at = (at + duration + self.random.random_range(0.2..5.0)) * 10.0;
                 at = at.round() / 10.0;
             }
         }
@@ -107,17 +108,17 @@
     fn partners(&mut self) {
         for dest in 0..3 {
             let trouble = TROUBLES[self.random.random_range(0..TROUBLES.len())];
-            let at = self.tenths(FIRST, self.seconds - 8.0);
+            let at = self.tenths(FIRST_SIGNAL, self.seconds - 8.0);
             let for_s = Some(self.tenths(1.0, 6.0));
             let (dest, trouble) = (Some(dest), Some(Partner::Trouble(trouble)));
-            self.faults.push(Fault { for_s, dest, trouble, ..Fault::plain(at, Kind::Partner) });
+            self.faults.push(Fault { for_s, dest, trouble, ..Fault::new(at, FaultKind::Partner) });
         }
     }
 
     fn list_service(&mut self) {
-        let at = self.tenths(FIRST, self.seconds - 8.0);
+        let at = self.tenths(FIRST_SIGNAL, self.seconds - 8.0);
         let for_s = Some(self.tenths(0.5, 4.0));
-        self.faults.push(Fault { for_s, ..Fault::plain(at, Kind::ListDown) });
+        self.faults.push(Fault { for_s, ..Fault::new(at, FaultKind::ListDown) });
     }
 
     fn disk(&mut self) {
@@ -135,18 +136,18 @@
                 failure,
                 half,
                 one_in,
-                ..Fault::plain(at, Kind::Call)
+                ..Fault::new(at, FaultKind::Call)
             });
         }
         if self.random.random_bool(0.5) {
-            let at = self.tenths(FIRST, self.seconds - 8.0);
+            let at = self.tenths(FIRST_SIGNAL, self.seconds - 8.0);
             let after_bytes = self.random.random_range(0..600);
             let relays = self.one_relay();
             self.faults.push(Fault {
                 relays,
                 for_s: Some(1.0),
                 after_bytes,
-                ..Fault::plain(at, Kind::TornWrite)
+                ..Fault::new(at, FaultKind::TornWrite)
             });
         }
     }
@@ -155,13 +156,20 @@
         for _ in 0..self.random.random_range(0..4) {
             let (call, failure) = SOCKETS[self.random.random_range(0..SOCKETS.len())];
             let one_in = [1, 2, 3][self.random.random_range(0..3)];
-            // A wait that always fails at once is none.
+            // If every wait failed at once, the process would never wait.
             let one_in = if call == Call::Wait { one_in + 1 } else { one_in };
-            let at = self.tenths(FIRST, self.seconds - 6.0);
+            let at = self.tenths(FIRST_SIGNAL, self.seconds - 6.0);
             let for_s = Some(self.tenths(0.1, LONGEST_FAULT));
             let relays = self.one_relay();
             let (call, failure) = (Some(call), Some(failure));
-            self.faults.push(Fault { relays, for_s, call, failure, one_in, ..Fault::plain(at, Kind::Call) });
+            self.faults.push(Fault {
+                relays,
+                for_s,
+                call,
+                failure,
+                one_in,
+                ..Fault::new(at, FaultKind::Call)
+            });
         }
     }
 
@@ -171,7 +179,7 @@
             let at = self.tenths(0.0, self.seconds - 4.0);
             let for_s = Some(self.tenths(0.5, 8.0));
             let relays = self.one_relay();
-            self.faults.push(Fault { relays, for_s, step_s, ..Fault::plain(at, Kind::Clock) });
+            self.faults.push(Fault { relays, for_s, step_s, ..Fault::new(at, FaultKind::Clock) });
         }
     }
 }
--- a/rig/src/soak/tests.rs
+++ b/rig/src/soak/tests.rs
@@ -1,20 +1,28 @@
 use super::*;
 
 #[test]
-fn a_seed_draws_the_same_schedule_each_time_and_reads_back_as_it_was() {
+fn a_seed_always_draws_the_same_schedule_which_is_unchanged_by_writing_and_reading() {
     for seed in 0..200 {
         let drawn = schedule(seed);
         assert_eq!(drawn, schedule(seed));
-        assert_eq!(Schedule::parse(&drawn.text()).expect("sound"), drawn, "seed {seed}");
+        assert_eq!(Schedule::parse(&drawn.to_toml()).expect("valid"), drawn, "seed {seed}");
     }
 }
 
 #[test]
 fn every_kind_of_fault_is_drawn_by_some_seed() {
     let drawn: Vec<_> = (0..50).map(schedule).collect();
-    for kind in [Kind::Term, Kind::Kill, Kind::Hup, Kind::Stop, Kind::Call, Kind::TornWrite, Kind::Clock] {
+    for kind in [
+        FaultKind::Term,
+        FaultKind::Kill,
+        FaultKind::Hup,
+        FaultKind::Stop,
+        FaultKind::Call,
+        FaultKind::TornWrite,
+        FaultKind::Clock,
+    ] {
         assert!(drawn.iter().any(|s| s.faults.iter().any(|fault| fault.kind == kind)), "{kind:?}");
     }
-    let crowds = drawn.iter().filter(|s| s.crowd.connections > 0).count();
-    assert!((5..25).contains(&crowds), "{crowds}");
+    let with_idle_clients = drawn.iter().filter(|s| s.idle_clients.connections > 0).count();
+    assert!((5..25).contains(&with_idle_clients), "{with_idle_clients}");
 }
--- a/rig/src/system_faults.rs
+++ b/rig/src/system_faults.rs
@@ -1,4 +1,4 @@
-//! System calls of a relay that fail, and its wall clock: what the shim is told to do (`shim/src/control.rs` has the form).
+//! Faults of a relay's system calls and wall clock, as the shim injects them. `shim/src/control.rs` describes the control file.
 use rustix::io::Errno;
 use serde::{Deserialize, Serialize};
 
@@ -6,24 +6,24 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Call {
-    /// Writes to files in the folder that lasts.
+    /// Writes to files in the state folder.
     Write,
-    /// Reads of such files.
+    /// Reads of files in the state folder.
     Read,
-    /// Opening such files.
+    /// Opening files in the state folder.
     Open,
-    /// Renaming such files.
+    /// Renaming files in the state folder.
     Rename,
-    /// Cutting such files short.
+    /// Truncating files in the state folder.
     Truncate,
-    /// Syncing such files.
+    /// Syncing files in the state folder.
     Sync,
     Accept,
     Socket,
     Connect,
-    /// Reads of sockets.
+    /// Reads from sockets.
     Receive,
-    /// Waits for events.
+    /// Waiting for events with epoll.
     Wait,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// What a failing call says.
+/// The error that a failing call reports.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Failure {
@@ -79,22 +79,22 @@
     }
 }
 
-/// What a process's system does wrong.
+/// A fault of a process's system calls or wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemFault {
-    /// One call in so many fails.
+    /// One call in `one_in` fails; 0 and 1 mean every call.
     Fails { call: Call, failure: Failure, one_in: u32 },
-    /// Writes are done by half, and the call for the rest fails.
+    /// A write writes half of its bytes, and the next one, for the rest, fails.
     HalfWrites { failure: Failure },
-    /// The next write ends after so many bytes, and the process is killed there.
+    /// The next write ends after this many bytes, and the process is killed.
     TornWrite { bytes: u64 },
-    /// The wall clock is off by so many seconds.
+    /// The wall clock is off by this many seconds.
     ClockStep { seconds: i64 },
 }
 
 impl SystemFault {
-    /// The line of the shim's control file.
-    pub fn line(&self) -> String {
+    /// The fault's line in the shim's control file.
+    pub fn control_line(&self) -> String {
         match *self {
             SystemFault::Fails { call, failure, one_in } => {
                 format!("{} {} {} fail 0", call.name(), failure.number(), one_in.max(1))
--- a/rig/tests/common/mod.rs
+++ b/rig/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Plays schedules that are shipped, against processes of the real program.
+//! Plays the repository's schedules with processes of the real program.
 use onyxglade_lab::relay::program;
 use onyxglade_rig::history::History;
 use onyxglade_rig::play::{Programs, play};
@@ -7,21 +7,23 @@
 use std::path::Path;
 use tokio::task::LocalSet;
 
-pub fn played(schedule: &Schedule) -> (Outcome, History) {
-    let programs = Programs { present: program().expect("the relay"), before: None };
+pub fn play_schedule(schedule: &Schedule) -> (Outcome, History) {
+    let programs = Programs { current: program().expect("the relay"), previous: None };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let folder = tempfile::tempdir().expect("a folder");
-    LocalSet::new().block_on(&runtime, play(schedule, &programs, folder.path(), false)).expect("played")
+    LocalSet::new()
+        .block_on(&runtime, play(schedule, &programs, folder.path(), false))
+        .expect("the schedule was played")
 }
 
-pub fn read(name: &str) -> Schedule {
+pub fn read_schedule(name: &str) -> Schedule {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("schedules").join(name);
-    Schedule::read(&file).expect("sound")
+    Schedule::read(&file).expect("valid")
 }
 
-pub fn holds(name: &str) -> History {
-    let (outcome, history) = played(&read(name));
-    assert!(outcome.held(), "{outcome:?}");
+pub fn play_and_expect_pass(name: &str) -> History {
+    let (outcome, history) = play_schedule(&read_schedule(name));
+    assert!(outcome.passed(), "{outcome:?}");
     assert!(history.delivered > 0, "{outcome:?}");
     history
 }
--- a/rig/tests/lost.rs
+++ b/rig/tests/lost.rs
@@ -1,34 +1,35 @@
-//! What was taken on is ended once, in time and for good, whatever fails beside it: disk, clock, signals, a crowd.
+//! Accepted messages complete exactly once, in time and for good, despite faults of the disk and clock, signals, and idle clients.
 mod common;
 
-use common::{holds, played, read};
-use onyxglade_rig::history::What;
+use common::{play_and_expect_pass, play_schedule, read_schedule};
+use onyxglade_rig::history::EventKind;
 
-/// Incident 44: an end was told that the journal had not taken, and the next process sent the message.
+/// Incident 44: a completion was reported that the journal had not recorded, and the next process sent the message again.
 #[test]
-fn nothing_is_sent_of_a_message_whose_end_was_told_while_the_folder_was_full() {
-    let history = holds("ends-on-full-disk.toml");
-    let ended = history.events.iter().filter(|event| event.what == What::Ended).count();
+fn a_message_reported_complete_while_the_disk_is_full_is_not_sent_again() {
+    let history = play_and_expect_pass("ends-on-full-disk.toml");
+    let ended = history.events.iter().filter(|event| event.kind == EventKind::Ended).count();
     assert_eq!(ended, 6, "three processes are killed twice");
 }
 
-/// Incident 44: a process ended when it could not write its folder as it started.
+/// Incident 44: a process exited because it could not write to its state folder at its start.
 #[test]
-fn processes_start_while_their_folders_fail_and_serve_once_these_are_back() {
-    let (outcome, history) = played(&read("start-on-failing-folder.toml"));
-    assert!(outcome.held(), "{outcome:?}");
-    let ready = history.events.iter().filter(|event| event.what == What::Ready).count();
+fn processes_start_while_their_folders_fail_and_serve_once_these_work_again() {
+    let (outcome, history) = play_schedule(&read_schedule("start-on-failing-folder.toml"));
+    assert!(outcome.passed(), "{outcome:?}");
+    let ready = history.events.iter().filter(|event| event.kind == EventKind::Ready).count();
     assert_eq!(ready, 12 + 6, "{:?}", history.events);
 }
 
-/// Incident 44: deadlines were kept by the wall clock from one process to the next.
+/// Incident 44: a restarted process took its messages' deadlines from the wall clock, so a clock step moved them.
 #[test]
-fn ends_come_once_and_in_time_though_the_wall_clock_is_stepped_between_processes() {
-    holds("ends-across-clock-steps.toml");
+fn messages_complete_once_and_in_time_though_the_wall_clock_steps_between_processes() {
+    play_and_expect_pass("ends-across-clock-steps.toml");
 }
 
-/// Incident 44: a request's time began when it was read, however long it had stood in the queue of connections.
+/// Incident 44: the deadline of a request counted from when it was read, without the time its connection had waited in the accept
+/// queue.
 #[test]
-fn requests_that_stood_in_a_crowd_are_ended_in_time() {
-    holds("ends-in-a-crowd.toml");
+fn requests_that_waited_behind_idle_connections_complete_in_time() {
+    play_and_expect_pass("ends-in-a-crowd.toml");
 }
