--- a/rig/tests/short.rs
+++ b/rig/tests/short.rs
@@ -1,97 +1,105 @@
-//! Short schedules against processes of the real program. Verdicts are the promises and what the schedule itself expects.
+//! Plays short schedules with processes of the real program. A run passes if the invariants and the schedule's expectations hold.
 mod common;
 
-use common::{holds, played, read};
+use common::{play_and_expect_pass, play_schedule, read_schedule};
 use onyxglade_lab::discovery::CallFate;
-use onyxglade_rig::history::What;
+use onyxglade_rig::history::EventKind;
 use onyxglade_rig::schedule::Schedule;
 use std::path::Path;
 
 #[test]
-fn a_cold_start_before_a_slow_list_service_ends_with_lists_for_all() {
-    let history = holds("short-cold-start.toml");
-    assert!(history.events.iter().any(|e| e.relay == 5 && e.what == What::Stopped));
+fn a_cold_start_with_a_slow_list_service_ends_with_lists_for_all() {
+    let history = play_and_expect_pass("short-cold-start.toml");
+    assert!(history.events.iter().any(|e| e.relay == 5 && e.kind == EventKind::Stopped));
 }
 
 #[test]
 fn a_power_loss_repeats_no_order_and_loses_no_message() {
-    let history = holds("short-power-loss.toml");
-    let started = history.events.iter().filter(|e| e.what == What::Started).count();
+    let history = play_and_expect_pass("short-power-loss.toml");
+    let started = history.events.iter().filter(|e| e.kind == EventKind::Started).count();
     assert_eq!(started, 5 + 5 + 3);
 }
 
 #[test]
-fn links_that_go_wrong_in_every_way_break_no_rule() {
-    holds("short-links.toml");
+fn every_kind_of_link_fault_breaks_no_rule() {
+    play_and_expect_pass("short-links.toml");
 }
 
 #[test]
-fn relays_that_were_parted_stopped_and_killed_see_each_other_again() {
-    let history = holds("short-instances.toml");
-    let missed = |who: usize| history.events.iter().any(|e| e.what == What::Misses(who));
-    // Suspicion lasts under four seconds with seven: two that are parted for ten are missed, and so is one that left for good.
-    assert!(missed(5) && (missed(1) || missed(2)), "nothing was wrong between them");
+fn relays_that_were_partitioned_stopped_and_killed_see_each_other_again() {
+    let history = play_and_expect_pass("short-instances.toml");
+    let missed = |who: usize| history.events.iter().any(|e| e.kind == EventKind::Misses(who));
+    // With seven members, suspicion lasts under four seconds. Two that are partitioned for ten count as gone, and so does one that
+    // left for good.
+    assert!(missed(5) && (missed(1) || missed(2)), "no relay was seen as gone");
     assert!(history.views()[0].contains(&4) && !history.views()[0].contains(&5));
 }
 
-/// Two have the list from the service and all others from them; when those two are cut off from it, another takes their place.
+/// Two relays fetch the list from the service and all others get it from them. When those two are cut off, another one fetches it.
 #[test]
-fn relays_that_pass_lists_on_keep_them_when_those_who_ask_are_cut_off() {
-    let history = holds("short-lists.toml");
+fn relays_that_share_lists_keep_them_when_the_fetching_relays_are_cut_off() {
+    let history = play_and_expect_pass("short-lists.toml");
     let first: Vec<_> = history.list_calls.iter().filter(|c| c.at.as_secs_f64() < 2.0).collect();
     assert!(first.len() <= 2, "eight relays, and these calls: {first:?}");
-    let stood_in = history.list_calls.iter().any(|c| c.who > 2 && c.fate == CallFate::Answered);
-    assert!(stood_in, "nobody took their place: {:?}", history.list_calls);
-    assert!(history.heard().iter().all(Option::is_some), "a change was not heard: {:?}", history.heard());
+    let answered_other = history.list_calls.iter().any(|c| c.who > 2 && c.fate == CallFate::Answered);
+    assert!(answered_other, "no other relay fetched the list: {:?}", history.list_calls);
+    assert!(
+        history.propagation_times().iter().all(Option::is_some),
+        "a change did not reach all relays: {:?}",
+        history.propagation_times()
+    );
 }
 
-/// What the rig says is not kept when it is not: a relay that never reaches the list service.
+/// Guards against a rig that reports success whatever happens: one relay never reaches the list service.
 #[test]
-fn a_relay_that_cannot_have_a_list_is_told_of() {
-    let mut schedule = read("short-cold-start.toml");
+fn a_relay_that_cannot_get_a_list_is_reported() {
+    let mut schedule = read_schedule("short-cold-start.toml");
     (schedule.faults[0].for_s, schedule.seconds) = (None, 2.0);
-    let (outcome, _) = played(&schedule);
-    assert!(outcome.promises_broken.contains_key("all-hold-the-list"), "{outcome:?}");
+    let (outcome, _) = play_schedule(&schedule);
+    assert!(outcome.violations.contains_key("all-hold-the-list"), "{outcome:?}");
     assert_eq!(outcome.figures["without_list"], 1.0);
 }
 
 #[test]
-fn every_schedule_that_is_shipped_can_be_read() {
+fn every_schedule_in_the_repository_is_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("schedules");
     let mut files = 0;
     for entry in std::fs::read_dir(folder).expect("schedules") {
         let path = entry.expect("an entry").path();
-        let schedule = Schedule::read(&path).expect("sound");
+        let schedule = Schedule::read(&path).expect("valid");
         assert_eq!(path.file_stem().and_then(|s| s.to_str()), Some(schedule.name.as_str()));
         files += 1;
     }
     assert!(files >= 4);
 }
 
-/// Nothing can be told while every connection is refused, so that the lease's clock stands still and messages go on.
+/// No change can be published while every connection is refused, so the time of the list lease does not advance and messages are
+/// still sent.
 #[test]
-fn messages_go_on_while_the_list_service_refuses_connections_and_drains_are_heard_after() {
-    let history = holds("drain-while-refused.toml");
-    assert!(!history.told.is_empty() && history.events.iter().any(|e| e.what == What::Ended));
+fn messages_are_sent_while_the_list_service_refuses_connections_and_drains_are_respected_afterwards() {
+    let history = play_and_expect_pass("drain-while-refused.toml");
+    assert!(!history.changes.is_empty() && history.events.iter().any(|e| e.kind == EventKind::Ended));
 }
 
-/// What is turned away may be a crowd: whatever else happens to a relay, it sends nothing by a list that is not confirmed.
+/// The list service may reject any call, as when many relays call it at once. Whatever else happens to a relay, it sends nothing by a
+/// list that is not confirmed.
 #[test]
-fn drains_are_kept_by_relays_that_are_killed_stopped_and_reloaded_while_the_list_service_turns_away() {
-    let history = holds("drain-while-down.toml");
-    assert!(history.told.len() == 3 && history.events.iter().any(|e| e.what == What::Reloaded));
+fn drains_are_respected_by_killed_stopped_and_reloaded_relays_while_the_list_service_rejects_calls() {
+    let history = play_and_expect_pass("drain-while-down.toml");
+    assert!(history.changes.len() == 3 && history.events.iter().any(|e| e.kind == EventKind::Reloaded));
 }
 
-/// Incident 39: a list was acted on for as long as it took to hear of another one.
+/// Incident 39: a relay went on using a list until it received another one, however long that took.
 #[test]
 fn no_list_is_acted_on_longer_than_it_may_be_without_being_confirmed() {
-    let broken: Vec<_> = ["drain-after-restart.toml", "drain-in-a-crowd.toml"]
+    let violated: Vec<_> = ["drain-after-restart.toml", "drain-in-a-crowd.toml"]
         .into_iter()
         .filter_map(|name| {
-            let (outcome, history) = played(&read(name));
-            assert!(history.delivered > 0 && !history.told.is_empty(), "{outcome:?}");
-            (!outcome.held()).then(|| format!("{name}: {:?} {:?}", outcome.promises_broken, outcome.line()))
+            let (outcome, history) = play_schedule(&read_schedule(name));
+            assert!(history.delivered > 0 && !history.changes.is_empty(), "{outcome:?}");
+            (!outcome.passed())
+                .then(|| format!("{name}: {:?} {:?}", outcome.violations, outcome.summary_line()))
         })
         .collect();
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(violated.is_empty(), "{violated:#?}");
 }
--- a/rig/tests/starts.rs
+++ b/rig/tests/starts.rs
@@ -1,92 +1,95 @@
-//! Hard starts of nine processes that pass lists to one another. Each schedule is named after what goes wrong; all promises are kept, all who run hold
-//! the list in the end, and what was news meanwhile was heard by all.
+//! Cold starts, under faults, of nine processes that share lists. Each schedule is named after its fault. All invariants hold; in the
+//! end every running relay has the list, and every change published meanwhile reached all relays.
 mod common;
 
-use common::{holds, played, read};
+use common::{play_and_expect_pass, play_schedule, read_schedule};
 use onyxglade_lab::discovery::CallFate;
-use onyxglade_rig::history::{History, What};
-
-/// Of those that held a list when there was news, at least so many.
-fn all_heard(history: &History, least: usize) {
-    let heard = history.heard();
-    assert!(heard.len() >= least && heard.iter().all(Option::is_some), "not heard by all: {heard:?}");
+use onyxglade_rig::history::{EventKind, History};
+
+/// Asserts that each change reached every relay that had a list at the time, `min_count` times or more in all.
+fn expect_propagated(history: &History, min_count: usize) {
+    let propagation_times = history.propagation_times();
+    assert!(
+        propagation_times.len() >= min_count && propagation_times.iter().all(Option::is_some),
+        "did not reach all: {propagation_times:?}"
+    );
 }
 
-/// The list service answered somebody who is no seed.
-fn somebody_stood_in(history: &History) -> bool {
+/// Whether the list service answered a relay that is not a seed.
+fn service_answered_non_seed(history: &History) -> bool {
     history.list_calls.iter().any(|c| c.who > 2 && c.fate == CallFate::Answered)
 }
 
 #[test]
-fn a_list_service_that_takes_a_second_for_a_call_is_asked_by_few() {
-    holds("start-list-slow.toml");
+fn a_list_service_that_takes_a_second_for_a_call_is_called_by_few() {
+    play_and_expect_pass("start-list-slow.toml");
 }
 
-/// Nothing is handed in before all hold the list, so that nothing but the start itself makes them ask.
+/// No message is submitted before all relays have the list, so only the start itself makes them request it.
 #[test]
 fn a_fleet_without_messages_has_its_list_too() {
-    let mut schedule = read("start-list-slow.toml");
+    let mut schedule = read_schedule("start-list-slow.toml");
     (schedule.start.warm, schedule.seconds) = (true, 1.0);
-    let (outcome, history) = played(&schedule);
-    assert!(outcome.held(), "{outcome:?}");
+    let (outcome, history) = play_schedule(&schedule);
+    assert!(outcome.passed(), "{outcome:?}");
     let first = history.list_calls.first().map(|call| call.at.as_secs());
     assert!(first.is_some_and(|at| at < 30), "the first call came at {first:?} s");
 }
 
 #[test]
-fn a_list_service_that_turns_nine_in_ten_away_is_enough_for_all() {
-    let history = holds("start-list-busy.toml");
-    assert!(history.list_calls.iter().any(|c| c.fate == CallFate::Down), "nobody was turned away");
+fn a_list_service_that_rejects_nine_calls_in_ten_suffices_for_all() {
+    let history = play_and_expect_pass("start-list-busy.toml");
+    assert!(history.list_calls.iter().any(|c| c.fate == CallFate::Down), "no call was rejected");
 }
 
 #[test]
-fn a_list_service_that_is_down_for_the_start_is_followed_once_it_is_back() {
-    holds("start-list-down.toml");
+fn a_list_service_that_is_down_at_the_start_is_used_once_it_is_back() {
+    play_and_expect_pass("start-list-down.toml");
 }
 
 #[test]
-fn a_list_that_breaks_off_is_none() {
-    holds("start-list-torn.toml");
+fn a_truncated_list_is_not_used() {
+    play_and_expect_pass("start-list-torn.toml");
 }
 
 #[test]
-fn a_list_service_that_counts_anew_is_followed_and_its_news_heard() {
-    all_heard(&holds("start-list-forgets.toml"), 9);
+fn a_list_service_that_lost_its_state_is_followed_and_its_changes_reach_all() {
+    expect_propagated(&play_and_expect_pass("start-list-forgets.toml"), 9);
 }
 
 #[test]
-fn others_stand_in_for_seeds_that_are_killed() {
-    let history = holds("start-askers-killed.toml");
-    assert!(history.events.iter().any(|e| e.relay < 3 && e.what == What::Ended));
+fn other_relays_replace_seeds_that_are_killed() {
+    let history = play_and_expect_pass("start-askers-killed.toml");
+    assert!(history.events.iter().any(|e| e.relay < 3 && e.kind == EventKind::Ended));
 }
 
 #[test]
-fn others_stand_in_for_seeds_that_are_stopped() {
-    holds("start-askers-stopped.toml");
+fn other_relays_replace_seeds_that_are_stopped() {
+    play_and_expect_pass("start-askers-stopped.toml");
 }
 
 #[test]
-fn others_stand_in_for_seeds_that_cannot_reach_the_service() {
-    assert!(somebody_stood_in(&holds("start-askers-cut.toml")));
+fn other_relays_replace_seeds_that_cannot_reach_the_service() {
+    assert!(service_answered_non_seed(&play_and_expect_pass("start-askers-cut.toml")));
 }
 
 #[test]
-fn old_lists_lead_nobody_astray_where_better_ones_come_at_once() {
-    let history = holds("start-old-lists.toml");
-    assert!(read("start-old-lists.toml").start.known_by.contains("r0") && history.rules_broken == 0);
+fn outdated_lists_break_no_rule_where_newer_ones_arrive_at_once() {
+    let history = play_and_expect_pass("start-old-lists.toml");
+    assert!(read_schedule("start-old-lists.toml").start.known_by.contains("r0") && history.rules_broken == 0);
 }
 
 #[test]
-fn a_second_loss_of_power_costs_a_second_start() {
-    holds("start-second-loss.toml");
+fn a_power_loss_during_a_start_costs_one_more_start() {
+    play_and_expect_pass("start-second-loss.toml");
 }
 
 #[test]
-fn halves_that_meet_end_with_the_newer_list() {
-    all_heard(&holds("start-halves.toml"), 4);
+fn partitioned_halves_end_with_the_newer_list_once_rejoined() {
+    expect_propagated(&play_and_expect_pass("start-halves.toml"), 4);
 }
 
 #[test]
-fn a_false_generation_is_not_what_a_fleet_ends_with() {
-    all_heard(&holds("start-lies.toml"), 9);
+fn a_false_generation_does_not_persist_in_the_fleet() {
+    expect_propagated(&play_and_expect_pass("start-lies.toml"), 9);
 }
