--- a/relay/src/config/push/classes.rs
+++ b/relay/src/config/push/classes.rs
@@ -1,7 +1,7 @@
 //! The tables `[[class]]`: classes of messages, and the settings of the push front that are derived from the file.
 use serde::{Deserialize, Serialize};
 use slatethread::{Effect, Kind, Settings, Weights, WorthDecay};
-use slatethread_wirehost::env::Names;
+use slatethread_wirehost::wire_settings::SettingNames;
 
 use super::upstreams::GATEWAY_KIND;
 use crate::config::errors::ConfigErrors;
@@ -65,10 +65,10 @@
             );
         }
     }
-    let names = Names {
+    let names = SettingNames {
         classes: file.classes.iter().map(|c| c.name.clone()).collect(),
         kinds: vec![GATEWAY_KIND.into()],
-        ..Names::default()
+        ..SettingNames::default()
     };
     Rules { settings: settings(file), names }
 }
--- a/relay/src/config/rules.rs
+++ b/relay/src/config/rules.rs
@@ -1,13 +1,13 @@
 //! The settings of a front in the form of the decision module.
 use slatethread::{Nanos, Settings};
-use slatethread_wirehost::env::{self, Env, Names};
+use slatethread_wirehost::wire_settings::{self, SettingNames, WireSettings};
 use std::time::Duration;
 
 /// The settings of the decision module, and the names that a front needs in addition.
 #[derive(Clone)]
 pub struct Rules {
     pub settings: Settings,
-    pub names: Names,
+    pub names: SettingNames,
 }
 
 impl Rules {
@@ -43,8 +43,8 @@
 }
 
 /// Makes the rules from the platform's settings; an error names the key within them.
-pub(super) fn rules(env: Env) -> Result<Rules, String> {
-    let (settings, names) = env::settings(env)?;
+pub(super) fn rules(env: WireSettings) -> Result<Rules, String> {
+    let (settings, names) = wire_settings::translate(env)?;
     if settings.classes.is_empty() {
         return Err("categories: at least one class of messages is needed".into());
     }
--- a/relay/src/platform/carrier.rs
+++ b/relay/src/platform/carrier.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use rustix::io::Errno;
 use slatethread::{EndpointId, Report};
-use slatethread_wirehost::env::report;
+use slatethread_wirehost::wire_settings::load_report;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::fmt::Debug;
@@ -264,7 +264,7 @@
 /// Parses a load report; invalid fields are ignored.
 fn parse_load(text: &str) -> Report {
     let fields = || text.split(',').filter_map(|field| field.split_once('='));
-    report(|name| {
+    load_report(|name| {
         fields().find(|(key, _)| key.trim() == name).and_then(|(_, value)| value.trim().parse().ok())
     })
 }
--- a/wirehost/src/env.rs
+++ b/wirehost/src/wire_settings.rs
@@ -1,24 +1,24 @@
-//! The settings object: its keys, and their translation to the library's types.
+//! The settings object of the simulator's wire, and its translation to the library's types.
 use serde::Deserialize;
 use slatethread::*;
 
-/// The settings of one instance, as the wire and the relay's configuration give them.
+/// Settings of one instance as they are written on the wire and in the relay's platform file.
 #[derive(Deserialize)]
-pub struct Env {
+pub struct WireSettings {
     replicas_of_me: Option<u32>,
-    categories: Vec<EnvClass>,
+    categories: Vec<WireClass>,
     membership_mode: Option<String>,
-    extra: Option<EnvExtra>,
-    policy_limits: Option<EnvLimits>,
-    rules: Option<EnvRules>,
-    report: Option<EnvReport>,
-    goal: Option<EnvGoal>,
+    extra: Option<WireExtra>,
+    policy_limits: Option<WireLimits>,
+    rules: Option<WireRules>,
+    report: Option<WireReport>,
+    goal: Option<WireGoal>,
     over_share_worth: Option<f64>,
     step: Option<u64>,
     weights: Option<String>,
     zone: Option<String>,
     #[serde(default)]
-    orgs: Vec<EnvTenant>,
+    orgs: Vec<WireTenant>,
     #[serde(default)]
     shapes: Vec<String>,
     #[serde(default)]
@@ -26,7 +26,7 @@
 }
 
 #[derive(Deserialize)]
-struct EnvClass {
+struct WireClass {
     name: String,
     aim: u64,
     give_up: u64,
@@ -40,13 +40,13 @@
 }
 
 #[derive(Deserialize)]
-struct EnvTenant {
+struct WireTenant {
     name: String,
     quota_rps: Option<f64>,
 }
 
 #[derive(Deserialize, Default)]
-struct EnvExtra {
+struct WireExtra {
     #[serde(default)]
     own_limits: Vec<bool>,
     #[serde(default)]
@@ -56,7 +56,7 @@
 }
 
 #[derive(Deserialize, Default)]
-struct EnvLimits {
+struct WireLimits {
     most_tries: Option<u32>,
     most_held: Option<u32>,
     max_retry_after: Option<u64>,
@@ -71,7 +71,7 @@
 }
 
 #[derive(Deserialize)]
-struct EnvGoal {
+struct WireGoal {
     #[serde(default)]
     whole: f64,
     #[serde(default)]
@@ -81,13 +81,13 @@
 }
 
 #[derive(Deserialize, Default)]
-struct EnvReport {
+struct WireReport {
     #[serde(default)]
     columns: Vec<String>,
 }
 
 #[derive(Deserialize, Default)]
-struct EnvRules {
+struct WireRules {
     cold: Option<u64>,
     cold_share: Option<f64>,
     fall_multiple: Option<f64>,
@@ -96,14 +96,14 @@
     order_settle: Option<u64>,
 }
 
-/// The names of one instance's settings, in their order.
+/// Names used in one instance's settings. An index into a list here is the library's id of that entry.
 #[derive(Clone, Default, PartialEq)]
-pub struct Names {
-    /// Classes of message.
+pub struct SettingNames {
+    /// Message classes.
     pub classes: Vec<String>,
     /// Tenants.
     pub tenants: Vec<String>,
-    /// Kinds of destination.
+    /// Endpoint kinds.
     pub kinds: Vec<String>,
     /// Zones.
     pub zones: Vec<String>,
@@ -111,52 +111,50 @@
     pub columns: Vec<String>,
 }
 
-/// The place of a name among its like.
-pub fn place(names: &[String], name: &str, what: &str) -> Result<usize, String> {
+/// Index of a name; `what` describes the kind of name in the error.
+pub fn name_index(names: &[String], name: &str, what: &str) -> Result<usize, String> {
     names.iter().position(|n| n == name).ok_or_else(|| format!("unknown {what} '{name}'"))
 }
 
-/// A load report by meaning, of what its fields say; a field that is no sensible figure tells nothing.
-pub fn report(field: impl Fn(&str) -> Option<f64>) -> Report {
-    let sound = |name| field(name).filter(|value| value.is_finite() && *value >= 0.0);
-    Report { remaining_share: sound("x0"), limit: sound("x1") }
+/// Builds a load report from its fields; a missing, negative or non-finite field is left unset.
+pub fn load_report(field: impl Fn(&str) -> Option<f64>) -> Report {
+    let valid = |name| field(name).filter(|value| value.is_finite() && *value >= 0.0);
+    Report { remaining_share: valid("x0"), limit: valid("x1") }
 }
 
-/// Translates settings, and keeps their names.
-pub fn settings(env: Env) -> Result<(Settings, Names), String> {
-    let extra = env.extra.unwrap_or_default();
-    let limits = env.policy_limits.unwrap_or_default();
-    let rules = env.rules.unwrap_or_default();
-    let names = Names {
-        classes: env.categories.iter().map(|c| c.name.clone()).collect(),
-        tenants: env.orgs.iter().map(|o| o.name.clone()).collect(),
-        kinds: env.shapes,
-        zones: env.zones,
-        columns: env.report.unwrap_or_default().columns,
+/// Translates settings, and returns the names they use.
+pub fn translate(raw: WireSettings) -> Result<(Settings, SettingNames), String> {
+    let extra = raw.extra.unwrap_or_default();
+    let limits = raw.policy_limits.unwrap_or_default();
+    let rules = raw.rules.unwrap_or_default();
+    let names = SettingNames {
+        classes: raw.categories.iter().map(|c| c.name.clone()).collect(),
+        tenants: raw.orgs.iter().map(|o| o.name.clone()).collect(),
+        kinds: raw.shapes,
+        zones: raw.zones,
+        columns: raw.report.unwrap_or_default().columns,
     };
-    let numbered = env.categories.into_iter().enumerate();
-    let classes = numbered.map(|(i, c)| class(c).map_err(|e| format!("categories[{i}].effect: {e}")));
+    let indexed = raw.categories.into_iter().enumerate();
+    let classes =
+        indexed.map(|(i, c)| translate_class(c).map_err(|e| format!("categories[{i}].effect: {e}")));
     let classes = classes.collect::<Result<_, _>>()?;
     let kinds = (0..names.kinds.len())
-        .map(|i| Kind {
-            separate_routes: extra.own_limits.get(i).copied(),
-            max_batch: extra.bundle_max.get(i).copied(),
-        })
+        .map(|i| Kind { separate_routes: extra.own_limits.get(i).copied(), max_batch: extra.bundle_max.get(i).copied(), })
         .collect();
-    let zone = env.zone.map(|z| place(&names.zones, &z, "zone").map_err(|e| format!("zone: {e}")));
+    let zone = raw.zone.map(|z| name_index(&names.zones, &z, "zone").map_err(|e| format!("zone: {e}")));
     let zone = zone.transpose()?.map(ZoneId);
     let settings = Settings {
-        relays: env.replicas_of_me,
+        relays: raw.replicas_of_me,
         zone,
-        round_interval: env.step,
+        round_interval: raw.step,
         classes,
         worth_decay: match extra.fades.as_deref() {
             Some("line") => Some(WorthDecay::Linear),
             Some("halves") => Some(WorthDecay::Halving),
             _ => None,
         },
-        tenants: env.orgs.into_iter().map(|o| Tenant { quota: o.quota_rps }).collect(),
-        over_quota_worth: env.over_share_worth,
+        tenants: raw.orgs.into_iter().map(|o| Tenant { quota: o.quota_rps }).collect(),
+        over_quota_worth: raw.over_share_worth,
         kinds,
         slots: extra.max_calls,
         max_open_messages: limits.most_held,
@@ -165,10 +163,10 @@
         idle_close: limits.idle_close,
         dial_timeout: limits.dial_timeout,
         refusals_carry_backoff: limits.retry_after,
-        list_on_request: env.membership_mode.as_deref() == Some("subscribe"),
-        // Couriers of this wire share nothing.
+        list_on_request: raw.membership_mode.as_deref() == Some("subscribe"),
+        // Instances on this wire don't exchange lists with one another.
         list_shared: false,
-        weights: match env.weights.as_deref() {
+        weights: match raw.weights.as_deref() {
             Some("nominal") => Weights::Exact,
             Some("rough") => Weights::Rough,
             _ => Weights::Nothing,
@@ -184,12 +182,12 @@
             list_poll_interval: rules.must_ask_in,
             order_settle_time: rules.order_settle,
         },
-        worst_class_weight: env.goal.map_or(0.0, |g| g.worst_class / (g.whole + g.worst_window).max(0.1)),
+        worst_class_weight: raw.goal.map_or(0.0, |g| g.worst_class / (g.whole + g.worst_window).max(0.1)),
     };
     Ok((settings, names))
 }
 
-fn class(c: EnvClass) -> Result<Class, String> {
+fn translate_class(c: WireClass) -> Result<Class, String> {
     Ok(Class {
         target_latency: c.aim,
         lifetime: c.give_up,
