--- a/relay/src/config/instances.rs
+++ b/relay/src/config/instances.rs
@@ -103,7 +103,7 @@
             ("region", Some(self.region.as_str())),
         ];
         for (key, _) in texts.iter().filter(|(_, text)| text.is_some_and(|text| !is_valid_text(text))) {
-            let message = format!("must have at most {LONGEST} bytes and no control characters");
+            let message = format!("must have at most {MAX_TEXT_BYTES} bytes and no control characters");
             errors.add(format!("instances.{key}"), message);
         }
     }
--- a/relay/src/core/backlog/tests.rs
+++ b/relay/src/core/backlog/tests.rs
@@ -133,7 +133,10 @@
         ..Settings::default()
     };
     let classes = classes.iter().map(|class| (*class).to_owned()).collect();
-    Rules { settings, names: slatethread_wirehost::wire_settings::SettingNames { classes, ..Default::default() }, }
+    Rules {
+        settings,
+        names: slatethread_wirehost::wire_settings::SettingNames { classes, ..Default::default() },
+    }
 }
 
 /// Starts a store worker. With `crash`, the first fault of the store kills the process: the worker's thread notifies
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -212,7 +212,8 @@
                 };
                 self.push(r.courier, Event::Request(request))
             }
-            WireMessage::First { courier, handle } => { self.push(courier, Event::StreamStarted { msg: MsgId(handle) })
+            WireMessage::First { courier, handle } => {
+                self.push(courier, Event::StreamStarted { msg: MsgId(handle) })
             }
             WireMessage::ClosedAttempt(o) => {
                 let event = Event::AttemptEnded {
--- a/wirehost/src/wire_settings.rs
+++ b/wirehost/src/wire_settings.rs
@@ -139,7 +139,10 @@
         indexed.map(|(i, c)| translate_class(c).map_err(|e| format!("categories[{i}].effect: {e}")));
     let classes = classes.collect::<Result<_, _>>()?;
     let kinds = (0..names.kinds.len())
-        .map(|i| Kind { separate_routes: extra.own_limits.get(i).copied(), max_batch: extra.bundle_max.get(i).copied(), })
+        .map(|i| Kind {
+            separate_routes: extra.own_limits.get(i).copied(),
+            max_batch: extra.bundle_max.get(i).copied(),
+        })
         .collect();
     let zone = raw.zone.map(|z| name_index(&names.zones, &z, "zone").map_err(|e| format!("zone: {e}")));
     let zone = zone.transpose()?.map(ZoneId);
