--- a/relay/tests/conformance/cases.rs
+++ b/relay/tests/conformance/cases.rs
@@ -1,32 +1,32 @@
-//! The cases. Those that do not hold name what stands in the way.
+//! The conformance cases. Requirements that are not met name the reason.
 
-/// Whose part the script plays against the relay.
+/// The peer of the relay that the script plays.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Role {
-    /// A submitter at the front.
+    /// A submitter, connected to the push front.
     Front,
     /// A gateway that the relay connects to.
     Gateway,
 }
 
-/// A requirement and how it is tried.
+/// A requirement and the script that tests it.
 pub struct Case {
     pub role: Role,
     pub section: &'static str,
-    pub must: &'static str,
+    pub requirement: &'static str,
     pub script: &'static str,
-    /// Why it is not held, where it is not.
-    pub known: Option<&'static str>,
+    /// Why the requirement is not met, if it is not.
+    pub known_gap: Option<&'static str>,
 }
 
 const fn case(
     role: Role,
     section: &'static str,
-    must: &'static str,
+    requirement: &'static str,
     script: &'static str,
-    known: Option<&'static str>,
+    known_gap: Option<&'static str>,
 ) -> Case {
-    Case { role, section, must, script, known }
+    Case { role, section, requirement, script, known_gap }
 }
 
 use Role::{Front, Gateway};
@@ -44,7 +44,7 @@
         Front,
         "9113 3.4",
         "a preface that is cut short ends the connection",
-        "bare; raw 505249202a20485454502f322e300d0a0d0a; shut; expect close",
+        "bare; raw 505249202a20485454502f322e300d0a0d0a; shutdown; expect close",
         None,
     ),
     case(
--- a/relay/tests/conformance/wire.rs
+++ b/relay/tests/conformance/wire.rs
@@ -1,11 +1,11 @@
-//! Frames of RFC 9113 as they are on the wire, and the two ends of a connection that says what a script has it say.
+//! Encoding and decoding of RFC 9113 frames, and a connection that sends whatever bytes a script gives.
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a frame is waited for.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// How long to wait for a frame.
+const TIMEOUT: Duration = Duration::from_secs(3);
 pub const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
 const TYPES: [&str; 10] = [
@@ -37,18 +37,19 @@
     "HTTP_1_1_REQUIRED",
 ];
 
-/// A frame that came.
+/// A received frame.
 #[derive(Clone, Debug)]
 pub struct Frame {
     pub kind: String,
     pub flags: u8,
     pub stream: u32,
     pub payload: Vec<u8>,
-    /// What a header block says.
+    /// The decoded header block.
     pub fields: Vec<(String, String)>,
 }
 
 impl Frame {
+    /// The error code of RST_STREAM or GOAWAY.
     pub fn code(&self) -> &'static str {
         let at = if self.kind == "GOAWAY" { 4 } else { 0 };
         CODES.get(number(self.payload.get(at..at + 4)) as usize).copied().unwrap_or("unknown")
@@ -58,7 +59,7 @@
         self.fields.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// The settings of a SETTINGS frame.
+    /// The value of a setting in a SETTINGS frame.
     pub fn setting(&self, id: u64) -> Option<u64> {
         let mut settings = self.payload.chunks_exact(6);
         settings.find(|s| number(Some(&s[..2])) == id).map(|s| number(Some(&s[2..])))
@@ -74,11 +75,11 @@
     let known = TYPES.iter().position(|t| *t == name).map(|n| n as u8);
     known
         .or_else(|| name.strip_prefix("0x").and_then(|n| u8::from_str_radix(n, 16).ok()))
-        .ok_or(format!("no frame {name}"))
+        .ok_or(format!("unknown frame type {name}"))
 }
 
 pub fn code(name: &str) -> Result<u32, String> {
-    CODES.iter().position(|c| *c == name).map(|n| n as u32).ok_or(format!("no code {name}"))
+    CODES.iter().position(|c| *c == name).map(|n| n as u32).ok_or(format!("unknown error code {name}"))
 }
 
 pub fn frame(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
@@ -87,13 +88,13 @@
     [&head, payload].concat()
 }
 
-/// A header block without compression: literal fields that are not indexed.
+/// An uncompressed header block: literal fields without indexing.
 pub fn block<'a>(fields: impl IntoIterator<Item = (&'a str, &'a str)>) -> Vec<u8> {
     let mut block = Vec::new();
     for (name, value) in fields {
         block.push(0);
         for text in [name, value] {
-            // An integer with a prefix of seven bits (RFC 7541, 5.1).
+            // An integer with a 7-bit prefix (RFC 7541, 5.1).
             let mut length = text.len();
             if length < 127 {
                 block.push(length as u8);
@@ -120,41 +121,41 @@
         .collect()
 }
 
-/// One end of a connection.
-pub struct Line {
+/// The script's end of a connection.
+pub struct Connection {
     stream: TcpStream,
     read: Vec<u8>,
-    tables: fluke_hpack::Decoder<'static>,
+    hpack: fluke_hpack::Decoder<'static>,
     block: Vec<u8>,
     pub ended: bool,
 }
 
-impl Line {
-    pub fn new(stream: TcpStream) -> Line {
+impl Connection {
+    pub fn new(stream: TcpStream) -> Connection {
         let _ = stream.set_nodelay(true);
-        Line {
+        Connection {
             stream,
             read: Vec::new(),
-            tables: fluke_hpack::Decoder::new(),
+            hpack: fluke_hpack::Decoder::new(),
             block: Vec::new(),
             ended: false,
         }
     }
 
-    /// What cannot be written any more is shown by what is read.
+    /// Writes bytes. A failure shows in what is read afterwards.
     pub async fn write(&mut self, bytes: &[u8]) {
-        let _ = timeout(PATIENCE, self.stream.write_all(bytes)).await;
+        let _ = timeout(TIMEOUT, self.stream.write_all(bytes)).await;
     }
 
-    /// No more will be written.
-    pub async fn shut(&mut self) {
+    /// Closes the write side.
+    pub async fn shutdown(&mut self) {
         let _ = self.stream.shutdown().await;
     }
 
-    /// Reads so many bytes; none if the connection ended or time passed.
+    /// Buffers at least `length` bytes; `None` if the connection ended or the timeout passed.
     async fn fill(&mut self, length: usize) -> Option<()> {
         while self.read.len() < length {
-            match timeout(PATIENCE, self.stream.read_buf(&mut self.read)).await {
+            match timeout(TIMEOUT, self.stream.read_buf(&mut self.read)).await {
                 Ok(Ok(read)) if read > 0 => {}
                 Ok(_) => {
                     self.ended = true;
@@ -166,12 +167,13 @@
         Some(())
     }
 
+    /// Reads exactly `length` bytes.
     pub async fn take(&mut self, length: usize) -> Option<Vec<u8>> {
         self.fill(length).await?;
         Some(self.read.drain(..length).collect())
     }
 
-    /// The next frame; none if the connection ended or nothing came.
+    /// The next frame; `None` if the connection ended or nothing was received in time.
     pub async fn next(&mut self) -> Option<Frame> {
         self.fill(9).await?;
         let length = number(Some(&self.read[..3])) as usize;
@@ -186,7 +188,7 @@
             self.block.extend_from_slice(&frame.payload[skip..]);
             if frame.flags & 4 != 0 {
                 let block = std::mem::take(&mut self.block);
-                let fields = self.tables.decode(&block).unwrap_or_default();
+                let fields = self.hpack.decode(&block).unwrap_or_default();
                 let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
                 frame.fields = fields.into_iter().map(|(n, v)| (text(n), text(v))).collect();
             }
