--- a/relay/tests/program/mod.rs
+++ b/relay/tests/program/mod.rs
@@ -1,4 +1,5 @@
-//! The relay's own program with a second front, for tests that need no stage round it. Each uses a part of what is here.
+//! Runs the relay's own program with a push front, for tests without the scenario language. Each of them uses only a part of
+//! this module.
 #![allow(dead_code)]
 use std::net::SocketAddr;
 use std::path::Path;
@@ -6,24 +7,24 @@
 use tokio::io::{AsyncBufReadExt, BufReader, Lines};
 use tokio::process::{Child, ChildStdout, Command};
 
-/// A relay that runs until it is dropped.
+/// A relay process; killed when dropped.
 pub struct Program {
     pub child: Child,
-    /// What it logs from its readiness on.
+    /// Log lines after the one that reports readiness.
     pub lines: Lines<BufReader<ChildStdout>>,
-    /// Where its second front listens.
+    /// The address of the push front.
     pub address: SocketAddr,
 }
 
 impl Program {
-    /// Starts it with a file of its own and waits until its second front is ready.
+    /// Starts the relay with a relay file and waits until its push front is ready.
     pub async fn start(file: &Path, log: &str) -> Program {
         let mut command = Command::new(env!("CARGO_BIN_EXE_onyxglade"));
         command.env_clear().env("ONYXGLADE_LOG", log).stdout(Stdio::piped()).kill_on_drop(true);
         let mut child = command.arg("--config").arg(file).spawn().expect("the relay");
         let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines();
         loop {
-            let line = lines.next_line().await.expect("a log").expect("it starts");
+            let line = lines.next_line().await.expect("a log").expect("the relay starts");
             if line.contains("push front is ready") {
                 let at = line.split("listen=").nth(1).and_then(|at| at.trim().parse().ok());
                 return Program { child, lines, address: at.expect("an address") };
--- a/relay/tests/tls.rs
+++ b/relay/tests/tls.rs
@@ -1,4 +1,4 @@
-//! TLS on both sides of the second front: what is presented, who is let in, and that reloading drops nothing.
+//! TLS on both sides of the push front: which certificates are presented and accepted, and that a reload drops nothing.
 mod program;
 
 use bytes::Bytes;
@@ -18,9 +18,9 @@
 use tokio_rustls::client::TlsStream;
 use tokio_rustls::{TlsAcceptor, TlsConnector};
 
-const PATIENCE: Duration = Duration::from_secs(8);
+const TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Certificates of one authority in a folder.
+/// A folder with the certificates of one authority.
 struct Certificates(PathBuf);
 
 impl Certificates {
@@ -38,48 +38,48 @@
         let clients = clients.then(|| self.file("authority.pem"));
         let (certificate, key) = (self.file("server.pem"), self.file("server.key"));
         tls::server_config(&ServerTlsTable { certificate, key, clients, min_version: MinTlsVersion::Tls12 })
-            .expect("sound")
+            .expect("a valid configuration")
     }
 
     fn client(&self, presents: bool) -> ClientConfig {
         self.client_with(presents.then_some(self))
     }
 
-    /// One that trusts this authority and presents what is of another.
+    /// A client that trusts this authority and may present another authority's certificate.
     fn client_with(&self, presents: Option<&Certificates>) -> ClientConfig {
-        let of = |name: &str| presents.map(|own| own.file(name));
-        let (certificate, key) = (of("client.pem"), of("client.key"));
+        let presented = |name: &str| presents.map(|certificates| certificates.file(name));
+        let (certificate, key) = (presented("client.pem"), presented("client.key"));
         let table = ClientTlsTable {
             trust: self.file("authority.pem"),
             certificate,
             key,
             min_version: MinTlsVersion::Tls12,
         };
-        Arc::unwrap_or_clone(tls::client_config(&table).expect("sound"))
+        Arc::unwrap_or_clone(tls::client_config(&table).expect("a valid configuration"))
     }
 }
 
-/// A gateway that takes everything; tells what came, by which certificate of the relay's if any.
+/// A gateway that accepts every message; reports its path and whether the relay presented a certificate.
 async fn gateway(config: Arc<ServerConfig>) -> (SocketAddr, mpsc::UnboundedReceiver<(String, bool)>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
-    let (tell, told) = mpsc::unbounded_channel();
+    let (received, requests) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let (acceptor, tell) = (TlsAcceptor::from(config.clone()), tell.clone());
+            let (acceptor, received) = (TlsAcceptor::from(config.clone()), received.clone());
             tokio::spawn(async move {
                 let Ok(stream) = acceptor.accept(stream).await else { return };
-                let known = stream.get_ref().1.peer_certificates().is_some();
+                let has_certificate = stream.get_ref().1.peer_certificates().is_some();
                 let Ok(mut connection) = server::handshake(stream).await else { return };
-                while let Some(Ok((request, mut answer))) = connection.accept().await {
-                    let _ = tell.send((request.uri().path().to_owned(), known));
-                    let taken = Response::builder().status(201).body(()).expect("a response");
-                    let _: Result<h2::SendStream<Bytes>, _> = answer.send_response(taken, true);
+                while let Some(Ok((request, mut response))) = connection.accept().await {
+                    let _ = received.send((request.uri().path().to_owned(), has_certificate));
+                    let created = Response::builder().status(201).body(()).expect("a response");
+                    let _: Result<h2::SendStream<Bytes>, _> = response.send_response(created, true);
                 }
             });
         }
     });
-    (address, told)
+    (address, requests)
 }
 
 struct Relay {
@@ -88,10 +88,18 @@
 }
 
 impl Relay {
-    async fn start(own: &Certificates, trust: &Certificates, gateway: SocketAddr, clients: bool) -> Relay {
+    async fn start(
+        certificates: &Certificates,
+        trust: &Certificates,
+        gateway: SocketAddr,
+        clients: bool,
+    ) -> Relay {
         let folder = tempfile::tempdir().expect("a folder");
-        let clients =
-            if clients { format!("clients = {:?}\n", own.file("authority.pem")) } else { String::new() };
+        let clients = if clients {
+            format!("clients = {:?}\n", certificates.file("authority.pem"))
+        } else {
+            String::new()
+        };
         let text = format!(
             "[push]\nlisten = \"127.0.0.1:0\"\nnotices = \"127.0.0.1:1\"\nstate = {:?}\n\
              [push.tls]\ncertificate = {:?}\nkey = {:?}\n{clients}\
@@ -100,28 +108,28 @@
              [[upstream]]\nname = \"g\"\ntls = \"gateway.test\"\nserver = [{{ address = \"{gateway}\" }}]\n\
              [[location]]\npath = \"/push/\"\nupstream = \"g\"\nclass = \"notice\"\n",
             folder.path().join("state"),
-            own.file("server.pem"),
-            own.file("server.key"),
+            certificates.file("server.pem"),
+            certificates.file("server.key"),
             trust.file("authority.pem"),
-            own.file("client.pem"),
-            own.file("client.key"),
+            certificates.file("client.pem"),
+            certificates.file("client.key"),
         );
         let file = folder.path().join("push.toml");
         std::fs::write(&file, text).expect("the file");
         Relay { program: Program::start(&file, "onyxglade=debug").await, _folder: folder }
     }
 
-    /// Waits for a line of the log.
-    async fn logs(&mut self, part: &str) -> String {
+    /// Waits for a log line that contains `part`.
+    async fn expect_log(&mut self, part: &str) -> String {
         let find = async {
             loop {
-                let line = self.program.lines.next_line().await.expect("a log").expect("it runs");
+                let line = self.program.lines.next_line().await.expect("a log").expect("the relay runs");
                 if line.contains(part) {
                     return line;
                 }
             }
         };
-        timeout(PATIENCE, find).await.unwrap_or_else(|_| panic!("no line with '{part}'"))
+        timeout(TIMEOUT, find).await.unwrap_or_else(|_| panic!("no log line with '{part}'"))
     }
 
     async fn connect(
@@ -136,8 +144,8 @@
     }
 }
 
-async fn speak(stream: TlsStream<TcpStream>) -> client::SendRequest<Bytes> {
-    let (sender, connection) = client::handshake(stream).await.expect("HTTP/2");
+async fn handshake(stream: TlsStream<TcpStream>) -> client::SendRequest<Bytes> {
+    let (sender, connection) = client::handshake(stream).await.expect("the HTTP/2 handshake");
     tokio::spawn(connection);
     sender
 }
@@ -146,80 +154,90 @@
     let mut sender = sender.clone().ready().await?;
     let request =
         Request::post(format!("https://localhost{path}")).header("ttl", "3").body(()).expect("a request");
-    let (answer, mut stream) = sender.send_request(request, false)?;
+    let (response, mut stream) = sender.send_request(request, false)?;
     stream.send_data(Bytes::from_static(b"m"), true)?;
-    Ok(answer.await?.status().as_u16())
+    Ok(response.await?.status().as_u16())
 }
 
 #[tokio::test]
-async fn messages_pass_by_tls_on_both_sides_and_new_certificates_drop_nothing() {
+async fn messages_pass_over_tls_on_both_sides_and_a_certificate_reload_drops_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (own, other) = (Certificates::make(folder.path(), "own"), Certificates::make(folder.path(), "other"));
-    // The gateway lets in only who presents a certificate of this authority's.
-    let (gateway, mut told) = gateway(own.server(true)).await;
-    let mut relay = Relay::start(&own, &own, gateway, false).await;
-    let first = relay.connect(own.client(false), &[b"h2"]).await.expect("it is let in");
-    let first = speak(first).await;
-    assert_eq!(post(&first, "/push/a").await.expect("an answer"), 201);
-    let got = timeout(PATIENCE, told.recv()).await.expect("in time").expect("a call");
-    assert_eq!(got, ("/push/a".to_owned(), true));
-
-    // Certificates of another authority take the place of those that are presented.
+    let (certificates, other) =
+        (Certificates::make(folder.path(), "own"), Certificates::make(folder.path(), "other"));
+    // The gateway requires a client certificate of this authority.
+    let (gateway, mut requests) = gateway(certificates.server(true)).await;
+    let mut relay = Relay::start(&certificates, &certificates, gateway, false).await;
+    let first =
+        relay.connect(certificates.client(false), &[b"h2"]).await.expect("the connection is accepted");
+    let first = handshake(first).await;
+    assert_eq!(post(&first, "/push/a").await.expect("a response"), 201);
+    let received = timeout(TIMEOUT, requests.recv()).await.expect("in time").expect("a request");
+    assert_eq!(received, ("/push/a".to_owned(), true));
+
+    // Replaces the relay's server certificate with one of another authority.
     for name in ["server.pem", "server.key"] {
-        std::fs::copy(other.file(name), own.file(name)).expect("replaced");
+        std::fs::copy(other.file(name), certificates.file(name)).expect("replaced");
     }
-    let id = relay.program.child.id().expect("it runs").to_string();
+    let id = relay.program.child.id().expect("the relay runs").to_string();
     std::process::Command::new("kill").args(["-HUP", &id]).status().expect("a signal");
-    relay.logs("SIGHUP: file read anew").await;
-    assert_eq!(post(&first, "/push/b").await.expect("the old connection goes on"), 201);
+    relay.expect_log("SIGHUP: file read anew").await;
+    assert_eq!(post(&first, "/push/b").await.expect("the old connection stays open"), 201);
     assert!(
-        relay.connect(own.client(false), &[b"h2"]).await.is_err(),
-        "the old authority still vouches for it"
+        relay.connect(certificates.client(false), &[b"h2"]).await.is_err(),
+        "the relay still presents the old certificate"
     );
-    let second = relay.connect(other.client(false), &[b"h2"]).await.expect("the new one does");
-    assert_eq!(post(&speak(second).await, "/push/c").await.expect("an answer"), 201);
-    let paths = [told.recv().await, told.recv().await].map(|got| got.expect("a call").0);
+    let second =
+        relay.connect(other.client(false), &[b"h2"]).await.expect("the new certificate is presented");
+    assert_eq!(post(&handshake(second).await, "/push/c").await.expect("a response"), 201);
+    let paths = [requests.recv().await, requests.recv().await].map(|received| received.expect("a request").0);
     assert_eq!(paths, ["/push/b", "/push/c"]);
 }
 
 #[tokio::test]
-async fn who_presents_nothing_or_speaks_something_else_is_not_let_in() {
+async fn clients_without_a_trusted_certificate_or_http2_are_refused() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (own, other) = (Certificates::make(folder.path(), "own"), Certificates::make(folder.path(), "other"));
-    let (gateway, _told) = gateway(own.server(false)).await;
-    let relay = Relay::start(&own, &own, gateway, true).await;
-    let known = relay.connect(own.client(true), &[b"h2"]).await.expect("it is let in");
-    assert_eq!(post(&speak(known).await, "/push/a").await.expect("an answer"), 201);
-    assert!(relay.connect(own.client(true), &[b"http/1.1"]).await.is_err(), "another protocol is agreed on");
+    let (certificates, other) =
+        (Certificates::make(folder.path(), "own"), Certificates::make(folder.path(), "other"));
+    let (gateway, _requests) = gateway(certificates.server(false)).await;
+    let relay = Relay::start(&certificates, &certificates, gateway, true).await;
+    let trusted =
+        relay.connect(certificates.client(true), &[b"h2"]).await.expect("the connection is accepted");
+    assert_eq!(post(&handshake(trusted).await, "/push/a").await.expect("a response"), 201);
+    assert!(
+        relay.connect(certificates.client(true), &[b"http/1.1"]).await.is_err(),
+        "another protocol was negotiated"
+    );
     for presents in [None, Some(&other)] {
-        let stranger = own.client_with(presents);
-        let answered = async {
-            let stream = relay.connect(stranger.clone(), &[b"h2"]).await.ok()?;
+        let untrusted = certificates.client_with(presents);
+        let status = async {
+            let stream = relay.connect(untrusted.clone(), &[b"h2"]).await.ok()?;
             let (sender, connection) = client::handshake(stream).await.ok()?;
             tokio::spawn(connection);
             post(&sender, "/push/b").await.ok()
         };
-        assert_eq!(timeout(PATIENCE, answered).await.expect("in time"), None, "a stranger is let in");
+        assert_eq!(timeout(TIMEOUT, status).await.expect("in time"), None, "an untrusted client was served");
     }
-    // Without any protocol named, nothing is spoken.
-    let answered = async {
-        let stream = relay.connect(own.client(true), &[]).await.ok()?;
+    // Without ALPN, the relay does not serve the connection.
+    let status = async {
+        let stream = relay.connect(certificates.client(true), &[]).await.ok()?;
         let (sender, connection) = client::handshake(stream).await.ok()?;
         tokio::spawn(connection);
         post(&sender, "/push/b").await.ok()
     };
-    assert_eq!(timeout(PATIENCE, answered).await.expect("in time"), None);
+    assert_eq!(timeout(TIMEOUT, status).await.expect("in time"), None);
 }
 
 #[tokio::test]
-async fn a_gateway_that_cannot_show_who_it_is_gets_nothing() {
+async fn a_gateway_with_an_untrusted_certificate_gets_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (own, other) = (Certificates::make(folder.path(), "own"), Certificates::make(folder.path(), "other"));
-    let (gateway, mut told) = gateway(other.server(false)).await;
-    let mut relay = Relay::start(&own, &own, gateway, false).await;
-    let line = relay.connect(own.client(false), &[b"h2"]).await.expect("it is let in");
-    assert_eq!(post(&speak(line).await, "/push/a").await.expect("an answer"), 201);
-    let line = relay.logs("no connection to a gateway").await;
+    let (certificates, other) =
+        (Certificates::make(folder.path(), "own"), Certificates::make(folder.path(), "other"));
+    let (gateway, mut requests) = gateway(other.server(false)).await;
+    let mut relay = Relay::start(&certificates, &certificates, gateway, false).await;
+    let stream =
+        relay.connect(certificates.client(false), &[b"h2"]).await.expect("the connection is accepted");
+    assert_eq!(post(&handshake(stream).await, "/push/a").await.expect("a response"), 201);
+    let line = relay.expect_log("no connection to a gateway").await;
     assert!(line.contains("TLS"), "{line}");
-    assert!(timeout(Duration::from_millis(500), told.recv()).await.is_err());
+    assert!(timeout(Duration::from_millis(500), requests.recv()).await.is_err());
 }
