--- a/relay/tests/backlog.rs
+++ b/relay/tests/backlog.rs
@@ -1,30 +1,33 @@
-//! The backlog on disk: what cannot go soon waits there, and every message has one end, across crashes and upgrades.
+//! The backlog on disk: messages that cannot be sent soon are queued there, and every message completes once, across crashes and
+//! upgrades.
 //!
-//! `held=4` leaves room for three requests in memory; the rest waits on disk.
+//! `max_open=4` leaves room for three requests in memory; the others are queued on disk.
 mod scenario;
 
 use scenario::play;
 
-/// Plays a scenario with a partner of one slot, so that what is handed in waits for it.
+/// Plays a scenario with a node of one slot, so that submitted messages are queued.
 fn with_backlog(scenario: &str) {
     let start = "send list n1:7 n2:8
-         send relay start backlog=backlog held=4 slots=1
+         send relay start backlog=backlog max_open=4 slots=1
          expect relay log=list_of_execute_nodes";
     play(None, &format!("{start}\n{scenario}"));
 }
 
-/// Hands in messages `j1` to the last one; each is taken on.
-fn hand_in(last: u32) -> String {
-    (1..=last).map(|n| format!("send s1 POST /notice id=j{n} dest=7 left=20000\nexpect s1 202\n")).collect()
+/// Submits messages `j1` to `j<last>`; each is accepted.
+fn submit(last: u32) -> String {
+    (1..=last)
+        .map(|n| format!("send s1 POST /notice id=j{n} dest=7 timeout=20000\nexpect s1 202\n"))
+        .collect()
 }
 
-/// The partner takes so many messages.
-fn served(messages: usize) -> String {
+/// The node answers this many messages with 200.
+fn deliver(messages: usize) -> String {
     "expect n1 POST\nsend n1 200\n".repeat(messages)
 }
 
 #[test]
-fn what_does_not_fit_into_memory_waits_on_disk_and_is_delivered() {
+fn messages_that_do_not_fit_into_memory_are_queued_on_disk_and_delivered() {
     with_backlog(&format!(
         "{}
          {}
@@ -32,67 +35,67 @@
          expect list nothing 50
          send a GET /-/metrics
          expect a 200 edge_balancer_handled_total:notice:passed=12 edge_balancer_in_progress=0",
-        hand_in(12),
-        served(12)
+        submit(12),
+        deliver(12)
     ));
 }
 
 #[test]
-fn the_same_message_again_while_it_waits_is_the_same_message() {
+fn a_message_resubmitted_while_it_is_queued_is_not_duplicated() {
     with_backlog(&format!(
         "{}
          expect n1 POST x-request-id=j1
          send n1 429 retry-after=3.6
-         wait 3300                                     # past the time for which answers are remembered
-         send s2 POST /notice id=j8 dest=7 left=20000
+         wait 3300                                     # past the time for which the relay keeps responses
+         send s2 POST /notice id=j8 dest=7 timeout=20000
          expect s2 202
          {}
          expect n1 nothing 300",
-        hand_in(8),
-        served(8)
+        submit(8),
+        deliver(8)
     ));
 }
 
 #[test]
-fn what_waits_on_disk_outlasts_the_process_and_ends_once() {
+fn messages_on_disk_survive_a_kill_and_complete_once() {
     with_backlog(&format!(
         "{}
          send relay kill
          expect relay exit
          expect n1 POST
-         send relay start backlog=backlog held=4 slots=1
+         send relay start backlog=backlog max_open=4 slots=1
          {}
          expect n1 nothing 300
          expect list nothing 50",
-        hand_in(10),
-        served(10)
+        submit(10),
+        deliver(10)
     ));
 }
 
 #[test]
-fn a_message_whose_time_ends_on_disk_is_handed_back() {
+fn a_message_that_expires_on_disk_is_returned() {
     let late: String = (1..=5)
-        .map(|n| format!("send s1 POST /notice id=late{n} dest=7 left=1500\nexpect s1 202\n"))
+        .map(|n| format!("send s1 POST /notice id=late{n} dest=7 timeout=1500\nexpect s1 202\n"))
         .collect();
-    let told: String = (1..=5).map(|n| format!("expect list returned id=late{n}\n")).collect();
+    let returned: String = (1..=5).map(|n| format!("expect list returned id=late{n}\n")).collect();
     with_backlog(&format!(
         "{}
          {late}
          expect n1 POST x-request-id=j1
          send n1 429 retry-after=2
-         {told}
+         {returned}
          {}
          expect n1 nothing 300",
-        hand_in(5),
-        served(5)
+        submit(5),
+        deliver(5)
     ));
 }
 
 #[test]
-fn a_newcomer_takes_the_backlog_over_in_an_upgrade() {
+fn the_successor_takes_over_the_backlog_in_an_upgrade() {
     with_backlog(&format!(
         "{}
-         send relay2 start backlog=backlog held=4 slots=1
+         send relay2 start backlog=backlog max_open=4 slots=1
          expect n1 POST x-request-id=j1
          send relay term
          expect relay2 log=platform_front_is_ready
@@ -102,30 +105,30 @@
          expect relay exit
          expect n1 nothing 300
          expect list nothing 50",
-        hand_in(10),
-        served(9)
+        submit(10),
+        deliver(9)
     ));
 }
 
 #[test]
-fn a_planned_end_leaves_what_waits_to_the_next_start() {
+fn a_planned_shutdown_leaves_queued_messages_to_the_next_start() {
     with_backlog(&format!(
         "{}
          expect n1 POST x-request-id=j1
          send n1 429 retry-after=20
          send relay term
          expect relay exit
-         send relay start backlog=backlog held=4 slots=1
+         send relay start backlog=backlog max_open=4 slots=1
          {}
          expect n1 nothing 300
          expect list nothing 50",
-        hand_in(10),
-        served(10)
+        submit(10),
+        deliver(10)
     ));
 }
 
 #[test]
-fn the_folder_of_another_relay_is_refused() {
+fn a_backlog_inside_the_state_folder_is_refused() {
     play(
         None,
         "send list n1:7
@@ -136,7 +139,7 @@
 }
 
 #[test]
-fn what_waits_is_told_at_the_second_address() {
+fn the_admin_address_reports_queued_messages() {
     with_backlog(&format!(
         "{}
          expect n1 POST x-request-id=j1
@@ -147,12 +150,12 @@
          expect b 200
          send c GET /-/backlog/x
          expect c 400",
-        hand_in(10),
+        submit(10),
     ));
 }
 
 #[test]
-fn without_the_section_there_is_no_backlog() {
+fn without_a_backlog_section_there_is_no_backlog() {
     play(
         None,
         "send list n1:7
@@ -164,26 +167,27 @@
     );
 }
 
-/// Whoever is gone before the answer was not told: the message can be handed in again, and ends once.
+/// A client that disconnects before the response does not know the outcome: it can submit the message again, which completes
+/// once.
 #[test]
-fn a_client_that_resets_while_its_message_is_stored_can_hand_it_in_again() {
-    let gone: String = (1..=20)
+fn a_client_that_resets_while_its_message_is_stored_can_submit_it_again() {
+    let resets: String = (1..=20)
         .map(|n| {
-            format!("send s{n}0 POST /notice id=g{n} dest=7 left=20000 reset=yes\nexpect s{n}0 closed\n")
+            format!("send s{n}0 POST /notice id=g{n} dest=7 timeout=20000 reset=yes\nexpect s{n}0 closed\n")
         })
         .collect();
-    let again: String = (1..=20)
-        .map(|n| format!("send s{n}1 POST /notice id=g{n} dest=7 left=20000\nexpect s{n}1 202\n"))
+    let retries: String = (1..=20)
+        .map(|n| format!("send s{n}1 POST /notice id=g{n} dest=7 timeout=20000\nexpect s{n}1 202\n"))
         .collect();
     with_backlog(&format!(
         "{}
-         {gone}
-         {again}
+         {resets}
+         {retries}
          {}
          expect n1 nothing 300
          send a GET /-/metrics
          expect a 200 edge_balancer_in_progress=0",
-        hand_in(6),
-        served(26)
+        submit(6),
+        deliver(26)
     ));
 }
--- a/relay/tests/operation.rs
+++ b/relay/tests/operation.rs
@@ -1,10 +1,10 @@
-//! Scenarios of daily operation: the second address, and what is done there.
+//! Scenarios of daily operation over the admin address.
 mod scenario;
 
 use scenario::play;
 
 #[test]
-fn the_second_address_tells_what_has_become_of_each_message() {
+fn the_admin_metrics_count_the_outcome_of_each_message() {
     play(
         None,
         "send list n1:7 n2:8:DRAINING
@@ -13,24 +13,24 @@
          expect a 200
          send a GET /-/metrics
          expect a 200 edge_balancer_handled_total:order:bad_gateway=0 edge_balancer_in_progress=0 edge_balancer_loads_total=1
-         send s1 POST /order id=j1 dest=7 left=5000 key=k1
+         send s1 POST /order id=j1 dest=7 timeout=5000 key=k1
          expect s1 202
          expect n1 POST
          send a GET /-/metrics
          expect a 200 edge_balancer_in_progress=1 edge_balancer_upstream_tries_total=1 edge_balancer_handled_total:order:passed=0
          send n1 200
          expect relay log=Delivered
-         send s1 POST /order id=j2 dest=7 left=5000 key=k2
+         send s1 POST /order id=j2 dest=7 timeout=5000 key=k2
          expect s1 202
          expect n1 POST
-         send n1 410                               # over: withdrawn by its submitter
+         send n1 410                               # final: withdrawn by its submitter
          expect relay log=Over
-         send s1 POST /notice id=j3 dest=99 left=5000  # nobody serves it
+         send s1 POST /notice id=j3 dest=99 timeout=5000  # no node serves it
          expect s1 429
-         send s1 POST /notice id=j4 dest=8 left=400
+         send s1 POST /notice id=j4 dest=8 timeout=400
          expect s1 202
          expect list returned id=j4
-         send s1 POST /nosuch id=j5 dest=7 left=400
+         send s1 POST /nosuch id=j5 dest=7 timeout=400
          expect s1 400
          wait 50
          send a GET /-/metrics
@@ -39,12 +39,12 @@
 }
 
 #[test]
-fn a_message_that_outlived_its_process_is_in_progress_until_its_end() {
+fn a_recovered_message_is_in_progress_until_it_completes() {
     play(
         None,
         "send list n1:7
          send relay start
-         send s1 POST /notice id=j1 dest=7 left=9000
+         send s1 POST /notice id=j1 dest=7 timeout=9000
          expect n1 POST
          send relay kill
          expect relay exit
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn configurations_and_faulty_ones_are_counted() {
+fn configuration_loads_and_errors_are_counted() {
     play(
         None,
         "send list n1:7
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn calls_that_are_none_are_answered_with_a_reason() {
+fn invalid_admin_requests_are_refused() {
     play(
         None,
         "send list n1:7
@@ -92,13 +92,13 @@
 }
 
 #[test]
-fn callers_that_finish_no_call_keep_nobody_out() {
-    let silent: String = (0..40).map(|n| format!("send a{n} half\n")).collect();
-    play(None, &format!("send list n1:7\nsend relay start\n{silent}send a GET /-/ready\nexpect a 200"));
+fn unfinished_admin_requests_do_not_block_others() {
+    let unfinished: String = (0..40).map(|n| format!("send a{n} partial\n")).collect();
+    play(None, &format!("send list n1:7\nsend relay start\n{unfinished}send a GET /-/ready\nexpect a 200"));
 }
 
 #[test]
-fn an_endpoint_out_by_hand_gets_nothing_until_it_is_taken_back() {
+fn a_disabled_endpoint_gets_nothing_until_it_is_enabled() {
     play(
         None,
         "send list n1:7 n2:8
@@ -110,9 +110,9 @@
          expect a 200
          send a PUT /-/endpoints/n1/disable
          expect a 200
-         send s1 POST /notice id=j1 dest=7 left=9000
+         send s1 POST /notice id=j1 dest=7 timeout=9000
          expect s1 202
-         send list n2:8                            # it leaves the list meanwhile, and returns
+         send list n2:8                            # it disappears from the list and returns
          expect relay log=list_of_execute_nodes_changed
          send list n1:7 n2:8
          expect relay log=list_of_execute_nodes_changed
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_drained_relay_says_no_sends_its_clients_away_and_comes_back() {
+fn a_drained_relay_is_not_ready_closes_its_client_connections_and_resumes() {
     play(
         None,
         "send list n1:7
@@ -145,7 +145,7 @@
          expect s1 200
          send s2 GET /ready
          expect s2 200
-         send s1 POST /notice id=j1 dest=7 left=9000
+         send s1 POST /notice id=j1 dest=7 timeout=9000
          expect s1 202
          expect n1 POST
          send a PUT /-/drain
@@ -155,10 +155,10 @@
          send s3 GET /ready
          expect s3 503 connection=close
          expect s3 closed
-         send s1 POST /notice id=j2 dest=7 left=9000   # whoever comes is served all the same
+         send s1 POST /notice id=j2 dest=7 timeout=9000   # new requests are served all the same
          expect s1 202 connection=close
          expect s1 closed
-         expect s2 closed                              # it only stood there
+         expect s2 closed                              # it was idle
          send n1 200
          expect n1 POST x-request-id=j2
          send n1 200
--- a/relay/tests/platform/answers.rs
+++ b/relay/tests/platform/answers.rs
@@ -1,52 +1,52 @@
-//! Execute nodes' answers that are broken, early, cut short or too long.
+//! Responses of execute nodes that are malformed, interim, truncated or too long.
 use crate::scenario::play;
 
 #[test]
-fn spoilt_answers_count_as_run_and_end_their_connections() {
+fn malformed_responses_count_as_run_and_close_their_connections() {
     play(
         None,
         "send list n1:7 n2:8 n3:9 n4:10
          send relay start window=500
-         send s1 POST /order id=j1 dest=7 left=5000
+         send s1 POST /order id=j1 dest=7 timeout=5000
          expect n1 POST connection=0
-         send n1 raw=HTTP/1.1_200_OK|content-length:_-5||    # true by its first line
+         send n1 raw=HTTP/1.1_200_OK|content-length:_-5||    # delivered by its status line
          expect relay log=Delivered
-         send s1 POST /notice id=j2 dest=7 left=5000
+         send s1 POST /notice id=j2 dest=7 timeout=5000
          expect n1 POST connection=1
-         send n1 raw=noise||                  # failed, and safe to repeat
+         send n1 raw=noise||                  # an error, and safe to repeat
          expect relay log=Error
          expect n1 POST connection=2
          send n1 raw=HTTP/1.1_200_OK|content-length:_3000000000||and_so_on
          expect relay log=Delivered
-         send s1 POST /order id=j3 dest=8 left=5000
+         send s1 POST /order id=j3 dest=8 timeout=5000
          expect n2 POST
          wait 600
-         send n2 raw=HTTP/1.1_503_no|content-length:_3000000000||ab   # says never ran, but cannot be trusted
-         expect list returned id=j3           # so its memory has ended by now
+         send n2 raw=HTTP/1.1_503_no|content-length:_3000000000||ab   # 503 means never ran, but the response is truncated
+         expect list returned id=j3           # so it may have run, and its idempotency window has passed
          expect n2 nothing 100
-         send s1 POST /order id=j4 dest=9 left=5000
+         send s1 POST /order id=j4 dest=9 timeout=5000
          expect n3 POST
-         send n3 raw=HTTP/1.1_200_OK|endless: # the rest of the head never comes
+         send n3 raw=HTTP/1.1_200_OK|endless: # the rest of the head never arrives
          expect relay log=Delivered
          expect n3 nothing 100",
     );
 }
 
 #[test]
-fn early_answers_are_passed_over_and_surplus_is_no_answer() {
+fn interim_responses_are_skipped_and_surplus_bytes_are_no_response() {
     play(
         None,
         "send list n1:7
          send relay start
-         send s1 POST /order id=j1 dest=7 left=5000
+         send s1 POST /order id=j1 dest=7 timeout=5000
          expect n1 POST connection=0
          send n1 raw=HTTP/1.1_103_x|link:_y||HTTP/1.1_100_x||HTTP/1.1_200_x|content-length:_2||ok
          expect relay log=Delivered
-         send s1 POST /order id=j2 dest=7 left=5000
+         send s1 POST /order id=j2 dest=7 timeout=5000
          expect n1 POST connection=0
          send n1 raw=HTTP/1.1_200_x|content-length:_2||okHTTP/1.1_200_x|content-length:_2||ok
          expect relay log=Delivered
-         send s1 POST /order id=j3 dest=7 left=5000
+         send s1 POST /order id=j3 dest=7 timeout=5000
          expect n1 POST connection=1
          send n1 200
          expect n1 nothing 100",
@@ -54,44 +54,44 @@
 }
 
 #[test]
-fn half_a_first_line_is_no_answer() {
+fn a_truncated_status_line_is_no_response() {
     play(
         None,
         "send list n1:7 n2:8
          send relay start window=1
-         send s1 POST /notice id=j1 dest=7 left=5000
+         send s1 POST /notice id=j1 dest=7 timeout=5000
          expect n1 POST
          send n1 raw=HTTP/1.1_200_O
-         close n1 call
+         close n1 connections
          expect relay log=Error
          expect n1 POST                       # may have run, but is safe to repeat
          send n1 200
-         send s1 POST /order id=j2 dest=8 left=5000
+         send s1 POST /order id=j2 dest=8 timeout=5000
          expect n2 POST
-         send n2 raw=HTTP/1.1_503_Ser         # says that it never ran, but not to the end
-         close n2 call
+         send n2 raw=HTTP/1.1_503_Ser         # 503 means never ran, but the line is truncated
+         close n2 connections
          expect relay log=Error
-         expect list returned id=j2           # past its memory
+         expect list returned id=j2           # past its idempotency window
          expect n2 nothing 100",
     );
 }
 
 #[test]
-fn a_wait_binds_from_the_head_of_its_answer_on_though_the_rest_never_comes() {
+fn retry_after_applies_once_the_head_is_read_though_the_body_never_arrives() {
     play(
         None,
         "send list n1:7
          send relay start slots=12
-         send s1 POST /notice id=j0 dest=7 left=9000
+         send s1 POST /notice id=j0 dest=7 timeout=9000
          expect n1 POST body=j0
          send n1 200
-         expect relay log=Delivered           # the window is two now
-         send s1 POST /notice id=j1 dest=7 left=9000
+         expect relay log=Delivered           # the concurrency window is two now
+         send s1 POST /notice id=j1 dest=7 timeout=9000
          expect s1 202
          expect n1 POST body=j1
          send n1 raw=HTTP/1.1_429_x|retry-after:_1.7|content-length:_50||ab
          wait 50                              # so that the head is read
-         send s1 POST /notice id=j2 dest=7 left=9000
+         send s1 POST /notice id=j2 dest=7 timeout=9000
          expect s1 202
          expect n1 nothing 1500
          expect n1 POST
@@ -103,17 +103,17 @@
 }
 
 #[test]
-fn half_a_head_counts_as_run_whatever_it_says() {
+fn a_truncated_response_head_counts_as_run_whatever_its_status() {
     play(
         None,
         "send list n1:7
          send relay start window=1
-         send s1 POST /order id=j1 dest=7 left=5000
+         send s1 POST /order id=j1 dest=7 timeout=5000
          expect n1 POST
          send n1 raw=HTTP/1.1_503_x|retry-after:_1|
-         close n1 call
+         close n1 connections
          expect relay log=Error
-         expect list returned id=j1           # past its memory
+         expect list returned id=j1           # past its idempotency window
          expect n1 nothing 100",
     );
 }
--- a/relay/tests/platform/discovery.rs
+++ b/relay/tests/platform/discovery.rs
@@ -1,8 +1,8 @@
-//! The list of execute nodes: watched, pushed, silent, down and back.
+//! The list of execute nodes: watches and pushed lists, and discovery that stalls, goes down or returns.
 use crate::scenario::play;
 
 #[test]
-fn a_watch_that_is_never_answered_is_given_up_and_the_list_asked_for_again() {
+fn an_unanswered_watch_times_out_and_the_list_is_requested_again() {
     play(
         None,
         "send list n1:7:HANG
@@ -14,11 +14,11 @@
 }
 
 #[test]
-fn a_watch_is_never_held_so_long_that_its_silence_would_be_noticed_too_late() {
+fn watches_are_short_enough_that_a_stalled_one_is_noticed_in_time() {
     play(
         None,
         "send list n1:7
-         send relay start must_ask=60         # a fifth of a minute would be twelve seconds
+         send relay start must_ask=60         # a fifth of it would be twelve seconds
          expect relay log=list_of_execute_nodes
          expect relay log=calling_discovery_held=Some(2)_wait=1ms
          expect relay log=calling_discovery_held=Some(2)_wait=1s
@@ -29,8 +29,8 @@
     );
 }
 
-/// A drain that a watch stops telling of, in such a way, is heard: by the whole list, asked for anew.
-fn silent_watch(how: &str, mode: &str) {
+/// A drain whose watch response stalls (`how`: HEAD or HALF) takes effect through a new request for the whole list.
+fn stalled_watch(how: &str, mode: &str) {
     play(
         None,
         &format!(
@@ -41,7 +41,7 @@
              expect list silent
              expect relay log=discovery_cannot_be_followed
              expect relay log=list_of_execute_nodes_generation=3
-             send s1 POST /notice id=j1 dest=7 left=2000
+             send s1 POST /notice id=j1 dest=7 timeout=2000
              expect s1 202
              expect n2 POST x-request-id=j1
              send n2 200
@@ -51,32 +51,32 @@
 }
 
 #[test]
-fn a_watch_that_falls_silent_behind_its_head_is_given_up_and_what_it_missed_is_heard() {
-    silent_watch("HEAD", "subscribe");
+fn a_watch_that_stalls_after_its_response_head_is_abandoned_and_its_changes_are_fetched() {
+    stalled_watch("HEAD", "subscribe");
 }
 
 #[test]
-fn a_watch_that_falls_silent_in_the_middle_of_its_answer_is_given_up_and_what_it_missed_is_heard() {
-    silent_watch("HALF", "subscribe");
+fn a_watch_that_stalls_within_its_response_body_is_abandoned_and_its_changes_are_fetched() {
+    stalled_watch("HALF", "subscribe");
 }
 
 #[test]
-fn where_lists_are_pushed_a_silent_watch_is_given_up_as_well() {
-    silent_watch("HALF", "push");
+fn in_push_mode_a_stalled_watch_is_abandoned_as_well() {
+    stalled_watch("HALF", "push");
 }
 
 #[test]
-fn a_discovery_that_lost_its_memory_is_asked_for_the_whole_list() {
+fn a_discovery_whose_generation_went_back_is_asked_for_the_whole_list() {
     play(
         None,
         "send list n1:7
          send relay start
          expect relay log=list_of_execute_nodes
-         close list                           # it is down, and comes back with a lower generation
+         close list                           # down; it returns with a lower generation
          expect relay log=discovery_cannot_be_followed
          send list n1:7:LOWER n2:7
          expect relay log=list_of_execute_nodes_generation=1
-         send s1 POST /notice id=j1 dest=7 left=2000
+         send s1 POST /notice id=j1 dest=7 timeout=2000
          expect s1 202
          expect n2 POST x-request-id=j1
          send n2 200
@@ -90,7 +90,7 @@
          send list n1:7:LOWER n2:7            # while the watch is open
          expect relay log=lower_generation
          expect relay log=list_of_execute_nodes_generation=1
-         send s1 POST /notice id=j1 dest=7 left=2000
+         send s1 POST /notice id=j1 dest=7 timeout=2000
          expect s1 202
          expect n2 POST x-request-id=j1
          send n2 200
@@ -99,15 +99,15 @@
 }
 
 #[test]
-fn a_list_that_is_held_is_watched_from_and_not_had_whole_again() {
+fn a_configured_list_is_watched_from_its_generation_without_a_full_request() {
     play(
         None,
         "send list n1:7
-         send relay start known=2             # as the list stands
+         send relay start known=2             # the current generation
          expect relay log=calling_discovery_held=Some(2)
          send list n1:7 n2:8
          expect relay log=list_of_execute_nodes_changed
-         send s1 POST /notice id=j1 dest=8 left=2000
+         send s1 POST /notice id=j1 dest=8 timeout=2000
          expect s1 202
          expect n2 POST
          send n2 200",
@@ -115,13 +115,13 @@
 }
 
 #[test]
-fn lists_that_are_pushed_are_followed_from_the_start() {
+fn in_push_mode_lists_are_followed_from_the_start() {
     play(
         None,
         "send list n1:7
          send relay start mode=push
          expect relay log=list_of_execute_nodes
-         send s1 POST /notice id=j1 dest=7 left=9000
+         send s1 POST /notice id=j1 dest=7 timeout=9000
          expect n1 POST
          send list n2:7
          expect relay log=list_of_execute_nodes_changed
@@ -133,21 +133,21 @@
 }
 
 #[test]
-fn a_list_that_went_quiet_is_asked_for_on_a_connection_of_its_own() {
+fn a_list_whose_watch_went_silent_is_requested_on_a_new_connection() {
     play(
         None,
         "send list n1:7
          send relay start must_ask=5
          expect relay log=list_of_execute_nodes
-         send s1 POST /notice id=j1 dest=7 left=400
+         send s1 POST /notice id=j1 dest=7 timeout=400
          expect s1 202
          expect n1 POST
-         expect list returned id=j1           # the notice's connection rests by now
-         close list quiet                     # all connections there are, the watch's too
+         expect list returned id=j1           # the connection for notices is idle by now
+         close list quiet                     # all open connections, the watch's too
          send list n2:8
          expect relay log=discovery_cannot_be_followed
          expect relay log=list_of_execute_nodes_changed_generation=3
-         send s1 POST /notice id=j2 dest=8 left=2000
+         send s1 POST /notice id=j2 dest=8 timeout=2000
          expect s1 202
          expect n2 POST
          send n2 200
--- a/relay/tests/platform/main.rs
+++ b/relay/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! Scenarios for the platform's front, each named for what it guards against.
+//! Scenarios for the platform front.
 mod admission;
 mod answers;
 mod batch;
--- a/relay/tests/platform/notices.rs
+++ b/relay/tests/platform/notices.rs
@@ -3,9 +3,9 @@
 
 #[test]
 fn many_ends_at_once_are_all_told_in_time() {
-    let mut scenario = String::from("send list n1:7\nsend relay start held=400   # n1 answers nothing\n");
+    let mut scenario = String::from("send list n1:7\nsend relay start max_open=400   # n1 never answers\n");
     for job in 0..35 {
-        scenario += &format!("send s POST /notice id=j{job} dest=7 left=1500\nexpect s 202\n");
+        scenario += &format!("send s POST /notice id=j{job} dest=7 timeout=1500\nexpect s 202\n");
     }
     for job in 0..35 {
         scenario += &format!("expect list returned id=j{job}\n");
@@ -15,15 +15,15 @@
 }
 
 #[test]
-fn a_notice_that_was_not_heard_is_told_after_a_restart() {
+fn an_undelivered_notice_is_sent_after_a_restart() {
     play(
         None,
         "send list n1:7
          send relay start
-         send s1 POST /notice id=j1 dest=7 left=600
+         send s1 POST /notice id=j1 dest=7 timeout=600
          expect s1 202
          expect n1 POST
-         expect relay log=list                # discovery goes down, and notices with it
+         expect relay log=list                # discovery, which receives notices, goes down
          close list
          expect relay log=could_not_deliver_a_notice
          send relay kill
@@ -36,22 +36,22 @@
 }
 
 #[test]
-fn a_notice_that_nobody_answers_is_not_told_on_one_silent_connection_after_another() {
+fn an_unanswered_notice_is_not_repeated_on_other_silent_connections() {
     play(
         None,
         "send list n1:7 n2:8 n3:9
          send relay start
          expect relay log=list_of_execute_nodes
-         send s1 POST /notice id=j1 dest=7 left=600
-         send s2 POST /notice id=j2 dest=8 left=600
-         send s3 POST /notice id=j3 dest=9 left=600
+         send s1 POST /notice id=j1 dest=7 timeout=600
+         send s2 POST /notice id=j2 dest=8 timeout=600
+         send s3 POST /notice id=j3 dest=9 timeout=600
          expect list returned id=j1
          expect list returned id=j2
          expect list returned id=j3
          close list quiet
-         send s1 POST /notice id=j4 dest=7 left=600
-         expect list unheard path=/reports
-         expect list returned id=j4           # at the second try
+         send s1 POST /notice id=j4 dest=7 timeout=600
+         expect list unanswered path=/reports
+         expect list returned id=j4           # at the second attempt
          expect list nothing 50",
     );
 }
--- a/relay/tests/platform/requests.rs
+++ b/relay/tests/platform/requests.rs
@@ -1,31 +1,31 @@
-//! Requests as clients send them, the faulty and endless ones too.
+//! Client requests: valid, invalid and endless ones.
 use crate::scenario::play;
 
 #[test]
-fn bad_input_is_answered_and_harms_nothing() {
+fn invalid_requests_are_refused_and_do_not_affect_others() {
     play(
         None,
         "send list n1:7
          send relay start
          send s1 raw=GARBAGE||
          expect s1 400
-         send s2 POST /order dest=7 left=2000             # no id
+         send s2 POST /order dest=7 timeout=2000          # no id
          expect s2 400
-         send s2 POST /nosuch id=j1 dest=7 left=2000
+         send s2 POST /nosuch id=j1 dest=7 timeout=2000
          expect s2 400
-         send s2 POST /order id=j2 dest=7 left=-3
+         send s2 POST /order id=j2 dest=7 timeout=-3
          expect s2 400
-         send s2 POST /order id=j3 dest=7 left=99999999999999999999
+         send s2 POST /order id=j3 dest=7 timeout=99999999999999999999
          expect s2 400
-         send s2 POST /order id=j4 dest=seven left=2000
+         send s2 POST /order id=j4 dest=seven timeout=2000
          expect s2 400
-         send s2 POST /order id=j5 left=2000
+         send s2 POST /order id=j5 timeout=2000
          expect s2 400
          send s2 GET /order
          expect s2 404
-         send s3 POST /order id=j6 dest=7 left=2000 size=70000
+         send s3 POST /order id=j6 dest=7 timeout=2000 size=70000
          expect s3 413
-         send s4 POST /order id=j7 dest=7 left=2000
+         send s4 POST /order id=j7 dest=7 timeout=2000
          expect s4 202
          expect n1 POST x-request-id=j7
          send n1 200
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn half_requests_and_silent_connections_end_in_time() {
+fn partial_requests_and_silent_connections_time_out() {
     play(
         None,
         "send list n1:7
@@ -42,14 +42,14 @@
          send s1 raw=POST_/order_HTTP/1.1|host:_x|
          send s2 raw=POST_/order_HTTP/1.1|host:_x|content-length:_9||abc
          expect s3 nothing 1
-         send s4 POST /order id=j1 dest=7 left=2000
+         send s4 POST /order id=j1 dest=7 timeout=2000
          expect s4 202
          expect n1 POST
          send n1 200
          expect s1 closed
-         expect s2 400                        # its body ended early, as far as the relay lets it
+         expect s2 400                        # the relay stopped waiting for the rest of its body
          expect s3 closed
-         expect s4 closed                     # idle for long",
+         expect s4 closed                     # the idle timeout",
     );
 }
 
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn requests_in_one_piece_are_answered_each_and_share_nothing() {
+fn pipelined_requests_are_answered_separately_and_share_no_state() {
     let post = |id: &str, key: &str| {
         format!(
             "POST_/order_HTTP/1.1|host:_x|x-request-id:_{id}|x-timeout-ms:_9000|x-envelope:_dest=7|{key}content-length:_2||{id}"
@@ -84,7 +84,7 @@
              expect s1 202
              expect n1 POST x-request-id=j1 body=j1 idempotency-key=k1
              send n1 200
-             expect n1 POST x-request-id=j2 body=j2 !idempotency-key    # on the same connections, both ways
+             expect n1 POST x-request-id=j2 body=j2 !idempotency-key    # on the same client and node connections
              send n1 200
              expect list nothing 50",
             post("j1", "idempotency-key:_k1|"),
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn heads_and_bodies_without_end_are_cut_off_and_others_served_meanwhile() {
+fn endless_heads_and_bodies_are_cut_off_while_others_are_served() {
     play(
         None,
         "send list n1:7
@@ -105,7 +105,7 @@
          send s2 raw=POST_/order_HTTP/1.1|host:_x|x-request-id:_j1|x-timeout-ms:_900|x-envelope:_dest=7|transfer-encoding:_chunked||fffff| flood=400000
          expect s2 413
          expect s2 closed
-         send s3 POST /order id=j2 dest=7 left=5000
+         send s3 POST /order id=j2 dest=7 timeout=5000
          expect s3 202
          expect n1 POST body=j2
          send n1 200
--- a/relay/tests/platform/restart.rs
+++ b/relay/tests/platform/restart.rs
@@ -1,24 +1,24 @@
-//! SIGKILL and SIGTERM: what the next process finds, and what the ending one still answers.
+//! SIGKILL and SIGTERM: what the next process recovers, and what a process answers during shutdown.
 use crate::scenario::play;
 
 #[test]
-fn jobs_outlast_the_process_and_ended_ones_do_not_come_back() {
+fn open_jobs_survive_a_kill_and_completed_ones_do_not_return() {
     play(
         None,
         "send list n1:7 n2:8
          send relay start
-         send s1 POST /order id=j1 dest=7 left=9000
+         send s1 POST /order id=j1 dest=7 timeout=9000
          expect n1 POST
          send n1 200
          expect relay log=Delivered
-         send s1 POST /order id=j2 dest=8 left=9000
+         send s1 POST /order id=j2 dest=8 timeout=9000
          expect s1 202
          expect n2 POST body=j2
          send relay kill
          expect relay exit
          send relay start
          expect relay log=recovered=1
-         expect n2 POST body=j2 x-timeout-ms<9000     # within its memory
+         expect n2 POST body=j2 x-timeout-ms<9000     # within its idempotency window
          send n2 200
          expect relay log=Delivered
          send relay kill
@@ -31,12 +31,12 @@
 }
 
 #[test]
-fn after_a_restart_an_order_past_its_memory_is_ended_not_sent() {
+fn after_a_restart_an_order_past_its_idempotency_window_is_not_sent() {
     play(
         None,
         "send list n1:7
          send relay start window=300
-         send s1 POST /order id=j1 dest=7 left=9000
+         send s1 POST /order id=j1 dest=7 timeout=9000
          expect n1 POST
          send relay kill
          expect relay exit
@@ -48,46 +48,46 @@
 }
 
 #[test]
-fn a_planned_restart_goes_on_answering_and_loses_nothing() {
+fn a_planned_restart_keeps_answering_and_loses_nothing() {
     play(
         None,
         "send list n1:7 n2:8
          send relay start
          send s3 GET /ready
          expect s3 200
-         send s1 POST /notice id=j1 dest=7 left=20000
+         send s1 POST /notice id=j1 dest=7 timeout=20000
          expect n1 POST
          send relay term
          wait 200
-         send s2 POST /order id=j2 dest=8 left=20000
+         send s2 POST /order id=j2 dest=8 timeout=20000
          expect s2 202 connection=close
          send s1 GET /ready
          expect s1 200 connection=close
          expect n2 POST
          send n2 200
-         expect s3 closed                     # idle: a request that crosses the end would be lost
+         expect s3 closed                     # idle: a request that arrives during the close would be lost
          expect relay log=no_more_connections_are_accepted
          expect relay exit
          send relay start
          expect relay log=recovered=1
-         expect n1 POST body=j1 connection=2  # two time-outs lie before
+         expect n1 POST body=j1 connection=2  # two earlier connections timed out
          send n1 200",
     );
 }
 
 #[test]
-fn a_claim_whose_connection_never_came_up_has_not_run_when_the_process_is_killed() {
+fn a_claim_that_never_connected_has_not_run_when_the_process_is_killed() {
     play(
         None,
         "send list x1:7
          send relay start window=1
-         send s1 POST /order id=j1 dest=7 left=9000
+         send s1 POST /order id=j1 dest=7 timeout=9000
          expect s1 202
          expect relay log=connecting
          send relay kill
          expect relay exit
          send list n1:7
-         send relay start window=1            # were it sent, its memory would be over
+         send relay start window=1            # had it been sent, its idempotency window would have passed
          expect relay log=recovered=1
          expect n1 POST body=j1
          send n1 200
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_request_that_is_half_read_as_the_relay_ends_may_be_handed_in_elsewhere() {
+fn a_partly_read_request_is_refused_at_shutdown() {
     play(
         None,
         "send list n1:7
@@ -115,19 +115,19 @@
 }
 
 #[test]
-fn a_second_sigterm_and_a_reload_change_nothing_once_the_relay_ends() {
+fn a_second_sigterm_and_a_reload_change_nothing_during_shutdown() {
     play(
         None,
         "send list n1:7 n2:8
          send relay start
-         send s1 POST /order id=j1 dest=7 left=9000
+         send s1 POST /order id=j1 dest=7 timeout=9000
          expect s1 202
          expect n1 POST
          send relay term
          expect relay log=SIGTERM
          send relay term
-         send relay hup held=0
-         send s2 POST /order id=j2 dest=8 left=9000   # not by the new settings: nothing is read any more
+         send relay hup max_open=0
+         send s2 POST /order id=j2 dest=8 timeout=9000   # not under the new settings: no reload during shutdown
          expect s2 202
          expect n2 POST
          send n2 200
@@ -141,24 +141,24 @@
 }
 
 #[test]
-fn sigterm_during_the_start_ends_it_and_leaves_the_journal_as_it_was() {
+fn sigterm_ends_a_waiting_successor_and_leaves_the_journal_unchanged() {
     play(
         None,
         "send list n1:7
          send relay start passed=yes
-         send s1 POST /order id=j1 dest=7 left=9000
+         send s1 POST /order id=j1 dest=7 timeout=9000
          expect s1 202
          expect n1 POST
-         send relay2 start passed=yes         # waits for the first, and has not begun
+         send relay2 start passed=yes         # waits for the first, and does not serve yet
          send b GET /-/ready
          expect b 200
          send relay2 term
          expect relay2 exit
          send n1 500
-         expect n1 POST body=j1               # the first goes on
+         expect n1 POST body=j1               # the first process continues
          send n1 200
          expect relay log=Delivered
-         send s1 GET /ready                   # so that it has been put down
+         send s1 GET /ready                   # so that the delivery is in the journal
          expect s1 200
          send relay kill
          expect relay exit
@@ -168,14 +168,14 @@
 }
 
 #[test]
-fn what_is_read_and_not_decided_on_as_the_relay_ends_is_refused() {
+fn requests_without_a_decision_at_shutdown_are_refused() {
     play(
         None,
         "send list n1:7
-         send relay start step=4000           # the next round would be after the end
+         send relay start step=4000           # the next round would be after the shutdown
          send s1 GET /ready
          expect s1 200
-         send s1 POST /order id=j1 dest=7 left=9000
+         send s1 POST /order id=j1 dest=7 timeout=9000
          send relay term
          expect s1 429 retry-after>0
          expect relay exit
@@ -186,25 +186,25 @@
 }
 
 #[test]
-fn what_a_restart_finds_untried_is_tried_where_its_node_hangs() {
+fn recovered_jobs_without_an_attempt_are_sent_though_their_node_hangs() {
     play(
         None,
         "send list n1:7
          send relay start
-         send s1 POST /notice id=j1 dest=7 left=6000
+         send s1 POST /notice id=j1 dest=7 timeout=6000
          expect s1 202
          expect n1 POST body=j1
-         send s1 POST /notice id=j2 dest=7 left=6000
+         send s1 POST /notice id=j2 dest=7 timeout=6000
          expect s1 202
-         send s1 POST /notice id=j3 dest=7 left=6000
+         send s1 POST /notice id=j3 dest=7 timeout=6000
          expect s1 202
-         send s1 POST /order id=j4 dest=7 left=6000
+         send s1 POST /order id=j4 dest=7 timeout=6000
          expect s1 202
          send relay kill
          expect relay exit
          send relay start
          expect relay log=recovered=4
-         expect n1 POST body=j2               # none is ever answered
+         expect n1 POST body=j2               # the node answers none of them
          expect n1 POST body=j3
          expect n1 POST body=j4",
     );
--- a/relay/tests/push.rs
+++ b/relay/tests/push.rs
@@ -1,4 +1,4 @@
-//! Scenarios for the second front: submitters and gateways over HTTP/2, by RFC 8030.
+//! Scenarios for the push front: submitters and gateways over HTTP/2 (RFC 8030).
 mod scenario;
 
 use scenario::play;
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_push_message_is_taken_delivered_and_passed_unchanged() {
+fn a_push_message_is_accepted_and_delivered_unchanged() {
     push(
         "send relay start
          send p POST /push/abc?x=1 ttl=5 topic=t1 urgency=high authorization=vapid content-encoding=aes128gcm body=m1
@@ -68,7 +68,7 @@
          expect g1 POST body=m2 ttl=0
          send g1 201
          send p POST /push/abc ttl=99999999999999999999999 body=m3
-         expect p 201 to=m3 ttl=6             # no longer than the class is worth anything
+         expect p 201 to=m3 ttl=6             # no longer than the class's give_up_ms
          expect g1 POST body=m3
          send g1 204
          expect ends nothing 200
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn unfit_requests_are_told_why() {
+fn invalid_push_requests_are_refused_with_their_status() {
     push(
         "send relay start
          send p POST /push/abc body=m1
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_gateways_final_word_ends_the_job_with_its_status() {
+fn a_final_gateway_response_ends_the_job_with_its_status() {
     push(
         "send relay start
          send p POST /push/a ttl=5 body=m1
@@ -138,17 +138,17 @@
 }
 
 #[test]
-fn what_cannot_be_done_in_time_is_refused_or_ended() {
+fn messages_that_cannot_be_delivered_in_time_are_refused_or_returned() {
     push(
         "send relay start
          send p POST /push/a ttl=6 body=m1
          expect g1 POST body=m1
-         expect g1 givenup body=m1            # after the tightest aim, as long as nothing is measured
+         expect g1 cancelled body=m1          # at the tightest aim, while no latency is measured
          expect g1 POST body=m1
          wait 1200
          send g1 201 to=m1
          expect relay log=Delivered
-         send p POST /push/b ttl=1 body=m2    # one takes 1.2 s there
+         send p POST /push/b ttl=1 body=m2    # a call to it takes 1.2 s
          expect p 429 to=m2 retry-after>1
          send p POST /push/c ttl=2 body=m3
          expect p 201 to=m3
@@ -160,8 +160,8 @@
 
 #[test]
 fn an_order_whose_stream_is_reset_is_never_sent_again() {
-    // 7 is REFUSED_STREAM, 8 CANCEL, 2 INTERNAL_ERROR: a gateway that resets at random gives any of them for
-    // what it has processed.
+    // 7 is REFUSED_STREAM, 8 CANCEL, 2 INTERNAL_ERROR: a gateway that resets at random uses any of them for requests that
+    // it has processed.
     push(
         "send relay start
          send p POST /order/a ttl=9 body=m1
@@ -178,7 +178,7 @@
          expect ends failed
          send p POST /order/d ttl=9 body=m4
          expect g2 POST body=m4
-         close g2 call                        # nor one whose connection breaks
+         close g2 connections                 # nor is one whose connection breaks
          expect ends failed
          expect g2 nothing 500
          send p POST /push/a ttl=5 body=m5
@@ -192,8 +192,8 @@
 
 #[test]
 fn a_gateway_that_allows_one_stream_gets_one_on_each_connection() {
-    // Two upstreams at one address and jobs from the journal, so that two claims go out on a new connection at
-    // once, before it has told what it allows.
+    // Two upstreams at one address and jobs from the journal, so that two claims are sent on a new connection at once, before
+    // its SETTINGS announce the stream limit.
     let file = FILE.replace("\"g1\"", "\"g3\"").replace("\"g2\"", "\"g3\"");
     play(
         Some(&file),
@@ -206,7 +206,7 @@
          expect relay exit
          send relay start
          expect g3 POST body=m1
-         expect g3 POST body=m2               # not behind the other, which is not answered yet
+         expect g3 POST body=m2               # not queued behind the other, which has no response yet
          send g3 201 to=m1
          send g3 201 to=m2
          expect ends nothing 100",
@@ -218,16 +218,16 @@
     let mut scenario = String::from("send relay start\n");
     let mut random = 7_u32;
     for order in 0..40 {
-        // A quarter of the streams is reset, for any reason; the order is fixed, as is the test.
+        // A quarter of the streams is reset, with any code; the sequence is the same in each run.
         random = random.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
         let reset = (random >> 24).is_multiple_of(4);
         let answer = if reset { format!("reset={}", (random >> 16) % 14) } else { "201".into() };
-        let told = if reset { "expect ends failed\n" } else { "" };
+        let notice = if reset { "expect ends failed\n" } else { "" };
         scenario += &format!(
             "send p POST /order/x ttl=20 body=o{order}
              expect g2 POST body=o{order}
              send g2 {answer}
-             {told}"
+             {notice}"
         );
     }
     scenario += "expect g2 nothing 1000\nexpect ends nothing 50";
@@ -236,11 +236,11 @@
 
 #[test]
 fn a_goaway_with_twenty_streams_open_keeps_the_lower_ones_and_repeats_the_others() {
-    // The window grows by one for each success while full: twenty in all, then twenty calls at once.
+    // The concurrency window grows by one for each success while it is full: up to twenty, then twenty calls at once.
     let mut scenario = String::from("send relay start\n");
     for wave in 1..=20 {
         for call in 0..wave {
-            // One after the other, so that streams have the order of the calls.
+            // One after the other, so that stream ids are in the order of the calls.
             scenario += &format!("send p POST /order/x ttl=20 body=w{wave}.{call}\n");
             scenario += &format!("expect g2 POST body=w{wave}.{call}\n");
         }
@@ -250,17 +250,17 @@
             }
         }
     }
-    // Streams 1, 3, 5 ...: 190 lie before the last twenty, the tenth of which is 399.
+    // Streams 1, 3, 5 ...: 190 precede the last twenty, the tenth of which is 399.
     scenario += "send g2 goaway=399\n";
     for call in 10..20 {
         scenario += &format!("expect g2 POST body=w20.{call} stream<50\n"); // on a new connection
     }
-    scenario += "send g2 201 to=w20.0\n"; // below the last id they go on
+    scenario += "send g2 201 to=w20.0\n"; // streams up to the last id continue
     for call in 10..20 {
         scenario += &format!("send g2 201 to=w20.{call}\n");
     }
     scenario += "expect ends nothing 100
-         close g2 call                        # and are lost with the connection: they may have run
+         close g2 connections                 # and fail with the connection: they may have run
          ";
     for _ in 1..10 {
         scenario += "expect ends failed\n";
@@ -270,14 +270,14 @@
 }
 
 #[test]
-fn a_draining_gateway_gets_nothing_new_from_the_word_on() {
+fn a_draining_gateway_gets_nothing_new_after_the_reload() {
     push(
         "send relay start
          send p POST /order/a ttl=9 body=m1
          expect g2 POST body=m1
          send relay hup drain=g2
          expect relay log=read_anew
-         send g2 201 to=m1                    # it finishes what it has
+         send g2 201 to=m1                    # it completes what is in flight
          expect relay log=Delivered
          send p POST /order/b ttl=2 body=m2
          expect p 201 to=m2
@@ -286,7 +286,7 @@
          send relay hup limit=4
          expect relay log=read_anew
          send p POST /order/c ttl=9 body=large
-         expect p 413                         # all of the file counts, on a connection that stays open
+         expect p 413                         # the whole file is reloaded; the connection stays open
          send p POST /order/c ttl=9 body=m3
          expect g2 POST body=m3
          send g2 201",
@@ -305,11 +305,11 @@
          expect g1 POST body=1234567
          expect ends returned                 # after 0.3 s, not 5
          send p POST /push/a ttl=5 body=12345
-         expect p 201 to=12345                # the script fails; the job goes on
+         expect p 201 to=12345                # the script fails; the job continues
          expect relay log=script_failed
          expect g1 POST body=12345
          send g1 500
-         expect ends returned after_ms>0      # given up by the script: safe to hand in again
+         expect ends returned after_ms>0      # refused by the script: safe to submit again
          expect g1 nothing 200
          send p POST /order/a ttl=9 body=m1
          expect g2 POST body=m1
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn push_messages_outlast_the_process() {
+fn push_messages_survive_a_kill() {
     push(
         "send relay start
          send p POST /order/a ttl=20 body=m1
@@ -338,7 +338,7 @@
          expect relay exit
          send relay start
          expect relay log=recovered=2
-         expect ends failed                   # the order was out: it may have run
+         expect ends failed                   # the order was in flight: it may have run
          expect g1 POST body=m2 ttl<6
          send g1 201
          expect g2 nothing 200",
@@ -346,18 +346,18 @@
 }
 
 #[test]
-fn a_topic_replaces_what_still_waits_and_leaves_alone_what_is_out() {
+fn a_topic_replaces_queued_messages_but_not_those_in_flight() {
     push(
         "send relay start
          send p POST /apporder/a ttl=20 topic=t body=m1
          expect p 201 to=m1
          expect g1 POST body=m1
-         send p POST /apporder/a ttl=20 topic=t body=m2     # m1 is out: no second copy, no end
+         send p POST /apporder/a ttl=20 topic=t body=m2     # m1 is in flight: no second copy, no notice
          expect p 201 to=m2
          send p POST /apporder/a ttl=20 topic=t body=m3
          expect p 201 to=m3
          expect ends replaced
-         send p POST /apporder/b ttl=20 topic=t body=m4     # another place
+         send p POST /apporder/b ttl=20 topic=t body=m4     # another resource
          expect p 201 to=m4
          expect ends nothing 200
          send g1 201 to=m1
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn a_message_that_is_out_and_fails_is_not_sent_again_once_it_is_replaced() {
+fn a_message_that_fails_in_flight_is_not_sent_again_once_it_is_replaced() {
     push(
         "send relay start
          send p POST /push/a ttl=5 topic=t body=m1
@@ -388,7 +388,7 @@
 }
 
 #[test]
-fn topics_and_urgencies_that_are_none_are_refused_with_the_field_named() {
+fn invalid_topics_and_urgencies_are_refused_with_the_field_named() {
     push(
         "send relay start
          send p POST /push/a ttl=5 urgency=utmost body=m1
--- a/relay/tests/scenario/http1.rs
+++ b/relay/tests/scenario/http1.rs
@@ -1,14 +1,14 @@
-//! Stand-ins over HTTP/1.1: execute nodes, discovery and submitters.
+//! Mock peers over HTTP/1.1: execute nodes, discovery, submitters and clients of the admin address.
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-use super::{Got, Said, said};
+use super::{Event, Instruction, argument};
 
-type Tell = mpsc::UnboundedSender<Got>;
-type Words = mpsc::UnboundedReceiver<Said>;
+type Events = mpsc::UnboundedSender<Event>;
+type Instructions = mpsc::UnboundedReceiver<Instruction>;
 
 fn bind(address: SocketAddr) -> TcpListener {
     let listener = std::net::TcpListener::bind(address).expect("a port");
@@ -22,72 +22,72 @@
     (listener, address)
 }
 
-/// Added to what connections look at: those that there are say nothing more, and stay open.
+/// Added to the value that connections watch: the open ones never answer again and stay open.
 const QUIET: u32 = 1_000_000;
 
-/// Closes by a reset: at once, or once so much of the next call was read.
+/// How `close` resets connections: at once, or after a number of bytes of the next request.
 const RESETS: [&str; 2] = ["reset", "after="];
 
-/// Takes connections until told to close; `serve` ends with each change of its last argument.
-pub async fn listen<F, S>(listener: TcpListener, mut words: Words, serve: F)
+/// Accepts connections until a `close` instruction; `serve` handles one connection and returns when the watched value changes.
+pub async fn listen<F, S>(listener: TcpListener, mut instructions: Instructions, serve: F)
 where
-    F: Fn(TcpStream, watch::Receiver<u32>, mpsc::UnboundedReceiver<Said>) -> S,
+    F: Fn(TcpStream, watch::Receiver<u32>, mpsc::UnboundedReceiver<Instruction>) -> S,
     S: Future<Output = ()> + Send + 'static,
 {
     let broken = watch::Sender::new(0);
     let address = listener.local_addr().expect("an address");
     let mut listener = Some(listener);
-    let mut connections: Vec<mpsc::UnboundedSender<Said>> = Vec::new();
+    let mut connections: Vec<mpsc::UnboundedSender<Instruction>> = Vec::new();
     loop {
         let accept = async { listener.as_ref().expect("it listens").accept().await };
         tokio::select! {
             Ok((stream, _)) = accept, if listener.is_some() => {
-                let (say, said) = mpsc::unbounded_channel();
-                connections.push(say);
-                tokio::spawn(serve(stream, broken.subscribe(), said));
+                let (sender, receiver) = mpsc::unbounded_channel();
+                connections.push(sender);
+                tokio::spawn(serve(stream, broken.subscribe(), receiver));
             }
-            word = words.recv() => match word {
+            instruction = instructions.recv() => match instruction {
                 None => return,
-                Some(word) if word[0].1 == "quiet" => broken.send_modify(|n| *n += QUIET),
-                // Each connection does it by itself.
-                Some(word) if word[0].0 == "close" && RESETS.iter().any(|how| word[0].1.starts_with(how)) => {
-                    connections.iter().for_each(|c| drop(c.send(word.clone())));
+                Some(instruction) if instruction[0].1 == "quiet" => broken.send_modify(|n| *n += QUIET),
+                // Each connection resets itself.
+                Some(instruction) if instruction[0].0 == "close" && RESETS.iter().any(|how| instruction[0].1.starts_with(how)) => {
+                    connections.iter().for_each(|c| drop(c.send(instruction.clone())));
                 }
-                Some(word) if word[0].0 == "close" => {
+                Some(instruction) if instruction[0].0 == "close" => {
                     broken.send_modify(|n| *n += 1);
                     connections.clear();
-                    if word[0].1 == "all" {
+                    if instruction[0].1 == "all" {
                         listener = None;
                     }
                 }
-                Some(word) if word[0].0 == "open" => {
+                Some(instruction) if instruction[0].0 == "open" => {
                     listener.get_or_insert_with(|| bind(address));
                 }
-                Some(word) => connections.iter().for_each(|c| drop(c.send(word.clone()))),
+                Some(instruction) => connections.iter().for_each(|c| drop(c.send(instruction.clone()))),
             }
         }
     }
 }
 
-/// An address where connections do not come up: what may wait to be taken is there already. Once it is told to, it takes
-/// them, and tells what comes.
-pub fn late(tell: Tell, mut words: Words) -> SocketAddr {
+/// An address where new connections hang in the handshake, because its accept queue is full. After the first instruction it
+/// accepts them and reports the requests that arrive.
+pub fn unaccepting_node(events: Events, mut instructions: Instructions) -> SocketAddr {
     let listener =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-    listener.listen(0).expect("it listens");
+    listener.listen(0).expect("listen");
     let address = listener.local_addr().expect("an address").as_socket().expect("an IP address");
-    let waiting = std::net::TcpStream::connect(address).expect("the one that may wait");
+    let queued = std::net::TcpStream::connect(address).expect("the only connection that fits the queue");
     tokio::spawn(async move {
-        let _waiting = waiting;
-        let _ = words.recv().await;
+        let _queued = queued;
+        let _ = instructions.recv().await;
         listener.set_nonblocking(true).expect("a socket");
         let listener = TcpListener::from_std(listener.into()).expect("a socket");
         while let Ok((mut stream, _)) = listener.accept().await {
-            let tell = tell.clone();
+            let events = events.clone();
             tokio::spawn(async move {
-                while let Some(got) = read(&mut stream, 0).await {
-                    let _ = tell.send(Got::new("came", [("body", got.fields["body"].as_str())]));
+                while let Some(request) = read(&mut stream, 0).await {
+                    let _ = events.send(Event::new("received", [("body", request.fields["body"].as_str())]));
                 }
             });
         }
@@ -95,8 +95,8 @@
     address
 }
 
-/// Reads a head and its body; the first word of the head is what came, `None` the end.
-async fn read(stream: &mut TcpStream, first: usize) -> Option<Got> {
+/// Reads a message; its kind is word `first` of the start line (the method or the status). `None` if the connection ended.
+async fn read(stream: &mut TcpStream, first: usize) -> Option<Event> {
     let mut text = Vec::new();
     let end = loop {
         if let Some(end) = text.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -118,117 +118,124 @@
     fields.insert("path".into(), start[1].into());
     fields.insert("size".into(), body.len().to_string());
     fields.insert("body".into(), body.iter().map(|b| *b as char).collect());
-    let mut got = Got::new(start[first], []);
-    got.fields = fields;
-    Some(got)
+    let mut event = Event::new(start[first], []);
+    event.fields = fields;
+    Some(event)
 }
 
-/// Text as a scenario's word has it.
+/// Text that is written as one word: `_` is a space, `|` a line break.
 fn raw(word: &str) -> String {
     word.replace('_', " ").replace('|', "\r\n")
 }
 
-fn answer(words: &Said) -> String {
-    if let Some(word) = said(words, "raw") {
+fn response(instruction: &Instruction) -> String {
+    if let Some(word) = argument(instruction, "raw") {
         return raw(word);
     }
-    let headers = words[1..].iter().filter(|(k, _)| k != "to").map(|(k, v)| format!("{k}: {v}\r\n"));
-    format!("HTTP/1.1 {} x\r\ncontent-length: 2\r\n{}\r\nok", words[0].0, headers.collect::<String>())
+    let headers = instruction[1..].iter().filter(|(k, _)| k != "to").map(|(k, v)| format!("{k}: {v}\r\n"));
+    format!("HTTP/1.1 {} x\r\ncontent-length: 2\r\n{}\r\nok", instruction[0].0, headers.collect::<String>())
 }
 
-/// An execute node. Its calls are told with the number of the connection that they came on.
-pub fn node(tell: Tell, words: Words) -> SocketAddr {
+/// An execute node. Its requests are reported with the number of the connection that they arrived on.
+pub fn node(events: Events, instructions: Instructions) -> SocketAddr {
     let (listener, address) = listener();
     let count = std::sync::atomic::AtomicU32::new(0);
     tokio::spawn(async move {
-        let serve = |mut stream: TcpStream, mut broken: watch::Receiver<u32>, mut said: Words| {
-            let tell = tell.clone();
+        let serve = |mut stream: TcpStream,
+                     mut broken: watch::Receiver<u32>,
+                     mut instructions: Instructions| {
+            let events = events.clone();
             let number = count.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
             async move {
                 loop {
-                    let mut got = tokio::select! {
-                        got = read(&mut stream, 0) => match got {
-                            Some(got) => got,
+                    let mut request = tokio::select! {
+                        request = read(&mut stream, 0) => match request {
+                            Some(request) => request,
                             None => break,
                         },
-                        Some(how) = said.recv() => return reset(stream, &how, &tell).await,
+                        Some(how) = instructions.recv() => return reset(stream, &how, &events).await,
                         _ = broken.changed() => return,
                     };
-                    got.fields.insert("connection".into(), number.to_string());
-                    let body = got.fields["body"].clone();
-                    let (say, mut words) = mpsc::unbounded_channel();
-                    let _ = tell.send(got.call(say));
-                    let mut rest = [0; 1];
+                    request.fields.insert("connection".into(), number.to_string());
+                    let body = request.fields["body"].clone();
+                    let (reply, mut replies) = mpsc::unbounded_channel();
+                    let _ = events.send(request.with_reply(reply));
+                    let mut byte = [0; 1];
                     tokio::select! {
-                        Some(words) = words.recv() => drop(stream.write_all(answer(&words).as_bytes()).await),
-                        _ = stream.read(&mut rest) => {
-                            let _ = tell.send(Got::new("givenup", [("body", body.as_str())]));
+                        Some(reply) = replies.recv() => drop(stream.write_all(response(&reply).as_bytes()).await),
+                        _ = stream.read(&mut byte) => {
+                            let _ = events.send(Event::new("cancelled", [("body", body.as_str())]));
                             return;
                         }
-                        Some(how) = said.recv() => return reset(stream, &how, &tell).await,
+                        Some(how) = instructions.recv() => return reset(stream, &how, &events).await,
                         _ = broken.changed() => return,
                     }
                 }
-                let _ = tell.send(Got::new("closed", [("connection", number.to_string().as_str())]));
+                let _ = events.send(Event::new("closed", [("connection", number.to_string().as_str())]));
             }
         };
-        listen(listener, words, serve).await;
+        listen(listener, instructions, serve).await;
     });
     address
 }
 
-/// Resets a connection, at once or once so many bytes of the next call were read.
-async fn reset(mut stream: TcpStream, how: &Said, tell: &Tell) {
+/// Resets a connection, at once or after a number of bytes of the next request.
+async fn reset(mut stream: TcpStream, how: &Instruction, events: &Events) {
     if let Some(bytes) = how[0].1.strip_prefix("after=") {
-        let mut part = vec![0; bytes.parse().expect("a number")];
-        if stream.read_exact(&mut part).await.is_err() {
+        let mut partial = vec![0; bytes.parse().expect("a number")];
+        if stream.read_exact(&mut partial).await.is_err() {
             return;
         }
-        let _ = tell.send(Got::new("part", [("size", bytes)]));
+        let _ = events.send(Event::new("partial", [("size", bytes)]));
     }
     stream.set_zero_linger().expect("a socket");
 }
 
-/// Discovery: the whole list, watches that end with a change, and notices.
-pub fn discovery(tell: Tell, words: Words, list: watch::Receiver<(u64, String)>) -> SocketAddr {
+/// Discovery: serves the whole list and watches that end with a change, and receives notices.
+pub fn discovery(
+    events: Events,
+    instructions: Instructions,
+    list: watch::Receiver<(u64, String)>,
+) -> SocketAddr {
     let (listener, address) = listener();
     tokio::spawn(async move {
         let serve = |mut stream: TcpStream, mut broken: watch::Receiver<u32>, _| {
-            let (tell, mut list) = (tell.clone(), list.clone());
+            let (events, mut list) = (events.clone(), list.clone());
             let opened = *broken.borrow();
             let is_quiet = move |broken: &watch::Receiver<u32>| *broken.borrow() >= opened + QUIET;
             async move {
-                while let Some(got) = read(&mut stream, 0).await {
-                    let path = got.fields["path"].clone();
+                while let Some(request) = read(&mut stream, 0).await {
+                    let path = request.fields["path"].clone();
                     if is_quiet(&broken) {
-                        let _ = tell.send(Got::new("unheard", [("path", path.as_str())]));
+                        let _ = events.send(Event::new("unanswered", [("path", path.as_str())]));
                         return std::future::pending().await;
                     }
-                    let reply = if got.what == "POST" {
-                        for line in got.fields["body"].lines() {
+                    let reply = if request.kind == "POST" {
+                        for line in request.fields["body"].lines() {
                             let notice: serde_json::Value = serde_json::from_str(line).expect("JSON");
                             let text = |key: &str| notice[key].as_str().expect("a string").to_owned();
                             let after = notice["after_ms"].to_string();
                             let fields = [("id", text("id")), ("after_ms", after)];
                             let fields = fields.iter().map(|(k, v)| (*k, v.as_str()));
-                            let _ = tell.send(Got::new(&text("state"), fields));
+                            let _ = events.send(Event::new(&text("state"), fields));
                         }
                         "HTTP/1.1 204 x\r\n\r\n".to_owned()
                     } else {
-                        let word = |key: &str| path.split(key).nth(1)?.split('&').next()?.parse::<u64>().ok();
-                        let (known, wait) = (word("index="), word("wait=").unwrap_or(0));
-                        let says = |word: &str| list.borrow().1.contains(word);
-                        // It lost its memory, and answers watches by changes from there.
-                        let lower = says("LOWER");
-                        let hangs = says("HANG") || lower && known == Some(1);
+                        let parameter =
+                            |key: &str| path.split(key).nth(1)?.split('&').next()?.parse::<u64>().ok();
+                        let (known, wait) = (parameter("index="), parameter("wait=").unwrap_or(0));
+                        let has_state = |state: &str| list.borrow().1.contains(state);
+                        // Its generation is 1 again, and it answers watches from later ones with no changes.
+                        let lower = has_state("LOWER");
+                        let hangs = has_state("HANG") || lower && known == Some(1);
                         let wait = std::time::Duration::from_millis(wait);
-                        let is_over = tokio::select! {
+                        let is_broken = tokio::select! {
                             biased;
                             _ = broken.changed() => true,
                             () = tokio::time::sleep(wait), if known.is_some() && !hangs => false,
                             _ = list.wait_for(|(generation, _)| Some(*generation) != known), if !(lower && known == Some(1)) => false,
                         };
-                        if is_over {
+                        if is_broken {
                             if is_quiet(&broken) {
                                 std::future::pending::<()>().await;
                             }
@@ -246,15 +253,15 @@
                         };
                         let head = format!("HTTP/1.1 200 x\r\ncontent-length: {}\r\n\r\n", text.len());
                         let whole = format!("{head}{text}");
-                        // Then it says no more, and nobody is told so.
-                        let told = match known {
+                        // Stops here without closing the connection.
+                        let cut = match known {
                             Some(_) if entries.contains("HEAD") => Some(head.len()),
                             Some(_) if entries.contains("HALF") => Some(head.len() + text.len() / 2),
                             _ => None,
                         };
-                        if let Some(told) = told {
-                            let _ = stream.write_all(&whole.as_bytes()[..told]).await;
-                            let _ = tell.send(Got::new("silent", []));
+                        if let Some(cut) = cut {
+                            let _ = stream.write_all(&whole.as_bytes()[..cut]).await;
+                            let _ = events.send(Event::new("silent", []));
                             return drop(broken.changed().await);
                         }
                         whole
@@ -265,89 +272,91 @@
                 }
             }
         };
-        listen(listener, words, serve).await;
+        listen(listener, instructions, serve).await;
     });
     address
 }
 
-fn request(words: &Said) -> Vec<u8> {
-    if let Some(word) = said(words, "raw") {
-        let flood = said(words, "flood").map_or(0, |size| size.parse().expect("a size"));
+fn request(instruction: &Instruction) -> Vec<u8> {
+    if let Some(word) = argument(instruction, "raw") {
+        let flood = argument(instruction, "flood").map_or(0, |size| size.parse().expect("a size"));
         return [raw(word).into_bytes(), vec![b'a'; flood]].concat();
     }
-    let id = said(words, "id").unwrap_or("");
-    let mut text = format!("{} {} HTTP/1.1\r\nhost: relay\r\n", words[0].0, words[1].0);
-    for (key, value) in &words[2..] {
+    let id = argument(instruction, "id").unwrap_or("");
+    let mut text = format!("{} {} HTTP/1.1\r\nhost: relay\r\n", instruction[0].0, instruction[1].0);
+    for (key, value) in &instruction[2..] {
         text += &match key.as_str() {
             "id" => format!("X-Request-ID: {value}\r\n"),
             "dest" => format!("X-Envelope: dest={value}\r\n"),
-            "left" => format!("X-Timeout-Ms: {value}\r\n"),
+            "timeout" => format!("X-Timeout-Ms: {value}\r\n"),
             "key" => format!("Idempotency-Key: {value}\r\n"),
             "size" => continue,
             _ => format!("{key}: {value}\r\n"),
         };
     }
-    let size = said(words, "size").map_or(id.len(), |s| s.parse().expect("a size"));
+    let size = argument(instruction, "size").map_or(id.len(), |s| s.parse().expect("a size"));
     let mut body = id.as_bytes().to_vec();
     body.resize(size, 0xff);
     text += &format!("content-length: {}\r\n\r\n", body.len());
     [text.into_bytes(), body].concat()
 }
 
-/// A caller at the second address: one call to a connection, of which `half` is never finished. Figures are told as NAME or NAME:CLASS:OUTCOME.
-pub fn caller(relay: SocketAddr, tell: Tell, mut words: Words) {
+/// A client of the admin address: one request per connection, never completed if it is `partial`. Metrics are reported as NAME
+/// or NAME:CLASS:OUTCOME.
+pub fn admin_client(relay: SocketAddr, events: Events, mut instructions: Instructions) {
     tokio::spawn(async move {
         let mut unfinished = Vec::new();
-        while let Some(words) = words.recv().await {
+        while let Some(instruction) = instructions.recv().await {
             let mut stream = TcpStream::connect(relay).await.expect("the relay listens");
-            if words[0].0 == "half" {
-                stream.write_all(b"GET /-/re").await.expect("it takes bytes");
+            if instruction[0].0 == "partial" {
+                stream.write_all(b"GET /-/re").await.expect("the request is written");
                 unfinished.push(stream);
                 continue;
             }
-            stream.write_all(&request(&words)).await.expect("it takes a call");
-            let Some(mut got) = read(&mut stream, 1).await else { continue };
-            for line in got.fields["body"].clone().lines().filter(|line| !line.starts_with('#')) {
+            stream.write_all(&request(&instruction)).await.expect("the request is written");
+            let Some(mut response) = read(&mut stream, 1).await else { continue };
+            for line in response.fields["body"].clone().lines().filter(|line| !line.starts_with('#')) {
                 let Some((name, value)) = line.rsplit_once(' ') else { continue };
                 let name = name.replace(['{', ','], ":").replace(['"', '}'], "");
                 let name = name.replace("category=", "").replace("outcome=", "");
-                got.fields.insert(name, value.into());
+                response.fields.insert(name, value.into());
             }
-            let _ = tell.send(got);
+            let _ = events.send(response);
         }
     });
 }
 
 /// A submitter's connection.
-pub fn submitter(relay: SocketAddr, tell: Tell, mut words: Words) {
+pub fn submitter(relay: SocketAddr, events: Events, mut instructions: Instructions) {
     tokio::spawn(async move {
         let mut stream = TcpStream::connect(relay).await.expect("the relay listens");
         let mut byte = [0; 1];
         loop {
-            // Read ahead, but nothing away: the relay may close an idle connection.
-            let words = tokio::select! {
-                words = words.recv() => words,
+            // Peeks without consuming: the relay may close an idle connection.
+            let instruction = tokio::select! {
+                instruction = instructions.recv() => instruction,
                 _ = stream.peek(&mut byte) => None,
             };
-            let Some(words) = words else { break };
-            if words[0].0 == "close" || stream.write_all(&request(&words)).await.is_err() {
+            let Some(instruction) = instruction else { break };
+            if instruction[0].0 == "close" || stream.write_all(&request(&instruction)).await.is_err() {
                 break;
             }
-            if said(&words, "half").is_some() {
+            if argument(&instruction, "detached").is_some() {
                 continue;
             }
-            if said(&words, "reset").is_some() {
+            if argument(&instruction, "reset").is_some() {
                 stream.set_zero_linger().expect("a socket");
                 break;
             }
-            let answers = said(&words, "answers").map_or(1, |count| count.parse().expect("a number"));
+            let answers =
+                argument(&instruction, "answers").map_or(1, |count| count.parse().expect("a number"));
             for _ in 0..answers {
                 match read(&mut stream, 1).await {
-                    Some(got) => drop(tell.send(got)),
-                    None => return drop(tell.send(Got::new("closed", []))),
+                    Some(response) => drop(events.send(response)),
+                    None => return drop(events.send(Event::new("closed", []))),
                 }
             }
         }
-        let _ = tell.send(Got::new("closed", []));
+        let _ = events.send(Event::new("closed", []));
     });
 }
--- a/relay/tests/upgrade.rs
+++ b/relay/tests/upgrade.rs
@@ -1,9 +1,9 @@
-//! Upgrades with two real processes: to every rule they are one relay.
+//! Upgrades with two real processes, which together keep every rule as one relay.
 mod scenario;
 
 use scenario::play;
 
-/// Plays a scenario in which one process runs, and `relay2` is started beside it.
+/// Plays a scenario in which `relay` (the predecessor) runs, and `relay2` (the successor) is started beside it.
 fn upgrade(before: &str, after: &str) {
     let first = "send list n1:7 n2:8
          send relay start passed=yes
@@ -15,23 +15,23 @@
 }
 
 #[test]
-fn what_waits_goes_on_at_the_newcomer_and_submitters_are_sent_there() {
+fn queued_messages_and_submitters_move_to_the_successor() {
     upgrade(
-        "send s1 POST /notice id=j1 dest=7 left=9000
+        "send s1 POST /notice id=j1 dest=7 timeout=9000
          expect s1 202
          expect n1 POST x-request-id=j1
-         send s1 POST /notice id=j2 dest=7 left=9000   # waits for its turn
+         send s1 POST /notice id=j2 dest=7 timeout=9000   # queued behind j1
          expect s1 202",
         "send relay term
          expect relay2 log=platform_front_is_ready
          expect s1 closed
          send s2 GET /ready
          expect s2 200
-         send s2 POST /notice id=j3 dest=8 left=9000
+         send s2 POST /notice id=j3 dest=8 timeout=9000
          expect s2 202
          expect n2 POST x-request-id=j3
          send n2 200
-         send n1 200                                   # j1 comes home to the old process
+         send n1 200                                   # j1 completes at the predecessor
          expect relay2 log=claim_of_the_previous_process_has_ended
          expect n1 POST x-request-id=j2
          send n1 200
@@ -44,15 +44,15 @@
 }
 
 #[test]
-fn a_claim_that_is_out_is_not_made_again_while_it_is() {
+fn a_claim_in_flight_is_not_repeated_by_the_successor() {
     upgrade(
-        "send s1 POST /order id=j1 dest=7 left=20000 key=k
+        "send s1 POST /order id=j1 dest=7 timeout=20000 key=k
          expect s1 202
          expect n1 POST x-request-id=j1",
         "send relay term
          expect relay2 log=platform_front_is_ready
-         expect n1 nothing 400                         # well within the time that calls out have to come home
-         expect n1 givenup                             # the old process waits no longer for it
+         expect n1 nothing 400                         # well within the time for calls in flight to complete
+         expect n1 cancelled                           # the predecessor stops waiting for it
          expect n1 POST x-request-id=j1
          expect relay exit
          send n1 200
@@ -61,12 +61,12 @@
 }
 
 #[test]
-fn what_never_ran_is_told_as_that_and_what_failed_is_sent_again() {
+fn outcomes_at_the_predecessor_reach_the_successor() {
     upgrade(
-        "send s1 POST /notice id=j1 dest=7 left=9000
+        "send s1 POST /notice id=j1 dest=7 timeout=9000
          expect s1 202
          expect n1 POST
-         send s1 POST /notice id=j2 dest=8 left=9000
+         send s1 POST /notice id=j2 dest=8 timeout=9000
          expect s1 202
          expect n2 POST",
         "send relay term
@@ -83,17 +83,17 @@
 }
 
 #[test]
-fn a_wait_told_to_the_old_process_binds_the_newcomer() {
+fn retry_after_received_by_the_predecessor_binds_the_successor() {
     upgrade(
-        "send s1 POST /notice id=j1 dest=7 left=9000
+        "send s1 POST /notice id=j1 dest=7 timeout=9000
          expect n1 POST
          send n1 429 retry-after=2.5
          expect relay log=Full
-         send s1 POST /notice id=j2 dest=8 left=9000
+         send s1 POST /notice id=j2 dest=8 timeout=9000
          expect n2 POST",
         "send relay term
          expect relay2 log=platform_front_is_ready
-         send n2 429 retry-after=1.5                   # and one told to it during the hand-over
+         send n2 429 retry-after=1.5                   # and one received during the handover
          expect relay2 log=outcome=Full
          expect n2 nothing 1200
          expect n1 nothing 100
@@ -103,13 +103,13 @@
 }
 
 #[test]
-fn an_endpoint_out_by_hand_and_a_drain_hold_over_two_upgrades() {
+fn a_disabled_endpoint_and_a_drain_persist_over_two_upgrades() {
     upgrade(
         "send a PUT /-/endpoints/n1/disable
          expect a 200
          send a PUT /-/drain
          expect a 200
-         send s1 POST /notice id=j1 dest=7 left=20000
+         send s1 POST /notice id=j1 dest=7 timeout=20000
          expect s1 202",
         "send relay term
          expect relay2 log=platform_front_is_ready
@@ -138,13 +138,13 @@
 }
 
 #[test]
-fn a_newcomer_that_dies_leaves_the_old_process_as_it_was() {
+fn a_successor_that_dies_leaves_the_predecessor_running() {
     upgrade(
         "",
         "send relay2 kill
          expect relay2 exit
          expect relay log=the_successor_is_gone
-         send s1 POST /notice id=j1 dest=7 left=9000
+         send s1 POST /notice id=j1 dest=7 timeout=9000
          expect s1 202
          expect n1 POST
          send n1 200
@@ -156,9 +156,9 @@
 }
 
 #[test]
-fn an_old_process_that_dies_leaves_its_journal_to_the_newcomer() {
+fn a_predecessor_that_dies_leaves_its_journal_to_the_successor() {
     upgrade(
-        "send s1 POST /notice id=j1 dest=7 left=9000
+        "send s1 POST /notice id=j1 dest=7 timeout=9000
          expect s1 202
          expect n1 POST",
         "send relay kill
@@ -171,9 +171,9 @@
 }
 
 #[test]
-fn an_old_process_killed_after_the_hand_over_leaves_its_claims_as_may_have_run() {
+fn claims_of_a_predecessor_killed_after_the_handover_may_have_run() {
     upgrade(
-        "send s1 POST /order id=j1 dest=7 left=9000 key=k
+        "send s1 POST /order id=j1 dest=7 timeout=9000 key=k
          expect s1 202
          expect n1 POST",
         "send relay term
@@ -187,11 +187,11 @@
 }
 
 #[test]
-fn a_request_that_is_half_read_at_the_old_process_is_answered() {
+fn a_partly_read_request_at_the_predecessor_is_answered() {
     upgrade(
         "send s1 GET /ready
          expect s1 200
-         send s1 raw=POST_/notice_HTTP/1.1|Host:_r|X-Request-ID:_j1|X-Envelope:_dest=7|X-Timeout-Ms:_9000|Content-Length:_2||a half=yes",
+         send s1 raw=POST_/notice_HTTP/1.1|Host:_r|X-Request-ID:_j1|X-Envelope:_dest=7|X-Timeout-Ms:_9000|Content-Length:_2||a detached=yes",
         "send relay term
          expect relay2 log=platform_front_is_ready
          send s1 raw=b
@@ -204,20 +204,20 @@
 }
 
 #[test]
-fn strangers_at_the_socket_change_nothing() {
+fn invalid_handover_connections_change_nothing() {
     play(
         None,
         "send list n1:7
          send relay start passed=yes
          expect relay log=list_of_execute_nodes
-         send relay stranger
+         send relay bad-handover
          expect relay log=does_not_speak_this_protocol
-         send relay stranger torn=yes
+         send relay bad-handover truncated=yes
          expect relay log=does_not_speak_this_protocol
          send relay2 start passed=yes
          send relay term
          expect relay2 log=platform_front_is_ready
-         send s1 POST /notice id=j1 dest=7 left=9000
+         send s1 POST /notice id=j1 dest=7 timeout=9000
          expect s1 202
          expect n1 POST
          send n1 200
@@ -226,11 +226,11 @@
 }
 
 #[test]
-fn with_the_folder_full_the_newcomer_takes_over_and_refuses_what_it_cannot_keep() {
+fn with_the_state_folder_full_the_successor_takes_over_and_refuses_what_it_cannot_store() {
     let full: String = (0..4)
         .map(|n| {
             let status = if n < 3 { 202 } else { 429 };
-            format!("send s{n} POST /notice id=f{n} dest=7 left=20000 size=9000\nexpect s{n} {status}\n")
+            format!("send s{n} POST /notice id=f{n} dest=7 timeout=20000 size=9000\nexpect s{n} {status}\n")
         })
         .collect();
     let scenario = format!(
@@ -242,7 +242,7 @@
          send relay term
          expect relay2 log=platform_front_is_ready
          expect n1 POST x-request-id=f0
-         send s9 POST /notice id=j9 dest=7 left=20000 size=9000
+         send s9 POST /notice id=j9 dest=7 timeout=20000 size=9000
          expect s9 429
          send n1 200
          expect relay2 log=claim_of_the_previous_process_has_ended
@@ -256,26 +256,26 @@
 }
 
 #[test]
-fn a_claim_that_has_not_begun_at_an_upgrade_makes_nobody_forget_an_earlier_one() {
+fn a_claim_that_has_not_started_at_an_upgrade_does_not_hide_an_earlier_one() {
     play(
         None,
         "send list n1:7
          send relay start passed=yes window=3000
          expect relay log=list_of_execute_nodes
-         send s1 POST /order id=j1 dest=7 left=20000 key=k
+         send s1 POST /order id=j1 dest=7 timeout=20000 key=k
          expect s1 202
          expect n1 POST
          send list x1:7
          expect relay log=list_of_execute_nodes_changed
-         close n1 call
+         close n1 connections
          expect relay log=Reset                        # it may have run
-         expect relay log=connecting                   # to where no connection comes up
+         expect relay log=connecting                   # to a node that accepts no connections
          send relay2 start passed=yes window=3000
          send b GET /-/ready
          expect b 200
          send relay term
          expect relay2 log=claim_of_the_previous_process_has_ended
-         expect list returned id=j1                    # its memory has ended
+         expect list returned id=j1                    # its idempotency window has passed
          send list n2:7
          expect n2 nothing 300",
     );
