--- a/lab/src/capacity/backlog_load.rs
+++ b/lab/src/capacity/backlog_load.rs
@@ -110,7 +110,7 @@
             End::AllAt(time) => time.saturating_duration_since(now),
         };
         let arrival = Arrival { at: Duration::ZERO, dest: 0, order: false, patience };
-        let pause = match submitters.ask(number, &arrival, now).await {
+        let pause = match submitters.request(number, &arrival, now).await {
             Some(Response::Accepted) => {
                 filled.taken = 1;
                 break;
--- a/lab/src/capacity/destinations.rs
+++ b/lab/src/capacity/destinations.rs
@@ -154,10 +154,10 @@
 
 async fn list(size: usize, sizes: &Sizes, seed: u64) -> Result<ListReading, Fault> {
     let site = Site::start(SUBJECT, size, table(FEW_SOCKETS, 10_000), seed).await?;
-    let whole_bytes = site.discovery.known(None).await.len() as f64;
+    let whole_bytes = site.discovery.current_list(None).await.len() as f64;
     let before = cpu_time::of_process(site.relay.id)?;
     for _ in 0..sizes.lists_told {
-        site.discovery.tell_all();
+        site.discovery.publish_all();
         sleep(sizes.list_window).await;
         site.rest().await?;
     }
@@ -175,7 +175,7 @@
     let plain = site.world.borrow().entry(size - 1, place);
     let before = cpu_time::of_deciding_thread(site.relay.id)?;
     for number in 0..told {
-        site.discovery.tell(Entry { weight: Some(f64::from(number + 2)), ..plain.clone() });
+        site.discovery.publish(Entry { weight: Some(f64::from(number + 2)), ..plain.clone() });
         sleep(CHANGE_GAP).await;
     }
     site.rest().await?;
@@ -193,7 +193,7 @@
         sleep(sizes.list_window).await;
         without.push((begin, Instant::now()));
         let begin = Instant::now();
-        site.discovery.tell_all_anew();
+        site.discovery.publish_all_reweighted();
         // The probe keeps the relay from resting, so that the time is given.
         sleep(sizes.list_window * 3).await;
         with.push((begin, Instant::now()));
@@ -243,7 +243,7 @@
         (dest as u64 + 1, Arrival { at, dest, order: false, patience: PATIENCE })
     });
     let submitters = Submitters::new(site.relay.address, BODY);
-    load::play(submitters, site.world.clone(), site.began, arrivals.collect(), Instant::now()).await;
+    load::submit_all(submitters, site.world.clone(), site.began, arrivals.collect(), Instant::now()).await;
     delivered(&site, used).await?;
     let usage = site.relay.usage();
     let used_cpu = cpu_time::of_deciding_thread(site.relay.id)?.saturating_sub(cpu);
--- a/lab/src/capacity/site.rs
+++ b/lab/src/capacity/site.rs
@@ -17,7 +17,7 @@
 use crate::emulator::Emulator;
 use crate::experiment::{Event, Experiment, RelayTable};
 use crate::model::Trouble;
-use crate::relay::{self, Around, Relay};
+use crate::relay::{self, Relay, RelayEnvironment};
 use crate::world::World;
 
 /// Time between two questions of the probe.
@@ -84,7 +84,8 @@
         let discovery = Discovery::start(world.clone(), emulator.clone(), began, Vec::new(), costs);
         let discovery = discovery.await.map_err(listener)?;
         let folder = tempfile::tempdir().map_err(|e| fault(format!("a folder: {e}")))?;
-        let around = Around { told: discovery.address, port: emulator.port, dests: destinations };
+        let around =
+            RelayEnvironment { list_or_notices: discovery.address, port: emulator.port, dests: destinations };
         let program = relay::program().map_err(fault)?;
         let relay =
             Relay::start(&program, folder.path(), &experiment, 0, around, seed).await.map_err(fault)?;
@@ -123,7 +124,7 @@
     pub fn hang(&self, destination: usize) {
         let now = self.began.elapsed();
         let trouble = Event::Trouble(Trouble::Hang);
-        self.world.borrow_mut().happen(now, trouble, destination, DAY_S, true);
+        self.world.borrow_mut().apply_event(now, trouble, destination, DAY_S, true);
     }
 }
 
--- a/lab/src/capacity/stand_ins.rs
+++ b/lab/src/capacity/stand_ins.rs
@@ -15,7 +15,7 @@
 use tokio::task::{LocalSet, spawn_local};
 
 use super::Fault;
-use crate::emulator::{Got, Reader, wide};
+use crate::emulator::{ReceivedRequest, RequestReader, listen_on_loopback};
 use crate::{number, world};
 
 /// Names of the zones.
@@ -132,7 +132,7 @@
 }
 
 async fn listen(shared: Arc<Shared>, destinations: u32) -> io::Result<SocketAddr> {
-    let endpoints = wide()?;
+    let endpoints = listen_on_loopback()?;
     let list = Arc::new(list(destinations, endpoints.local_addr()?.port()));
     let service = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = service.local_addr()?;
@@ -176,7 +176,7 @@
     let Ok(IpAddr::V4(ip)) = stream.local_addr().map(|address| address.ip()) else { return };
     let Some(place) = world::place(ip) else { return };
     let zone = 1 << (place % ZONES.len() as u32);
-    let mut reader = Reader::new(stream);
+    let mut reader = RequestReader::new(stream);
     while let Ok(Some(request)) = reader.next().await {
         if shared.silent.load(Ordering::Relaxed) & zone != 0 {
             return hang(&mut reader, &shared, zone).await;
@@ -192,20 +192,20 @@
 }
 
 /// Does not answer until the other side ends the connection, or the zone answers again and ends it itself.
-async fn hang(reader: &mut Reader, shared: &Shared, zone: u32) {
+async fn hang(reader: &mut RequestReader, shared: &Shared, zone: u32) {
     let answers_again = async {
         while shared.silent.load(Ordering::Relaxed) & zone != 0 {
             tokio::time::sleep(LOOK).await;
         }
     };
     tokio::select! {
-        () = reader.ended() => {}
+        () = reader.closed() => {}
         () = answers_again => {}
     }
 }
 
 async fn serve_list(stream: TcpStream, shared: Arc<Shared>, list: Arc<Vec<u8>>) {
-    let mut reader = Reader::new(stream);
+    let mut reader = RequestReader::new(stream);
     while let Ok(Some(request)) = reader.next().await {
         let answered = match query(&request) {
             Query::Notices => {
@@ -234,7 +234,7 @@
     Watch(Duration),
 }
 
-fn query(request: &Got) -> Query {
+fn query(request: &ReceivedRequest) -> Query {
     if request.method == "POST" {
         return Query::Notices;
     }
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -11,7 +11,7 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use crate::emulator::{Emulator, Got, Reader};
+use crate::emulator::{Emulator, ReceivedRequest, RequestReader};
 use crate::model::At;
 use crate::service::{Costs, Service};
 use crate::world::{Entry, State, World};
@@ -28,7 +28,8 @@
     pub kind: CallKind,
     /// When its turn was over.
     pub done: At,
-    pub fate: CallFate,
+    #[serde(rename = "fate")]
+    pub outcome: ListCallOutcome,
 }
 
 /// What was asked for. Watches that go on are no calls.
@@ -41,7 +42,7 @@
 
 #[derive(Clone, Copy, Debug, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum CallFate {
+pub enum ListCallOutcome {
     Answered,
     /// It had waited too long.
     Thrown,
@@ -84,7 +85,7 @@
     /// Entries as they were told, and at which generation.
     changes: RefCell<Vec<(u64, Entry)>>,
     /// ... and when.
-    pub told: RefCell<Vec<(u64, At)>>,
+    pub published: RefCell<Vec<(u64, At)>>,
     /// Generations at which the whole list was told again.
     whole: Cell<u64>,
     text: RefCell<Option<Written>>,
@@ -94,7 +95,7 @@
     /// Callers to whom it tells a false generation.
     lied_to: RefCell<HashSet<usize>>,
     /// When it lost its memory, and how far it had counted.
-    pub forgot: RefCell<Vec<(At, u64)>>,
+    pub state_losses: RefCell<Vec<(At, u64)>>,
     costs: Costs,
     service: RefCell<Service>,
     /// All calls, in the order in which they came.
@@ -126,13 +127,13 @@
             begun: SystemTime::now() - start.elapsed(),
             generation: watch::Sender::new(1),
             changes: RefCell::default(),
-            told: RefCell::default(),
+            published: RefCell::default(),
             whole: Cell::new(1),
             text: RefCell::default(),
             down: RefCell::new(down),
             one_in: Cell::new(0),
             lied_to: RefCell::default(),
-            forgot: RefCell::default(),
+            state_losses: RefCell::default(),
             costs,
             service: RefCell::default(),
             calls: RefCell::default(),
@@ -168,17 +169,17 @@
     }
 
     /// When its clock began.
-    pub fn begun(&self) -> Instant {
+    pub fn clock_start(&self) -> Instant {
         self.start
     }
 
     /// The whole list as it stands, for a caller that held it before; no call.
-    pub async fn known(&self, port: Option<u16>) -> Vec<u8> {
+    pub async fn current_list(&self, port: Option<u16>) -> Vec<u8> {
         self.whole_list(port).await.to_vec()
     }
 
     /// It is down from now on for so long.
-    pub fn go_down(&self, time: Duration) {
+    pub fn start_outage(&self, time: Duration) {
         let now = self.start.elapsed().as_secs_f64();
         self.down.borrow_mut().push((now, now + time.as_secs_f64()));
     }
@@ -189,25 +190,25 @@
     }
 
     /// Takes one of so many calls from now on, and turns the others away; 0 or 1 takes all.
-    pub fn take_one_in(&self, calls: u32) {
+    pub fn accept_one_in(&self, calls: u32) {
         self.one_in.set(calls);
     }
 
     /// Loses its memory: the list is what it is, and is counted anew from 1.
-    pub fn forget(&self) {
+    pub fn lose_state(&self) {
         self.generation.send_modify(|g| {
-            self.forgot.borrow_mut().push((self.start.elapsed(), *g));
+            self.state_losses.borrow_mut().push((self.start.elapsed(), *g));
             *g = 1;
         });
         // What was told stays told, as of the beginning.
         self.changes.borrow_mut().iter_mut().for_each(|(g, _)| *g = 1);
-        self.told.borrow_mut().clear();
+        self.published.borrow_mut().clear();
         self.whole.set(1);
         *self.text.borrow_mut() = None;
     }
 
     /// Tells callers a generation that it never had, or no longer does.
-    pub fn lie_to(&self, who: &[usize], lies: bool) {
+    pub fn set_false_generation(&self, who: &[usize], lies: bool) {
         let mut lied_to = self.lied_to.borrow_mut();
         if lies {
             lied_to.extend(who);
@@ -217,13 +218,13 @@
     }
 
     /// The time that the service gave to calls it answered, and to those it threw away.
-    pub fn used(&self) -> (Duration, Duration) {
+    pub fn service_time(&self) -> (Duration, Duration) {
         let service = self.service.borrow();
         (service.answering, service.throwing)
     }
 
     /// Tells a change from now on.
-    pub fn tell(&self, entry: Entry) {
+    pub fn publish(&self, entry: Entry) {
         let now = self.start.elapsed();
         let draining = (entry.state == State::Draining).then_some(now);
         if entry.state != State::Gone {
@@ -232,23 +233,23 @@
         self.generation.send_modify(|g| {
             *g += 1;
             self.changes.borrow_mut().push((*g, entry));
-            self.told.borrow_mut().push((*g, now));
+            self.published.borrow_mut().push((*g, now));
         });
     }
 
     /// Tells the whole list once more.
-    pub fn tell_all(&self) {
+    pub fn publish_all(&self) {
         self.generation.send_modify(|g| {
             *g += 1;
             self.whole.set(*g);
-            self.told.borrow_mut().push((*g, self.start.elapsed()));
+            self.published.borrow_mut().push((*g, self.start.elapsed()));
         });
     }
 
     /// The same with other weights, so that every entry has changed.
-    pub fn tell_all_anew(&self) {
+    pub fn publish_all_reweighted(&self) {
         self.scale.set(self.scale.get() * 1.01);
-        self.tell_all();
+        self.publish_all();
     }
 
     fn is_down(&self) -> bool {
@@ -258,12 +259,12 @@
 
     async fn connection(self: Rc<Self>, stream: TcpStream, caller: Caller) {
         let _ = stream.set_nodelay(true);
-        let mut reader = Reader::new(stream);
+        let mut reader = RequestReader::new(stream);
         while let Ok(Some(got)) = reader.next().await {
             // Nothing is written to who has gone meanwhile; what the call cost the service stays spent.
             let (status, body) = tokio::select! {
                 answer = self.answer(&got, &caller) => answer,
-                () = reader.ended() => return,
+                () = reader.closed() => return,
             };
             if reader.answer(status, &[], &body).await.is_err() {
                 return;
@@ -291,20 +292,20 @@
         let down = self.is_down() || turned_away;
         let turn = (!down)
             .then(|| self.service.borrow_mut().call(&self.costs, at, Duration::from_secs_f64(cost / 1000.0)));
-        let fate = match turn {
-            None => CallFate::Down,
-            Some(turn) if turn.thrown => CallFate::Thrown,
-            Some(_) => CallFate::Answered,
+        let outcome = match turn {
+            None => ListCallOutcome::Down,
+            Some(turn) if turn.thrown => ListCallOutcome::Thrown,
+            Some(_) => ListCallOutcome::Answered,
         };
         let done = turn.map_or(at, |turn| turn.done);
-        self.calls.borrow_mut().push(ListCall { who: caller.who, at, kind, done, fate });
+        self.calls.borrow_mut().push(ListCall { who: caller.who, at, kind, done, outcome });
         if done > at {
             tokio::time::sleep_until((self.start + done).into()).await;
         }
-        fate == CallFate::Answered
+        outcome == ListCallOutcome::Answered
     }
 
-    async fn answer(&self, got: &Got, caller: &Caller) -> (u16, Rc<Vec<u8>>) {
+    async fn answer(&self, got: &ReceivedRequest, caller: &Caller) -> (u16, Rc<Vec<u8>>) {
         let nothing = Rc::new(Vec::new());
         if got.method == "POST" && got.path == "/reports" {
             let read = self.world.borrow_mut().report(&got.body, self.start.elapsed());
@@ -418,11 +419,11 @@
 }
 
 /// How far a false generation is counted.
-pub const FALSE: u64 = u64::MAX / 2;
+pub const FALSE_GENERATION: u64 = u64::MAX / 2;
 
 /// A whole list under a generation that never was.
 fn falsified(text: &[u8]) -> Vec<u8> {
     let text = String::from_utf8_lossy(text);
     let rest = text.split_once(',').map_or("", |(_, rest)| rest);
-    format!(r#"{{"generation":{FALSE},{rest}"#).into_bytes()
+    format!(r#"{{"generation":{FALSE_GENERATION},{rest}"#).into_bytes()
 }
--- a/lab/src/emulator.rs
+++ b/lab/src/emulator.rs
@@ -26,7 +26,7 @@
 const BODY: usize = 1024 * 1024;
 
 /// A request as a stand-in reads it.
-pub struct Got {
+pub struct ReceivedRequest {
     pub method: String,
     pub path: String,
     pub headers: Vec<(String, String)>,
@@ -35,25 +35,25 @@
     pub first: Instant,
 }
 
-impl Got {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 }
 
 /// Reads requests off a connection, one after the other.
-pub struct Reader {
+pub struct RequestReader {
     pub stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-impl Reader {
+impl RequestReader {
     pub fn new(stream: TcpStream) -> Self {
-        Reader { stream, buffer: Vec::new() }
+        RequestReader { stream, buffer: Vec::new() }
     }
 
     /// The next request; `None` at the connection's end.
-    pub async fn next(&mut self) -> io::Result<Option<Got>> {
+    pub async fn next(&mut self) -> io::Result<Option<ReceivedRequest>> {
         let mut first = (!self.buffer.is_empty()).then(Instant::now);
         loop {
             if let Some((mut got, used, length)) = parse(&self.buffer)? {
@@ -75,7 +75,7 @@
     }
 
     /// Done when the other side ends the connection, or sends what it should not.
-    pub async fn ended(&mut self) {
+    pub async fn closed(&mut self) {
         let _ = self.stream.read_buf(&mut self.buffer).await;
     }
 
@@ -95,7 +95,7 @@
 }
 
 /// A request's head, its length and its body's, once it is whole.
-fn parse(buffer: &[u8]) -> io::Result<Option<(Got, usize, usize)>> {
+fn parse(buffer: &[u8]) -> io::Result<Option<(ReceivedRequest, usize, usize)>> {
     let bad = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what.to_owned());
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut request = httparse::Request::new(&mut headers);
@@ -109,7 +109,7 @@
     if length > BODY {
         return Err(bad("a body too long"));
     }
-    let got = Got {
+    let got = ReceivedRequest {
         method: request.method.unwrap_or("").to_owned(),
         path: request.path.unwrap_or("").to_owned(),
         headers,
@@ -120,7 +120,7 @@
 }
 
 /// A listener on every address of the loopback device, and on no other device.
-pub(crate) fn wide() -> io::Result<TcpListener> {
+pub(crate) fn listen_on_loopback() -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.bind_device(Some(b"lo"))?;
     socket.bind(&SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)).into())?;
@@ -163,7 +163,7 @@
 
 impl Emulator {
     pub fn start(world: Rc<RefCell<World>>, start: Instant, push: bool) -> io::Result<Rc<Self>> {
-        let listener = wide()?;
+        let listener = listen_on_loopback()?;
         let emulator = Rc::new(Emulator {
             world,
             start,
@@ -232,7 +232,7 @@
         let Ok(IpAddr::V4(ip)) = stream.local_addr().map(|a| a.ip()) else { return };
         let Some((place, dest)) = world::place(ip).and_then(|p| Some((p, self.dest(p)?))) else { return };
         let _ = stream.set_nodelay(true);
-        let mut reader = Reader::new(stream);
+        let mut reader = RequestReader::new(stream);
         let most = {
             let mut world = self.world.borrow_mut();
             let now = self.now();
@@ -285,7 +285,13 @@
     }
 
     /// Serves a call; false if the connection is to break.
-    async fn serve(&self, reader: &mut Reader, got: &Got, dest: usize, place: u32) -> bool {
+    async fn serve(
+        &self,
+        reader: &mut RequestReader,
+        got: &ReceivedRequest,
+        dest: usize,
+        place: u32,
+    ) -> bool {
         let Some(msg) = got.header("x-request-id").and_then(number) else {
             return reader.answer(400, &[], b"").await.is_ok();
         };
@@ -305,7 +311,7 @@
                 };
                 let done = tokio::select! {
                     () = tokio::time::sleep(after) => true,
-                    () = reader.ended() => false,
+                    () = reader.closed() => false,
                     () = gone => false,
                 };
                 if !done {
@@ -332,7 +338,7 @@
                 false
             }
             Fate::Silent => {
-                reader.ended().await;
+                reader.closed().await;
                 over(None);
                 false
             }
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -25,7 +25,7 @@
 /// The submitters of one relay, on either front.
 pub trait Submitter: 'static {
     /// What a front's way of telling a deadline may add to it.
-    const GRACE: Duration;
+    const DEADLINE_SLACK: Duration;
     /// Hands one message in; whether it was taken on, if that was heard.
     fn hand_in(&self, msg: u64, arrival: &Arrival, intended: Instant) -> impl Future<Output = Option<bool>>;
 }
@@ -107,16 +107,16 @@
 
     /// Hands one message in; what the relay answered, if it did in time. A close between two requests may cross the second: that one
     /// is sent once more, on a connection of its own.
-    pub async fn ask(&self, msg: u64, arrival: &Arrival, intended: Instant) -> Option<Response> {
+    pub async fn request(&self, msg: u64, arrival: &Arrival, intended: Instant) -> Option<Response> {
         let call = async {
             if let Some(open) = self.open_connection().await
-                && let Ok(response) = self.ask_on(open, msg, arrival, intended).await
+                && let Ok(response) = self.request_on(open, msg, arrival, intended).await
             {
                 return Some(response);
             }
             let connected = Instant::now();
             let new = self.new_connection().await?;
-            let answer = self.ask_on(new, msg, arrival, intended).await;
+            let answer = self.request_on(new, msg, arrival, intended).await;
             if let Err(error) = answer.as_ref()
                 && !error.is_canceled()
             {
@@ -128,7 +128,7 @@
         timeout(ANSWER_TIME, call).await.ok().flatten()
     }
 
-    async fn ask_on(
+    async fn request_on(
         &self,
         mut connection: Connection,
         msg: u64,
@@ -154,16 +154,16 @@
 }
 
 impl Submitter for Submitters {
-    const GRACE: Duration = Duration::ZERO;
+    const DEADLINE_SLACK: Duration = Duration::ZERO;
 
     async fn hand_in(&self, msg: u64, arrival: &Arrival, intended: Instant) -> Option<bool> {
-        Some(self.ask(msg, arrival, intended).await? == Response::Accepted)
+        Some(self.request(msg, arrival, intended).await? == Response::Accepted)
     }
 }
 
 /// Hands all messages in, each at its time and whatever became of those before it, and reports to the world whose clock
 /// began at `start`.
-pub async fn play<S: Submitter>(
+pub async fn submit_all<S: Submitter>(
     submitters: Rc<S>,
     world: Rc<RefCell<World>>,
     start: Instant,
@@ -176,7 +176,7 @@
         let (submitters, world) = (submitters.clone(), world.clone());
         spawn_local(async move {
             let at = intended.saturating_duration_since(start);
-            let patience = arrival.patience + S::GRACE;
+            let patience = arrival.patience + S::DEADLINE_SLACK;
             world.borrow_mut().hand_in(msg, arrival.dest, at, patience, arrival.order);
             let answer = submitters.hand_in(msg, &arrival, intended).await;
             world.borrow_mut().answer(msg, start.elapsed(), answer);
--- a/lab/src/play.rs
+++ b/lab/src/play.rs
@@ -17,7 +17,7 @@
 use crate::model::Trouble;
 use crate::push;
 use crate::record::{Second, Taken};
-use crate::relay::{Around, Relay, Usage};
+use crate::relay::{Relay, RelayEnvironment, Usage};
 use crate::rules::{Breach, Rule};
 use crate::virtual_time::Play;
 use crate::world::World;
@@ -145,8 +145,8 @@
     let discovery = Discovery::start(world.clone(), emulator.clone(), began, down, costs);
     let discovery = discovery.await.map_err(|e| fault("discovery's listener", e))?;
     let notices = push::notices(world.clone(), began).await.map_err(|e| fault("the notices' listener", e))?;
-    let told = if push { notices } else { discovery.address };
-    let around = Around { told, port: emulator.port, dests: size };
+    let list_or_notices = if push { notices } else { discovery.address };
+    let around = RelayEnvironment { list_or_notices, port: emulator.port, dests: size };
     let mut relays = Vec::new();
     for number in 0..experiment.relay.count {
         let relay = Relay::start(program, folder, experiment, number, around, seed + number as u64);
@@ -156,7 +156,7 @@
     settle(&relays).await;
     extra.insert("resident_listed_kb".into(), sum(&relays).resident_kb as f64 / relays.len() as f64);
     for _ in 0..experiment.list.told_again {
-        discovery.tell_all();
+        discovery.publish_all();
         sleep(AGAIN).await;
         settle(&relays).await;
     }
@@ -173,17 +173,17 @@
         let (body, lines) = (experiment.load.body, experiment.load.connections);
         if push {
             let submitters = push::Submitters::new(relay.address, world.clone(), body, lines);
-            spawn_local(load::play(submitters, world.clone(), began, arrivals, begin));
+            spawn_local(load::submit_all(submitters, world.clone(), began, arrivals, begin));
         } else {
             let submitters = load::Submitters::new(relay.address, body);
-            spawn_local(load::play(submitters, world.clone(), began, arrivals, begin));
+            spawn_local(load::submit_all(submitters, world.clone(), began, arrivals, begin));
         }
     }
     for at in experiment.list.told_at.clone() {
         let discovery = discovery.clone();
         spawn_local(async move {
             sleep_until((begin + Duration::from_secs_f64(at)).into()).await;
-            discovery.tell_all_anew();
+            discovery.publish_all_reweighted();
         });
     }
     let late = Duration::from_secs_f64(experiment.list.late_s);
@@ -192,12 +192,12 @@
         spawn_local(async move {
             sleep_until((begin + Duration::from_secs_f64(t.at_s)).into()).await;
             let now = began.elapsed();
-            let told = world.borrow_mut().happen(now, t.kind, t.dest, t.for_s, t.unlisted);
+            let told = world.borrow_mut().apply_event(now, t.kind, t.dest, t.for_s, t.unlisted);
             for (at, entry) in told {
                 let discovery = discovery.clone();
                 spawn_local(async move {
                     sleep_until((began + at + late).into()).await;
-                    discovery.tell(entry);
+                    discovery.publish(entry);
                 });
             }
             let places = world.borrow().places(t.dest);
--- a/lab/src/push.rs
+++ b/lab/src/push.rs
@@ -244,7 +244,7 @@
 
 impl Submitter for Submitters {
     /// Times to live are whole seconds, rounded.
-    const GRACE: Duration = Duration::from_millis(500);
+    const DEADLINE_SLACK: Duration = Duration::from_millis(500);
 
     async fn hand_in(&self, msg: u64, arrival: &Arrival, intended: Instant) -> Option<bool> {
         let call = async {
--- a/lab/src/record.rs
+++ b/lab/src/record.rs
@@ -129,7 +129,7 @@
     }
 
     /// Connections opened at one endpoint in its worst second, and those refused and all opened at any of them.
-    pub fn opens(&self) -> (u32, u32, u32) {
+    pub fn connection_counts(&self) -> (u32, u32, u32) {
         (self.opens.values().map(|(.., peak)| *peak).max().unwrap_or(0), self.opens_refused, self.opens_all)
     }
 
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -120,7 +120,7 @@
         folder: &Path,
         experiment: &Experiment,
         number: usize,
-        around: Around,
+        environment: RelayEnvironment,
         seed: u64,
     ) -> Result<Relay, String> {
         let fault = |what: &str, e: std::io::Error| format!("relay {number}: {what}: {e}");
@@ -134,7 +134,14 @@
         let text = match push {
             true => {
                 let state = folder.join("state").display().to_string();
-                push::file(experiment, around.dests, address, around.told, around.port, &state)
+                push::file(
+                    experiment,
+                    environment.dests,
+                    address,
+                    environment.list_or_notices,
+                    environment.port,
+                    &state,
+                )
             }
             false => experiment.relay.own.clone(),
         };
@@ -155,7 +162,13 @@
             vec!["--config".as_ref(), own.as_os_str()]
         });
         if !push {
-            let config = configuration(&experiment.relay, &format!("n{number}"), address, around.told, seed);
+            let config = configuration(
+                &experiment.relay,
+                &format!("n{number}"),
+                address,
+                environment.list_or_notices,
+                seed,
+            );
             std::fs::write(&file, config.to_string()).map_err(|e| fault("its configuration", e))?;
             command.env("BALANCER_CONFIG", file).env("BALANCER_STATE", folder.join("state"));
         }
@@ -188,9 +201,9 @@
 
 /// What a relay is to find round it.
 #[derive(Clone, Copy)]
-pub struct Around {
+pub struct RelayEnvironment {
     /// Discovery, or the reader of notices.
-    pub told: SocketAddr,
+    pub list_or_notices: SocketAddr,
     /// The port of the partners.
     pub port: u16,
     /// Destinations listed.
--- a/lab/src/rules.rs
+++ b/lab/src/rules.rs
@@ -11,7 +11,7 @@
 /// Calls that arrive so soon after a told wait began were on their way.
 const ON_THE_WAY: Duration = Duration::from_millis(100);
 /// Nothing new goes to a draining node so long after that was told.
-pub const DRAIN_HEARD: Duration = Duration::from_millis(500);
+pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
 /// What is told over one connection may overtake what was sent over another by so much.
 const OVERTAKES: Duration = Duration::from_millis(50);
 /// Ends may come so long after a deadline, measured where submitters are.
@@ -66,7 +66,7 @@
     may_have_run: bool,
     out: u32,
     /// No end of it is overdue before that: its relay is being restarted.
-    put_off: At,
+    not_overdue_before: At,
 }
 
 /// A call that reached a node while the node was draining or gone, by the list service's word.
@@ -143,7 +143,7 @@
     }
 
     /// Nothing is owed for a message any more, whatever becomes of it: who held it has lost its memory.
-    pub fn excuse(&mut self, msg: u64) {
+    pub fn exempt(&mut self, msg: u64) {
         self.messages.remove(&msg);
     }
 
@@ -156,7 +156,7 @@
             self.broken(Rule::InWait, now, format!("message {msg} at destination {dest}"));
         }
         if let Some(drained) =
-            self.drains.get(&node).copied().filter(|drained| first > *drained + DRAIN_HEARD)
+            self.drains.get(&node).copied().filter(|drained| first > *drained + DRAIN_GRACE)
         {
             if self.drains_judged_elsewhere {
                 self.drained_calls.push(DrainedCall { msg, node, drained, first });
@@ -221,9 +221,9 @@
     }
 
     /// No end of a message is overdue before a time: from the end of its relay's process until a while after it serves again.
-    pub fn put_off(&mut self, msg: u64, until: At) {
+    pub fn defer_end(&mut self, msg: u64, until: At) {
         if let Some(message) = self.messages.get_mut(&msg) {
-            message.put_off = until;
+            message.not_overdue_before = until;
         }
     }
 
@@ -245,7 +245,7 @@
         let overdue: Vec<u64> = self
             .messages
             .iter()
-            .filter(|(_, m)| m.taken && !m.ended && now > (m.deadline + END_SLACK).max(m.put_off))
+            .filter(|(_, m)| m.taken && !m.ended && now > (m.deadline + END_SLACK).max(m.not_overdue_before))
             .map(|(id, _)| *id)
             .collect();
         for msg in overdue {
--- a/lab/src/rules/tests.rs
+++ b/lab/src/rules/tests.rs
@@ -52,7 +52,7 @@
     let lost = broken(|c, wrong| c.look(at(if wrong { 5351 } else { 5350 })));
     assert_eq!(lost, [vec![Rule::Lost], vec![]]);
     let lost = broken(|c, wrong| {
-        c.put_off(1, at(7000));
+        c.defer_end(1, at(7000));
         c.look(at(if wrong { 7001 } else { 7000 }));
     });
     assert_eq!(lost, [vec![Rule::Lost], vec![]]);
@@ -79,7 +79,7 @@
     checker.taken(1);
     checker.called(1, 1, 7, at(10), at(10));
     checker.call_over(1, true);
-    checker.excuse(1);
+    checker.exempt(1);
     checker.called(1, 1, 7, at(20), at(20));
     checker.look(at(20_000));
     assert_eq!((checker.total(), checker.open()), (0, 0));
--- a/lab/src/virtual_time.rs
+++ b/lab/src/virtual_time.rs
@@ -202,7 +202,7 @@
                 );
             }
             Next::Happen(event, dest, seconds, unlisted) => {
-                for (at, entry) in self.world.happen(now, event, dest, seconds, unlisted) {
+                for (at, entry) in self.world.apply_event(now, event, dest, seconds, unlisted) {
                     self.at(at + late, Next::Told(entry));
                 }
             }
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -129,7 +129,14 @@
     }
 
     /// Carries out what the file has happen; gives what the list has to tell, and when.
-    pub fn happen(&mut self, now: At, event: Event, dest: usize, seconds: f64, unlisted: bool) -> Vec<Told> {
+    pub fn apply_event(
+        &mut self,
+        now: At,
+        event: Event,
+        dest: usize,
+        seconds: f64,
+        unlisted: bool,
+    ) -> Vec<Told> {
         let until = now + Duration::from_secs_f64(seconds);
         let starts = self.experiment.list.starts;
         let mut told = Vec::new();
--- a/lab/src/world/tests.rs
+++ b/lab/src/world/tests.rs
@@ -28,7 +28,7 @@
 fn what_happens_is_told_and_a_return_is_cold() {
     let mut world = world();
     let at = Duration::from_secs;
-    let told = world.happen(at(10), Event::Replace, 2, 5.0, false);
+    let told = world.apply_event(at(10), Event::Replace, 2, 5.0, false);
     assert_eq!(
         told.iter().map(|(t, e)| (*t, e.state, e.generation)).collect::<Vec<_>>(),
         [(at(10), State::Gone, 0), (at(15), State::Serving, 1)]
@@ -36,8 +36,8 @@
     assert_eq!(told[1].1.started, Some(at(15)));
     assert!(world.partner(2, 6).is_gone(at(14)) && !world.partner(2, 6).is_gone(at(15)));
     assert!(world.partner(2, 6).is_cold(at(16)));
-    assert!(world.happen(at(20), Event::Restart, 2, 1.0, true).is_empty());
-    let told = world.happen(at(30), Event::Drain, 0, 4.0, false);
+    assert!(world.apply_event(at(20), Event::Restart, 2, 1.0, true).is_empty());
+    let told = world.apply_event(at(30), Event::Drain, 0, 4.0, false);
     assert_eq!(told.len(), 6);
     assert!(!world.partner(0, 0).is_gone(at(33)) && world.partner(0, 0).is_gone(at(35)));
 }
--- a/rig/src/check.rs
+++ b/rig/src/check.rs
@@ -1,5 +1,5 @@
 //! What is promised of a fleet, each as a check of what was seen from outside. A check that fails says by which events.
-use onyxglade_lab::discovery::{CallFate, FALSE};
+use onyxglade_lab::discovery::{FALSE_GENERATION, ListCallOutcome};
 
 use crate::drains;
 use crate::history::{History, Unanswered, What};
@@ -82,7 +82,7 @@
                 match e.what {
                     What::Started => held[e.relay] = (0, at, 0),
                     // Told to some by a service that lies: neither older nor newer than what is true.
-                    What::Listed(FALSE) => {}
+                    What::Listed(FALSE_GENERATION) => {}
                     What::Listed(generation) => {
                         // A service that lost its memory counts anew; what it had counted before is older from then on.
                         let before =
@@ -103,7 +103,7 @@
         }
         Promise::ServiceTimeIsUseful => {
             let (useful, useless) = (history.answering.as_secs_f64(), history.throwing.as_secs_f64());
-            let thrown = history.list_calls.iter().filter(|c| c.fate == CallFate::Thrown).count();
+            let thrown = history.list_calls.iter().filter(|c| c.outcome == ListCallOutcome::Thrown).count();
             (useful < 2.0 * useless)
                 .then(|| format!("{useful:.1} s answering, {useless:.1} s on {thrown} thrown away"))
         }
--- a/rig/src/clients.rs
+++ b/rig/src/clients.rs
@@ -17,7 +17,7 @@
 pub type Holders = Rc<RefCell<HashMap<u64, usize>>>;
 
 impl Submitter for Clients {
-    const GRACE: Duration = Duration::ZERO;
+    const DEADLINE_SLACK: Duration = Duration::ZERO;
 
     async fn hand_in(&self, msg: u64, arrival: &Arrival, intended: Instant) -> Option<bool> {
         let answer = self.hand_to(self.mine, msg, arrival, intended).await;
--- a/rig/src/drains.rs
+++ b/rig/src/drains.rs
@@ -4,7 +4,7 @@
 //! since it started, the process's own word that it holds such a version, and the spans of the platform's rules after which it counts
 //! as told whether or not it came. Where lists pass between relays this is not judged here: the checker holds the drain to have been
 //! heard by all at once there.
-use onyxglade_lab::rules::{DRAIN_HEARD, DrainedCall};
+use onyxglade_lab::rules::{DRAIN_GRACE, DrainedCall};
 use std::time::Duration;
 
 use crate::history::{At, History, What};
@@ -38,7 +38,7 @@
 
 /// How much later a call came than it may have, if it did.
 fn lateness(history: &History, relay: usize, call: &DrainedCall) -> Option<Duration> {
-    let allowed = told(history, relay, call) + DRAIN_HEARD + SOCKET_SLACK;
+    let allowed = told(history, relay, call) + DRAIN_GRACE + SOCKET_SLACK;
     call.first.checked_sub(allowed).filter(|late| !late.is_zero())
 }
 
--- a/rig/src/play.rs
+++ b/rig/src/play.rs
@@ -220,7 +220,7 @@
     for (mine, arrivals) in arrivals.into_iter().enumerate() {
         let holders = stage.holders.clone();
         let clients = Rc::new(Clients { relays: submitters.clone(), mine, holders });
-        spawn_local(load::play(clients, world.clone(), start, arrivals, begin));
+        spawn_local(load::submit_all(clients, world.clone(), start, arrivals, begin));
     }
     let total = schedule.seconds.ceil() as u64;
     let bar = if progress { ProgressBar::new(total) } else { ProgressBar::hidden() };
@@ -256,10 +256,10 @@
     let holders = stage.holders.borrow();
     let whose = |call: &DrainedCall| Some((*holders.get(&call.msg)?, *call));
     history.drained_calls = world.checker.drained_calls().iter().filter_map(whose).collect();
-    history.forgot = discovery.forgot.borrow().clone();
-    history.told = discovery.told.borrow().clone();
-    (history.answering, history.throwing) = discovery.used();
-    (history.opens_most, history.opens_refused, history.opens_all) = world.record.opens();
+    history.forgot = discovery.state_losses.borrow().clone();
+    history.told = discovery.published.borrow().clone();
+    (history.answering, history.throwing) = discovery.service_time();
+    (history.opens_most, history.opens_refused, history.opens_all) = world.record.connection_counts();
     history.opens_taken = taken.unwrap_or(0);
     history.breaches = world.checker.breaches().to_vec();
     history.rules_broken = world.checker.total();
@@ -300,7 +300,7 @@
     if known == Known::Nothing {
         return None;
     }
-    let mut list: Value = serde_json::from_slice(&discovery.known(port).await).ok()?;
+    let mut list: Value = serde_json::from_slice(&discovery.current_list(port).await).ok()?;
     if known == Known::Old {
         // Every address is the next one's now.
         list["generation"] = 0.into();
@@ -319,21 +319,21 @@
         let numbers = self.schedule.relays(&fault.relays)?;
         let chosen: Vec<_> = numbers.iter().map(|n| self.relays[*n].clone()).collect();
         match fault.kind {
-            Kind::ListDown => self.discovery.go_down(lasts.unwrap_or_default()),
-            Kind::ListForgets => self.discovery.forget(),
-            Kind::ListChanges => self.discovery.tell_all_anew(),
+            Kind::ListDown => self.discovery.start_outage(lasts.unwrap_or_default()),
+            Kind::ListForgets => self.discovery.lose_state(),
+            Kind::ListChanges => self.discovery.publish_all_reweighted(),
             Kind::ListBusy => {
-                self.discovery.take_one_in(fault.one_in);
+                self.discovery.accept_one_in(fault.one_in);
                 if let Some(lasts) = lasts {
                     sleep(lasts).await;
-                    self.discovery.take_one_in(0);
+                    self.discovery.accept_one_in(0);
                 }
             }
             Kind::ListLies => {
-                self.discovery.lie_to(&numbers, true);
+                self.discovery.set_false_generation(&numbers, true);
                 if let Some(lasts) = lasts {
                     sleep(lasts).await;
-                    self.discovery.lie_to(&numbers, false);
+                    self.discovery.set_false_generation(&numbers, false);
                 }
             }
             Kind::Partner => self.partner(fault),
@@ -386,7 +386,7 @@
                     let holders = self.holders.borrow();
                     let mut world = self.world.borrow_mut();
                     let lost = holders.iter().filter(|(_, relay)| numbers.contains(relay));
-                    lost.for_each(|(msg, _)| world.checker.excuse(*msg));
+                    lost.for_each(|(msg, _)| world.checker.exempt(*msg));
                 }
                 let Some(lasts) = lasts else { return Ok(()) };
                 sleep(lasts).await;
@@ -433,13 +433,13 @@
         let holders = self.holders.borrow();
         let mut world = self.world.borrow_mut();
         let held = holders.iter().filter(|(_, holder)| **holder == relay);
-        held.for_each(|(msg, _)| world.checker.put_off(*msg, until));
+        held.for_each(|(msg, _)| world.checker.defer_end(*msg, until));
     }
 
     /// A relay that was started again owes what it holds a while after it is ready.
     async fn ready_again(self: Rc<Self>, relay: Rc<Relay>) {
         if relay.ready().await {
-            self.put_off(relay.number, self.discovery.begun().elapsed() + TOLD_AGAIN);
+            self.put_off(relay.number, self.discovery.clock_start().elapsed() + TOLD_AGAIN);
         }
     }
 
@@ -471,15 +471,20 @@
     /// A partner is in trouble, and the list tells of it.
     fn partner(self: &Rc<Self>, fault: &Fault) {
         let (Some(dest), Some(trouble)) = (fault.dest, fault.trouble) else { return };
-        let zero = self.discovery.begun();
+        let zero = self.discovery.clock_start();
         let seconds = fault.for_s.unwrap_or(86_400.0);
-        let told =
-            self.world.borrow_mut().happen(zero.elapsed(), trouble, dest, seconds, trouble != Partner::Drain);
+        let told = self.world.borrow_mut().apply_event(
+            zero.elapsed(),
+            trouble,
+            dest,
+            seconds,
+            trouble != Partner::Drain,
+        );
         for (at, entry) in told {
             let discovery = self.discovery.clone();
             spawn_local(async move {
                 sleep_until((zero + at).into()).await;
-                discovery.tell(entry);
+                discovery.publish(entry);
             });
         }
     }
--- a/rig/src/report.rs
+++ b/rig/src/report.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use onyxglade_lab::discovery::{CallFate, CallKind};
+use onyxglade_lab::discovery::{CallKind, ListCallOutcome};
 use onyxglade_lab::experiment::Expectation;
 use onyxglade_lab::record::{Second, write_csv};
 
@@ -102,9 +102,9 @@
     let mut figures = vec![
         ("relays", history.relays as f64),
         ("list_calls", calls.len() as f64),
-        ("list_calls_failed", count(&|c| c.fate != CallFate::Answered)),
+        ("list_calls_failed", count(&|c| c.outcome != ListCallOutcome::Answered)),
         ("list_calls_most_in_a_second", f64::from(by_second.values().copied().max().unwrap_or(0))),
-        ("lists", count(&|c| c.fate == CallFate::Answered && c.kind == CallKind::Whole)),
+        ("lists", count(&|c| c.outcome == ListCallOutcome::Answered && c.kind == CallKind::Whole)),
         ("service_useful_share", if useful + useless > 0.0 { useful / (useful + useless) } else { 1.0 }),
         ("without_list", listed.iter().filter(|l| l.is_none()).count() as f64),
         ("connections_peak_share", share(f64::from(history.opens_most), f64::from(history.opens_taken))),
--- a/rig/tests/short.rs
+++ b/rig/tests/short.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{holds, played, read};
-use onyxglade_lab::discovery::CallFate;
+use onyxglade_lab::discovery::ListCallOutcome;
 use onyxglade_rig::history::What;
 use onyxglade_rig::schedule::Schedule;
 use std::path::Path;
@@ -40,7 +40,7 @@
     let history = holds("short-lists.toml");
     let first: Vec<_> = history.list_calls.iter().filter(|c| c.at.as_secs_f64() < 2.0).collect();
     assert!(first.len() <= 2, "eight relays, and these calls: {first:?}");
-    let stood_in = history.list_calls.iter().any(|c| c.who > 2 && c.fate == CallFate::Answered);
+    let stood_in = history.list_calls.iter().any(|c| c.who > 2 && c.outcome == ListCallOutcome::Answered);
     assert!(stood_in, "nobody took their place: {:?}", history.list_calls);
     assert!(history.heard().iter().all(Option::is_some), "a change was not heard: {:?}", history.heard());
 }
--- a/rig/tests/starts.rs
+++ b/rig/tests/starts.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{holds, played, read};
-use onyxglade_lab::discovery::CallFate;
+use onyxglade_lab::discovery::ListCallOutcome;
 use onyxglade_rig::history::{History, What};
 
 /// Of those that held a list when there was news, at least so many.
@@ -14,7 +14,7 @@
 
 /// The list service answered somebody who is no seed.
 fn somebody_stood_in(history: &History) -> bool {
-    history.list_calls.iter().any(|c| c.who > 2 && c.fate == CallFate::Answered)
+    history.list_calls.iter().any(|c| c.who > 2 && c.outcome == ListCallOutcome::Answered)
 }
 
 #[test]
@@ -36,7 +36,7 @@
 #[test]
 fn a_list_service_that_turns_nine_in_ten_away_is_enough_for_all() {
     let history = holds("start-list-busy.toml");
-    assert!(history.list_calls.iter().any(|c| c.fate == CallFate::Down), "nobody was turned away");
+    assert!(history.list_calls.iter().any(|c| c.outcome == ListCallOutcome::Down), "nobody was turned away");
 }
 
 #[test]
