--- a/lab/src/capacity/stand_ins.rs
+++ b/lab/src/capacity/stand_ins.rs
@@ -16,7 +16,7 @@
 
 use super::Fault;
 use crate::emulator::{ReceivedRequest, RequestReader, listen_on_loopback};
-use crate::{number, world};
+use crate::{message_number, world};
 
 /// Names of the zones.
 pub const ZONES: [&str; 4] = ["a", "b", "c", "d"];
@@ -174,7 +174,7 @@
 
 async fn serve_endpoint(stream: TcpStream, shared: Arc<Shared>) {
     let Ok(IpAddr::V4(ip)) = stream.local_addr().map(|address| address.ip()) else { return };
-    let Some(place) = world::place(ip) else { return };
+    let Some(place) = world::endpoint_at(ip) else { return };
     let zone = 1 << (place % ZONES.len() as u32);
     let mut reader = RequestReader::new(stream);
     while let Ok(Some(request)) = reader.next().await {
@@ -182,7 +182,7 @@
             return hang(&mut reader, &shared, zone).await;
         }
         shared.take_turn().await;
-        if let Some(message) = request.header("x-request-id").and_then(number) {
+        if let Some(message) = request.header("x-request-id").and_then(message_number) {
             shared.observations().serve(message);
         }
         if reader.answer(200, &[], b"ok").await.is_err() {
@@ -252,7 +252,7 @@
     let text = String::from_utf8_lossy(body);
     text.lines().filter(|line| !line.trim().is_empty()).all(|line| {
         let notice = serde_json::from_str::<serde_json::Value>(line).ok();
-        let message = notice.and_then(|notice| number(notice["id"].as_str()?));
+        let message = notice.and_then(|notice| message_number(notice["id"].as_str()?));
         message.map(|message| *observations.noticed.entry(message).or_insert(now)).is_some()
     })
 }
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -228,7 +228,7 @@
         let now = self.start.elapsed();
         let draining = (entry.state == State::Draining).then_some(now);
         if entry.state != State::Gone {
-            self.world.borrow_mut().checker.drain(entry.place, draining);
+            self.world.borrow_mut().checker.drain(entry.endpoint, draining);
         }
         self.generation.send_modify(|g| {
             *g += 1;
@@ -362,18 +362,18 @@
         }
         // As it was told, which may be older than it is.
         let told: std::collections::HashMap<u32, Entry> =
-            self.changes.borrow().iter().map(|(_, e)| (e.place, e.clone())).collect();
+            self.changes.borrow().iter().map(|(_, e)| (e.endpoint, e.clone())).collect();
         let mut text = format!(r#"{{"generation":{generation},"reset":true,"instances":["#);
         let (head, dests) = (text.len(), self.world.borrow().dests);
         for dest in 0..dests {
             if dest % 200 == 0 {
                 tokio::task::yield_now().await;
             }
-            let places = self.world.borrow().places(dest);
-            for place in places {
-                let plain = self.world.borrow().entry(dest, place);
+            let endpoints = self.world.borrow().endpoints_of(dest);
+            for endpoint in endpoints {
+                let plain = self.world.borrow().entry(dest, endpoint);
                 let first = Entry { generation: 0, moved: 0, started: None, ..plain };
-                let entry = told.get(&place).cloned().unwrap_or(first);
+                let entry = told.get(&endpoint).cloned().unwrap_or(first);
                 if entry.state != State::Gone {
                     text.push_str(if text.len() > head { "," } else { "" });
                     text.push_str(&self.line(&entry, port));
@@ -398,7 +398,7 @@
     }
 
     fn line(&self, entry: &Entry, port: Option<u16>) -> String {
-        let mut address = self.emulator.address(entry.place, entry.moved);
+        let mut address = self.emulator.address(entry.endpoint, entry.moved);
         address.set_port(port.unwrap_or(address.port()));
         let state = match entry.state {
             State::Serving => "SERVING",
--- a/lab/src/emulator.rs
+++ b/lab/src/emulator.rs
@@ -16,8 +16,8 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, spawn_local};
 
+use crate::message_number;
 use crate::model::{At, Fate};
-use crate::number;
 use crate::push;
 use crate::world::{self, World};
 
@@ -183,28 +183,28 @@
     }
 
     /// An endpoint's address.
-    pub fn address(&self, place: u32, moved: u32) -> SocketAddr {
-        let own = self.own.borrow().get(&(place, moved)).map(|(port, _)| *port);
-        world::address(place, moved, own.unwrap_or(self.port))
+    pub fn address(&self, endpoint: u32, moved: u32) -> SocketAddr {
+        let own = self.own.borrow().get(&(endpoint, moved)).map(|(port, _)| *port);
+        world::address(endpoint, moved, own.unwrap_or(self.port))
     }
 
     /// Gives an endpoint a listener of its own, so that it can refuse connections.
-    pub fn make_own(self: &Rc<Self>, place: u32, moved: u32) -> io::Result<()> {
-        let known = self.own.borrow().get(&(place, moved)).map_or(0, |(port, _)| *port);
-        let listener = narrow(world::address(place, moved, known))?;
+    pub fn make_own(self: &Rc<Self>, endpoint: u32, moved: u32) -> io::Result<()> {
+        let known = self.own.borrow().get(&(endpoint, moved)).map_or(0, |(port, _)| *port);
+        let listener = narrow(world::address(endpoint, moved, known))?;
         let port = listener.local_addr()?.port();
         let task = spawn_local(self.clone().accept(listener));
-        self.own.borrow_mut().insert((place, moved), (port, Some(task)));
+        self.own.borrow_mut().insert((endpoint, moved), (port, Some(task)));
         Ok(())
     }
 
     /// From now on an endpoint refuses connections; those that it has break if `breaks` says so.
-    pub fn refuse(&self, place: u32, breaks: bool) {
-        for (_, (_, task)) in self.own.borrow_mut().iter_mut().filter(|((p, _), _)| *p == place) {
+    pub fn refuse(&self, endpoint: u32, breaks: bool) {
+        for (_, (_, task)) in self.own.borrow_mut().iter_mut().filter(|((p, _), _)| *p == endpoint) {
             task.take().iter().for_each(JoinHandle::abort);
         }
         if breaks {
-            self.breaks.send_modify(|(who, n)| (*who, *n) = (place, *n + 1));
+            self.breaks.send_modify(|(who, n)| (*who, *n) = (endpoint, *n + 1));
         }
     }
 
@@ -218,35 +218,37 @@
         }
     }
 
-    fn dest(&self, place: u32) -> Option<usize> {
-        if let Some(dest) = self.dests.borrow().get(&place) {
+    fn dest(&self, endpoint: u32) -> Option<usize> {
+        if let Some(dest) = self.dests.borrow().get(&endpoint) {
             return Some(*dest);
         }
         let world = self.world.borrow();
-        let dest = destination(&world, place)?;
-        self.dests.borrow_mut().insert(place, dest);
+        let dest = destination(&world, endpoint)?;
+        self.dests.borrow_mut().insert(endpoint, dest);
         Some(dest)
     }
 
     async fn connection(self: Rc<Self>, stream: TcpStream) {
         let Ok(IpAddr::V4(ip)) = stream.local_addr().map(|a| a.ip()) else { return };
-        let Some((place, dest)) = world::place(ip).and_then(|p| Some((p, self.dest(p)?))) else { return };
+        let Some((endpoint, dest)) = world::endpoint_at(ip).and_then(|p| Some((p, self.dest(p)?))) else {
+            return;
+        };
         let _ = stream.set_nodelay(true);
         let mut reader = RequestReader::new(stream);
         let most = {
             let mut world = self.world.borrow_mut();
             let now = self.now();
-            let partner = world.partner(dest, place);
+            let partner = world.partner(dest, endpoint);
             if partner.is_gone(now) {
                 return reader.reset();
             }
             let (most, opens) = (partner.nature.connections, partner.nature.opens);
-            if !world.record.opened(now, place, opens) {
+            if !world.record.opened(now, endpoint, opens) {
                 return reader.reset();
             }
             most
         };
-        let open = self.open.borrow_mut().entry(place).or_default().clone();
+        let open = self.open.borrow_mut().entry(endpoint).or_default().clone();
         if most > 0 && open.get() >= most {
             return reader.reset();
         }
@@ -255,14 +257,14 @@
         breaks.borrow_and_update();
         let mut broken = std::pin::pin!(async {
             while breaks.changed().await.is_ok() {
-                if breaks.borrow_and_update().0 == place {
+                if breaks.borrow_and_update().0 == endpoint {
                     return;
                 }
             }
             std::future::pending().await
         });
         if self.push {
-            let serve = push::serve(reader.stream, self.world.clone(), self.start, dest, place);
+            let serve = push::serve(reader.stream, self.world.clone(), self.start, dest, endpoint);
             tokio::select! {
                 () = serve => {}
                 () = broken => {}
@@ -273,7 +275,7 @@
             tokio::select! {
                 got = reader.next() => match got {
                     Ok(Some(got)) => {
-                        if !self.serve(&mut reader, &got, dest, place).await {
+                        if !self.serve(&mut reader, &got, dest, endpoint).await {
                             return reader.reset();
                         }
                     }
@@ -290,13 +292,13 @@
         reader: &mut RequestReader,
         got: &ReceivedRequest,
         dest: usize,
-        place: u32,
+        endpoint: u32,
     ) -> bool {
-        let Some(msg) = got.header("x-request-id").and_then(number) else {
+        let Some(msg) = got.header("x-request-id").and_then(message_number) else {
             return reader.answer(400, &[], b"").await.is_ok();
         };
         let first = got.first.saturating_duration_since(self.start);
-        let fate = self.world.borrow_mut().call(msg, dest, place, first, self.now());
+        let fate = self.world.borrow_mut().call(msg, dest, endpoint, first, self.now());
         let over = |fate| self.world.borrow_mut().call_over(msg, dest, self.now(), fate);
         match fate {
             Fate::Served(after) => {
@@ -304,7 +306,7 @@
                     loop {
                         // What broke meanwhile is seen soon enough at this grain.
                         tokio::time::sleep(Duration::from_millis(20)).await;
-                        if self.world.borrow_mut().partner(dest, place).is_gone(self.now()) {
+                        if self.world.borrow_mut().partner(dest, endpoint).is_gone(self.now()) {
                             return;
                         }
                     }
@@ -347,17 +349,17 @@
 }
 
 /// The destination that an endpoint is of. Endpoints are numbered in the order of destinations, so that halving finds it.
-fn destination(world: &World, place: u32) -> Option<usize> {
+fn destination(world: &World, endpoint: u32) -> Option<usize> {
     let (mut low, mut high) = (0, world.dests);
     while low < high {
         let middle = low.midpoint(high);
-        if world.places(middle).end <= place {
+        if world.endpoints_of(middle).end <= endpoint {
             low = middle + 1;
         } else {
             high = middle;
         }
     }
-    (low < world.dests && world.places(low).contains(&place)).then_some(low)
+    (low < world.dests && world.endpoints_of(low).contains(&endpoint)).then_some(low)
 }
 
 /// Counts one for as long as it lives.
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -24,6 +24,6 @@
 pub mod world;
 
 /// Messages are called `m` and their number.
-pub fn number(id: &str) -> Option<u64> {
+pub fn message_number(id: &str) -> Option<u64> {
     id.strip_prefix('m')?.parse().ok()
 }
--- a/lab/src/play.rs
+++ b/lab/src/play.rs
@@ -132,11 +132,11 @@
     let emulator =
         Emulator::start(world.clone(), began, push).map_err(|e| fault("the emulator's listener", e))?;
     for t in &experiment.troubles {
-        let places = world.borrow().places(t.dest);
-        for place in places.filter(|_| gone(t.kind)) {
+        let endpoints = world.borrow().endpoints_of(t.dest);
+        for endpoint in endpoints.filter(|_| gone(t.kind)) {
             let moves = if t.kind == Event::Move { 1 } else { 0 };
             for moved in 0..=moves {
-                emulator.make_own(place, moved).map_err(|e| fault("an endpoint's listener", e))?;
+                emulator.make_own(endpoint, moved).map_err(|e| fault("an endpoint's listener", e))?;
             }
         }
     }
@@ -200,18 +200,18 @@
                     discovery.publish(entry);
                 });
             }
-            let places = world.borrow().places(t.dest);
+            let endpoints = world.borrow().endpoints_of(t.dest);
             let until = began + now + Duration::from_secs_f64(t.for_s);
             if t.kind == Event::Drain {
                 sleep_until(until.into()).await;
-                places.for_each(|place| emulator.refuse(place, true));
+                endpoints.for_each(|endpoint| emulator.refuse(endpoint, true));
             } else if gone(t.kind) {
                 let breaks = t.kind != Event::Trouble(Trouble::Refuse);
-                places.clone().for_each(|place| emulator.refuse(place, breaks));
+                endpoints.clone().for_each(|endpoint| emulator.refuse(endpoint, breaks));
                 sleep_until(until.into()).await;
                 let moved = u32::from(t.kind == Event::Move);
                 // A port that cannot be had again leaves the endpoint down, which the figures show.
-                places.for_each(|place| drop(emulator.make_own(place, moved)));
+                endpoints.for_each(|endpoint| drop(emulator.make_own(endpoint, moved)));
             }
         });
     }
--- a/lab/src/push.rs
+++ b/lab/src/push.rs
@@ -18,8 +18,8 @@
 use crate::arrivals::Arrival;
 use crate::experiment::Experiment;
 use crate::load::Submitter;
+use crate::message_number;
 use crate::model::{At, Fate};
-use crate::number;
 use crate::world::{World, address};
 
 /// Streams that one connection may have open.
@@ -79,9 +79,9 @@
     let (mut upstreams, mut locations) = (Vec::new(), Vec::new());
     for dest in 0..dests {
         let name = format!("d{dest}");
-        let servers = world
-            .places(dest)
-            .map(|place| Value::Table(table(vec![("address", address(place, 0, port).to_string().into())])));
+        let servers = world.endpoints_of(dest).map(|endpoint| {
+            Value::Table(table(vec![("address", address(endpoint, 0, port).to_string().into())]))
+        });
         let mut upstream =
             table(vec![("name", name.clone().into()), ("server", Value::Array(servers.collect()))]);
         if relay.weights {
@@ -114,17 +114,17 @@
 
 /// The message that a request's path ends with.
 fn message(path: &str) -> Option<u64> {
-    number(path.rsplit('/').next()?)
+    message_number(path.rsplit('/').next()?)
 }
 
 /// A gateway's side of one connection, until it ends.
-pub async fn serve(stream: TcpStream, world: Rc<RefCell<World>>, start: Instant, dest: usize, place: u32) {
+pub async fn serve(stream: TcpStream, world: Rc<RefCell<World>>, start: Instant, dest: usize, endpoint: u32) {
     let mut builder = server::Builder::new();
     builder.max_concurrent_streams(STREAMS);
     let Ok(mut connection) = builder.handshake::<_, Bytes>(stream).await else { return };
     while let Some(Ok((request, answer))) = connection.accept().await {
-        spawn_local(call(request, answer, world.clone(), start, dest, place));
-        if world.borrow_mut().partner(dest, place).is_gone(start.elapsed()) {
+        spawn_local(call(request, answer, world.clone(), start, dest, endpoint));
+        if world.borrow_mut().partner(dest, endpoint).is_gone(start.elapsed()) {
             return;
         }
     }
@@ -136,7 +136,7 @@
     world: Rc<RefCell<World>>,
     start: Instant,
     dest: usize,
-    place: u32,
+    endpoint: u32,
 ) {
     let first = start.elapsed();
     let message = message(request.uri().path());
@@ -144,7 +144,7 @@
         return answer.send_reset(Reason::PROTOCOL_ERROR);
     };
     let now = || -> At { start.elapsed() };
-    let fate = world.borrow_mut().call(msg, dest, place, first, now());
+    let fate = world.borrow_mut().call(msg, dest, endpoint, first, now());
     let over = |fate| world.borrow_mut().call_over(msg, dest, now(), fate);
     let mut status = StatusCode::CREATED;
     match fate {
@@ -228,16 +228,16 @@
 
     /// The next connection by turns, opened where it is not.
     async fn line(&self) -> Option<client::SendRequest<Bytes>> {
-        let place = self.next.get() % self.lines.borrow().len();
-        self.next.set(place + 1);
-        let known = self.lines.borrow()[place].clone();
+        let slot = self.next.get() % self.lines.borrow().len();
+        self.next.set(slot + 1);
+        let known = self.lines.borrow()[slot].clone();
         if let Some(line) = known
             && let Ok(line) = line.ready().await
         {
             return Some(line);
         }
         let line = dial(self.relay, &client::Builder::new()).await?;
-        self.lines.borrow_mut()[place] = Some(line.clone());
+        self.lines.borrow_mut()[slot] = Some(line.clone());
         line.ready().await.ok()
     }
 }
--- a/lab/src/record.rs
+++ b/lab/src/record.rs
@@ -115,8 +115,8 @@
     }
 
     /// A connection is opened at an endpoint that takes so many in a second (0 is any number); false if it is refused.
-    pub fn opened(&mut self, at: At, place: u32, most: u32) -> bool {
-        let (second, count, peak) = self.opens.entry(place).or_default();
+    pub fn opened(&mut self, at: At, endpoint: u32, most: u32) -> bool {
+        let (second, count, peak) = self.opens.entry(endpoint).or_default();
         if std::mem::replace(second, at.as_secs()) != at.as_secs() {
             *count = 0;
         }
--- a/lab/src/virtual_time.rs
+++ b/lab/src/virtual_time.rs
@@ -53,7 +53,7 @@
     attempt: u32,
     endpoint: EndpointId,
     dest: usize,
-    place: u32,
+    endpoint_index: u32,
     sent: At,
     /// What its partner made of it, once it has arrived there.
     fate: Option<Fate>,
@@ -67,7 +67,7 @@
     last_round: At,
     /// Module's number of each endpoint that was told: new for each name.
     numbers: HashMap<(u32, u32, u32), EndpointId>,
-    places: HashMap<EndpointId, (usize, u32)>,
+    endpoints: HashMap<EndpointId, (usize, u32)>,
     next: u32,
     /// Calls out, by message.
     out: HashMap<u64, Out>,
@@ -103,7 +103,7 @@
             round_at: None,
             last_round: At::ZERO,
             numbers: HashMap::new(),
-            places: HashMap::new(),
+            endpoints: HashMap::new(),
             next: 0,
             out: HashMap::new(),
             attempts: HashMap::new(),
@@ -209,7 +209,7 @@
             Next::Told(entry) => {
                 let draining = (entry.state == State::Draining).then_some(now);
                 if entry.state != State::Gone {
-                    self.world.checker.drain(entry.place, draining);
+                    self.world.checker.drain(entry.endpoint, draining);
                 }
                 for relay in 0..self.hosts.len() {
                     let listed = self.hosts[relay].entry(&entry, START);
@@ -227,11 +227,11 @@
     fn reaches(&mut self, call: Call) {
         let now = self.now;
         let Some(out) = self.hosts[call.relay].out(call) else { return };
-        let (dest, place) = (out.dest, out.place);
-        if self.world.partner(dest, place).is_gone(now) {
+        let (dest, endpoint_index) = (out.dest, out.endpoint_index);
+        if self.world.partner(dest, endpoint_index).is_gone(now) {
             return self.at(now + WAY, Next::Back(call, Outcome::ConnectFailed));
         }
-        let fate = self.world.call(call.msg, dest, place, now, now);
+        let fate = self.world.call(call.msg, dest, endpoint_index, now, now);
         self.hosts[call.relay].out(call).expect("just seen").fate = Some(fate);
         let (after, outcome) = match fate {
             Fate::Served(after) => (after, Outcome::Ok),
@@ -293,8 +293,9 @@
                     let next = host.attempts.entry(msg).or_default();
                     let call = Call { relay, msg, attempt: *next };
                     *next += 1;
-                    let (dest, place) = host.places[&endpoint];
-                    let out = Out { attempt: call.attempt, endpoint, dest, place, sent: now, fate: None };
+                    let (dest, endpoint_index) = host.endpoints[&endpoint];
+                    let out =
+                        Out { attempt: call.attempt, endpoint, dest, endpoint_index, sent: now, fate: None };
                     host.out.insert(msg, out);
                     self.at(now + WAY, Next::Reaches(call));
                     self.at(now + Duration::from_nanos(limit), Next::LimitOver(call));
@@ -321,8 +322,8 @@
         let now = self.now;
         let host = &mut self.hosts[relay];
         host.attempts.remove(&msg);
-        if let Some(place) = host.fresh.iter().position(|fresh| *fresh == msg) {
-            host.fresh.remove(place);
+        if let Some(index) = host.fresh.iter().position(|fresh| *fresh == msg) {
+            host.fresh.remove(index);
             self.world.answer(msg, now, Some(false));
         } else {
             self.world.notice(msg, now, returned);
@@ -338,12 +339,12 @@
 
     /// An entry as the module has it, with a number that is new for each name.
     fn entry(&mut self, entry: &Entry, start: Duration) -> Endpoint {
-        let key = (entry.place, entry.generation, entry.moved);
+        let key = (entry.endpoint, entry.generation, entry.moved);
         let id = *self.numbers.entry(key).or_insert_with(|| {
             self.next += 1;
             EndpointId(self.next)
         });
-        self.places.insert(id, (entry.dest, entry.place));
+        self.endpoints.insert(id, (entry.dest, entry.endpoint));
         Endpoint {
             id,
             dest: DestId(entry.dest as u64),
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use crate::experiment::{Event, Experiment};
+use crate::message_number;
 use crate::model::{At, Fate, Partner, Trouble};
-use crate::number;
 use crate::record::{Called, Record};
 use crate::rules::Checker;
 
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     /// The endpoint's place among all.
-    pub place: u32,
+    pub endpoint: u32,
     pub dest: usize,
     /// New with each replacement.
     pub generation: u32,
@@ -37,8 +37,8 @@
 impl Entry {
     pub fn name(&self) -> String {
         match self.generation {
-            0 => format!("n{}", self.place),
-            generation => format!("n{}-{generation}", self.place),
+            0 => format!("n{}", self.endpoint),
+            generation => format!("n{}-{generation}", self.endpoint),
         }
     }
 }
@@ -49,12 +49,12 @@
 const MOVES: u32 = 3;
 
 /// An endpoint's address.
-pub fn address(place: u32, moved: u32, port: u16) -> SocketAddr {
-    SocketAddr::from((Ipv4Addr::from(FIRST + place + MOVED * (moved % MOVES)), port))
+pub fn address(endpoint: u32, moved: u32, port: u16) -> SocketAddr {
+    SocketAddr::from((Ipv4Addr::from(FIRST + endpoint + MOVED * (moved % MOVES)), port))
 }
 
 /// The endpoint at an address.
-pub fn place(address: Ipv4Addr) -> Option<u32> {
+pub fn endpoint_at(address: Ipv4Addr) -> Option<u32> {
     Some(u32::from(address).checked_sub(FIRST)? % MOVED)
 }
 
@@ -102,30 +102,31 @@
     }
 
     /// The endpoints of a destination.
-    pub fn places(&self, dest: usize) -> std::ops::Range<u32> {
+    pub fn endpoints_of(&self, dest: usize) -> std::ops::Range<u32> {
         let (first, partners) = self.experiment.locate(dest);
         first as u32..(first + partners.endpoints) as u32
     }
 
     /// An endpoint as it would be listed now.
-    pub fn entry(&self, dest: usize, place: u32) -> Entry {
+    pub fn entry(&self, dest: usize, endpoint: u32) -> Entry {
         let partners = self.experiment.partners_of(dest);
         let weight =
             self.experiment.relay.weights.then(|| partners.nature.listed() * partners.endpoints as f64);
         let plain =
-            Entry { place, dest, generation: 0, moved: 0, state: State::Serving, weight, started: None };
-        self.entries.get(&place).cloned().unwrap_or(plain)
+            Entry { endpoint, dest, generation: 0, moved: 0, state: State::Serving, weight, started: None };
+        self.entries.get(&endpoint).cloned().unwrap_or(plain)
     }
 
     /// The whole list.
     pub fn list(&self) -> impl Iterator<Item = Entry> {
-        (0..self.dests).flat_map(move |dest| self.places(dest).map(move |place| self.entry(dest, place)))
+        (0..self.dests)
+            .flat_map(move |dest| self.endpoints_of(dest).map(move |endpoint| self.entry(dest, endpoint)))
     }
 
-    pub fn partner(&mut self, dest: usize, place: u32) -> &mut Partner {
+    pub fn partner(&mut self, dest: usize, endpoint: u32) -> &mut Partner {
         let nature = &self.experiment.partners_of(dest).nature;
-        let seed = self.seed ^ u64::from(place).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        self.partners.entry(place).or_insert_with(|| Partner::new(nature.clone(), seed))
+        let seed = self.seed ^ u64::from(endpoint).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        self.partners.entry(endpoint).or_insert_with(|| Partner::new(nature.clone(), seed))
     }
 
     /// Carries out what the file has happen; gives what the list has to tell, and when.
@@ -140,10 +141,10 @@
         let until = now + Duration::from_secs_f64(seconds);
         let starts = self.experiment.list.starts;
         let mut told = Vec::new();
-        for place in self.places(dest) {
-            let mut entry = self.entry(dest, place);
+        for endpoint in self.endpoints_of(dest) {
+            let mut entry = self.entry(dest, endpoint);
             let gone = Entry { state: State::Gone, ..entry.clone() };
-            let partner = self.partner(dest, place);
+            let partner = self.partner(dest, endpoint);
             match event {
                 Event::Trouble(trouble) => {
                     partner.begin(trouble, until);
@@ -167,7 +168,7 @@
             partner.begin(Trouble::Down, until);
             partner.start(until);
             entry.started = starts.then_some(until);
-            self.entries.insert(place, entry.clone());
+            self.entries.insert(endpoint, entry.clone());
             if !unlisted {
                 told.push((now, gone));
                 told.push((until, entry));
@@ -212,12 +213,12 @@
     }
 
     /// A call has come in whole; gives what becomes of it.
-    pub fn call(&mut self, msg: u64, dest: usize, place: u32, first: At, now: At) -> Fate {
-        self.checker.called(msg, place, dest as u64, first, now);
-        let partner = self.partner(dest, place);
+    pub fn call(&mut self, msg: u64, dest: usize, endpoint: u32, first: At, now: At) -> Fate {
+        self.checker.called(msg, endpoint, dest as u64, first, now);
+        let partner = self.partner(dest, endpoint);
         let fate = partner.call(now);
         let (takes, falls) = (partner.takes(now), partner.falls);
-        self.checker.falls(place, falls, now);
+        self.checker.falls(endpoint, falls, now);
         let what = match fate {
             Fate::Served(_) => Called::Served,
             Fate::Full(_) => Called::TurnedAway,
@@ -275,7 +276,7 @@
                 return false;
             };
             let returned = state == "returned";
-            match number(id).or_else(|| self.ids.remove(id)) {
+            match message_number(id).or_else(|| self.ids.remove(id)) {
                 Some(msg) => self.notice(msg, now, returned),
                 None => drop(self.early.insert(id.to_owned(), returned)),
             }
--- a/lab/src/world/tests.rs
+++ b/lab/src/world/tests.rs
@@ -9,8 +9,8 @@
 #[test]
 fn endpoints_have_places_and_addresses_of_their_own() {
     let world = world();
-    assert_eq!(world.places(1), 3..6);
-    assert_eq!((world.places(2), world.places(4)), (6..7, 8..9));
+    assert_eq!(world.endpoints_of(1), 3..6);
+    assert_eq!((world.endpoints_of(2), world.endpoints_of(4)), (6..7, 8..9));
     assert_eq!(world.list().count(), 9);
     let all: std::collections::HashSet<_> =
         (0..9).flat_map(|p| (0..3).map(move |m| address(p, m, 1))).collect();
@@ -19,7 +19,7 @@
         for moved in 0..3 {
             let std::net::IpAddr::V4(ip) = address(place_, moved, 1).ip() else { panic!("v4") };
             assert!(ip.is_loopback());
-            assert_eq!(place(ip), Some(place_));
+            assert_eq!(endpoint_at(ip), Some(place_));
         }
     }
 }
