--- a/example/hooks.rhai
+++ b/example/hooks.rhai
@@ -1,6 +1,6 @@
-// A plug-in: what it returns is all that it can do. Nothing returned means no objection.
+// Example plug-in. It acts only through its return values; returning nothing accepts the default.
 
-// Asked before a message is taken on. job has id, class, dest, size, left_ms, label.
+// Called before a message is accepted. job has the fields id, class, dest, size, left_ms, label.
 fn admit(job) {
     if job.size > 2000 {
         return #{ refuse: true, after_ms: 5000 };
@@ -10,7 +10,7 @@
     }
 }
 
-// Asked after each outcome that does not end the job. outcome has kind, may_have_run, tries, node.
+// Called after each outcome that does not end the job. outcome has the fields kind, may_have_run, tries, node.
 fn outcome(job, outcome) {
     if outcome.kind == "error" && outcome.tries >= 3 {
         return #{ refuse: true, label: "three-errors" };
--- a/example/toy.rs
+++ b/example/toy.rs
@@ -1,19 +1,20 @@
-//! A toy for trying the second front on one machine: a gateway, the reader of notices, and a submitter.
+//! Minimal peers for trying the push interface on one machine: a gateway, a receiver of notices, and a
+//! submitter.
 //!
 //!     cargo run --example toy serve              a gateway on 127.0.0.1:9001 and notices on 127.0.0.1:8481
-//!     cargo run --example toy send PATH TTL TEXT  hands one message in at 127.0.0.1:8480
+//!     cargo run --example toy send PATH TTL TEXT  submits one message to 127.0.0.1:8480
 use bytes::Bytes;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-type Fault = Box<dyn std::error::Error>;
+type Error = Box<dyn std::error::Error>;
 
-fn main() -> Result<(), Fault> {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
+fn main() -> Result<(), Error> {
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    let args: Vec<&str> = args.iter().map(String::as_str).collect();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
-        match words[..] {
+        match args[..] {
             ["serve"] => tokio::try_join!(serve("127.0.0.1:9001"), serve("127.0.0.1:8481")).map(|_| ()),
             ["send", path, ttl, text] => send(path, ttl, text).await,
             _ => Err("usage: toy serve | toy send PATH TTL TEXT".into()),
@@ -21,14 +22,14 @@
     })
 }
 
-async fn serve(address: &str) -> Result<(), Fault> {
+async fn serve(address: &str) -> Result<(), Error> {
     let listener = TcpListener::bind(address).await?;
-    println!("toy listens on {address}");
+    println!("toy: listening on {address}");
     loop {
         let (stream, _) = listener.accept().await?;
         tokio::spawn(async move {
             if let Err(e) = connection(stream).await {
-                println!("connection: {e}");
+                println!("connection failed: {e}");
             }
         });
     }
@@ -40,15 +41,15 @@
         let (request, reply) = call?;
         tokio::spawn(async move {
             if let Err(e) = answer(request, reply).await {
-                println!("call: {e}");
+                println!("call failed: {e}");
             }
         });
     }
     Ok(())
 }
 
-/// Takes a message by what its path ends in: /busy is told to wait, /gone and /error are what they say, /slow
-/// takes two seconds; all else is taken on at once.
+/// Answers a message according to the end of its path: /busy with 429 and a retry-after of two seconds,
+/// /gone with 410, /error with 500, /slow with 201 after two seconds, and any other path with 201 at once.
 async fn answer(
     request: http::Request<h2::RecvStream>,
     mut reply: h2::server::SendResponse<Bytes>,
@@ -74,11 +75,11 @@
         }
         _ => response.status(201),
     };
-    reply.send_response(response.body(()).expect("a status and a header"), true)?;
+    reply.send_response(response.body(()).expect("valid status and header"), true)?;
     Ok(())
 }
 
-async fn send(path: &str, ttl: &str, text: &str) -> Result<(), Fault> {
+async fn send(path: &str, ttl: &str, text: &str) -> Result<(), Error> {
     let stream = TcpStream::connect("127.0.0.1:8480").await?;
     let (sender, connection) = h2::client::handshake(stream).await?;
     tokio::spawn(connection);
--- a/lab/src/arrivals.rs
+++ b/lab/src/arrivals.rs
@@ -1,4 +1,5 @@
-//! When messages come, and for whom: drawn ahead from a seed, whatever becomes of them (an open loop).
+//! Generation of message arrivals. All arrivals are drawn in advance from a seed and do not depend on the
+//! relay's answers (an open-loop load).
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, Zipf};
@@ -7,32 +8,33 @@
 
 use crate::model::At;
 
-/// How messages come.
+/// Parameters of the load.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Messages a second, all relays together.
+    /// Messages per second over all relays.
     pub rate: f64,
-    /// Seconds at which the rate changes, with the new one.
+    /// Rate changes: the second at which each takes effect, and the new rate.
     pub steps: Vec<(f64, f64)>,
-    /// Extra messages that come at once: second, messages, and the destination's place.
+    /// Bursts of extra messages: second, number of messages, and index of the destination.
     pub clumps: Vec<(f64, u32, usize)>,
-    /// Destinations that get any: the first so many.
+    /// Number of destinations that receive messages, counted from the first.
     pub busy: usize,
-    /// Every so many seconds the busy ones are the next so many; 0 for never.
+    /// Interval in seconds at which the busy destinations change to the next `busy` ones; 0 disables it.
     pub move_s: f64,
-    /// Exponent of the Zipf distribution over them; 0 is even.
+    /// Exponent of the Zipf distribution over the busy destinations; 0 is a uniform distribution.
     pub zipf: f64,
     /// Share of messages that are ticket orders, which may run only once; the rest are notices.
     pub orders: f64,
-    /// Time that a message has, in milliseconds: notices and orders.
+    /// Time to live in milliseconds, for notices and for orders.
     pub notice_ms: u64,
     pub order_ms: u64,
-    /// Bytes of a body.
+    /// Size of a message body in bytes.
     pub body: usize,
-    /// Connections of the submitters of one relay, over HTTP/2; over HTTP/1.1 there are as many as are needed.
+    /// Connections from the submitters to one relay over HTTP/2. Over HTTP/1.1, connections are opened as
+    /// needed.
     pub connections: usize,
-    /// Messages are handed in within this span of the experiment, in seconds; all of it if absent.
+    /// Spans in seconds, as start and end, during which no messages arrive.
     pub silent: Vec<(f64, f64)>,
 }
 
@@ -55,24 +57,24 @@
     }
 }
 
-/// A message that comes.
+/// One arriving message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
     pub at: At,
-    /// The destination's place among all.
+    /// Index of the destination.
     pub dest: usize,
     pub order: bool,
     pub patience: Duration,
 }
 
 impl Arrival {
-    /// The name of its class.
+    /// Name of the message's class.
     pub fn class(&self) -> &'static str {
         if self.order { "order" } else { "notice" }
     }
 }
 
-/// All messages of an experiment, in the order of time. `dests` is how many destinations there are.
+/// Draws all messages of an experiment, sorted by time, for `dests` destinations.
 pub fn draw(load: &Load, seconds: f64, dests: usize, seed: u64) -> Vec<Arrival> {
     let mut random = StdRng::seed_from_u64(seed);
     let busy = load.busy.clamp(1, dests.max(1));
@@ -82,22 +84,22 @@
     loop {
         let rate = load.steps.iter().rev().find(|(at, _)| now >= *at).map_or(load.rate, |(_, rate)| *rate);
         if rate <= 0.0 {
-            // On to the next step; after the last, nothing comes any more.
+            // The rate is zero: skip to the next step, or stop after the last one.
             match load.steps.iter().map(|(at, _)| *at).find(|at| *at > now) {
                 Some(at) if at < seconds => now = at,
                 _ => break,
             }
             continue;
         }
-        now += Exp::new(rate).expect("a rate above zero").sample(&mut random);
+        now += Exp::new(rate).expect("a positive rate").sample(&mut random);
         if now >= seconds {
             break;
         }
-        let place = zipf.sample(&mut random) as usize - 1;
+        let rank = zipf.sample(&mut random) as usize - 1;
         let order = random.random::<f64>() < load.orders;
         if !load.silent.iter().any(|(from, to)| now >= *from && now < *to) {
-            let moved = if load.move_s > 0.0 { (now / load.move_s) as usize * busy } else { 0 };
-            arrivals.push(arrival(load, now, (place + moved) % dests.max(1), order));
+            let shift = if load.move_s > 0.0 { (now / load.move_s) as usize * busy } else { 0 };
+            arrivals.push(arrival(load, now, (rank + shift) % dests.max(1), order));
         }
     }
     for (at, messages, dest) in &load.clumps {
--- a/lab/src/arrivals/tests.rs
+++ b/lab/src/arrivals/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_rate_steps_clumps_and_silences_are_as_asked_for() {
+fn arrivals_follow_the_rate_steps_bursts_and_silent_spans() {
     let load = Load {
         rate: 100.0,
         steps: vec![(10.0, 20.0), (15.0, 0.0), (18.0, 50.0)],
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_zipf_distribution_favours_the_first_and_the_busy_ones_move() {
+fn zipf_favours_the_first_destinations_and_the_busy_ones_change() {
     let load = Load { rate: 1000.0, busy: 10, zipf: 1.2, move_s: 5.0, ..Load::default() };
     let all = draw(&load, 10.0, 100, 3);
     let count = |dest: usize| all.iter().filter(|a| a.dest == dest).count();
--- a/lab/src/baseline_proxy.rs
+++ b/lab/src/baseline_proxy.rs
@@ -1,6 +1,7 @@
-//! A bare HTTP/2 proxy on the relay's own libraries: the lower bound that the relay's costs are compared with. It reads the relay's file for its listener, upstreams and
-//! locations, answers each message 201 and sends it on, once, by one connection to each gateway. It keeps no journal,
-//! decides nothing and tells no ends: what the relay costs beyond it is the price of those.
+//! A minimal HTTP/2 proxy built on the same libraries as the relay. Its costs are the lower bound that the
+//! relay's costs are compared with. It reads listener, upstreams and locations from the relay's file,
+//! answers every message with 201 and forwards it once, over one connection per gateway. It keeps no
+//! journal, makes no decisions and sends no notices, so the difference to the relay is the cost of these.
 use actix_http::{HttpMessage, HttpService, KeepAlive, Request, Response, StatusCode};
 use actix_service::fn_service;
 use bytes::{Bytes, BytesMut};
@@ -46,21 +47,21 @@
     upstream: String,
 }
 
-/// A gateway's connection; the lock keeps concurrent messages from dialling one each.
+/// Connection to a gateway; the lock prevents concurrent messages from opening one connection each.
 type Connection = Rc<tokio::sync::Mutex<Option<SendRequest<Bytes>>>>;
 
-/// Streams that may be open to one gateway.
+/// Maximum number of concurrent streams to one gateway.
 const STREAMS: usize = 1000;
 
 struct BaselineProxy {
-    /// Gateways' addresses by path prefix.
+    /// Gateway addresses by path prefix.
     gateways: HashMap<String, SocketAddr>,
     connections: RefCell<HashMap<SocketAddr, Connection>>,
-    /// Number of the last message, for its `Location`.
+    /// Number of the last message, used in its `Location` header.
     last_message: Cell<u64>,
 }
 
-/// Forwards until the process is ended.
+/// Forwards messages until the process is terminated.
 pub fn run(file: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let File { push: table, upstream, location } = toml::from_str(&text).map_err(|e| e.to_string())?;
@@ -132,7 +133,7 @@
         }
         let mut builder = h2::client::Builder::new();
         builder.enable_push(false).initial_max_send_streams(STREAMS);
-        let sender = push::dial(gateway, &builder).await?;
+        let sender = push::connect(gateway, &builder).await?;
         *connection = Some(sender.clone());
         sender.ready().await.ok()
     }
--- a/lab/src/emulator.rs
+++ b/lab/src/emulator.rs
@@ -1,9 +1,11 @@
-//! Partners on sockets: a thin layer round [`crate::model`], and whatever else listens on loopback.
+//! Emulated partners on sockets, as a thin layer over [`crate::model`], and shared helpers for other
+//! listeners on loopback.
 //!
-//! One listener, bound to every address but to the loopback device only, takes the connections of all endpoints: the
-//! address that was called says which one was meant. Endpoints that will refuse connections have a listener of their
-//! own, since only a port without one refuses. HTTP heads are parsed with httparse; a full server library would hide
-//! when bytes come, and could not break an answer.
+//! A single listener on all addresses of the loopback device accepts the connections of all endpoints; the
+//! local address of a connection identifies the endpoint. Endpoints that have to refuse connections later
+//! get their own listener, since the system refuses connections only to a port without one. HTTP heads are
+//! parsed with httparse, because a full server library would hide when bytes arrive and could not break a
+//! connection during an answer.
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,21 +19,21 @@
 use tokio::task::{JoinHandle, spawn_local};
 
 use crate::message_number;
-use crate::model::{At, Fate};
+use crate::model::{At, CallOutcome};
 use crate::push;
 use crate::world::{self, World};
 
-/// Largest head and body that are read.
-const HEAD: usize = 16 * 1024;
-const BODY: usize = 1024 * 1024;
+/// Size limits of a request's head and body, in bytes.
+const MAX_HEAD: usize = 16 * 1024;
+const MAX_BODY: usize = 1024 * 1024;
 
-/// A request as a stand-in reads it.
+/// A request as an emulated server reads it.
 pub struct ReceivedRequest {
     pub method: String,
     pub path: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// When its first byte came.
+    /// When its first byte arrived.
     pub first: Instant,
 }
 
@@ -41,7 +43,7 @@
     }
 }
 
-/// Reads requests off a connection, one after the other.
+/// Reads consecutive requests from a connection.
 pub struct RequestReader {
     pub stream: TcpStream,
     buffer: Vec<u8>,
@@ -52,20 +54,20 @@
         RequestReader { stream, buffer: Vec::new() }
     }
 
-    /// The next request; `None` at the connection's end.
+    /// Reads the next request; `None` at the end of the connection.
     pub async fn next(&mut self) -> io::Result<Option<ReceivedRequest>> {
         let mut first = (!self.buffer.is_empty()).then(Instant::now);
         loop {
-            if let Some((mut got, used, length)) = parse(&self.buffer)? {
-                while self.buffer.len() < used + length {
+            if let Some((mut request, head_length, body_length)) = parse(&self.buffer)? {
+                while self.buffer.len() < head_length + body_length {
                     if self.stream.read_buf(&mut self.buffer).await? == 0 {
                         return Ok(None);
                     }
                 }
-                got.body = self.buffer[used..used + length].to_vec();
-                got.first = first.unwrap_or_else(Instant::now);
-                self.buffer.drain(..used + length);
-                return Ok(Some(got));
+                request.body = self.buffer[head_length..head_length + body_length].to_vec();
+                request.first = first.unwrap_or_else(Instant::now);
+                self.buffer.drain(..head_length + body_length);
+                return Ok(Some(request));
             }
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
                 return Ok(None);
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Done when the other side ends the connection, or sends what it should not.
+    /// Completes when the peer closes the connection or sends unexpected data.
     pub async fn closed(&mut self) {
         let _ = self.stream.read_buf(&mut self.buffer).await;
     }
@@ -88,38 +90,44 @@
         self.stream.write_all(&bytes).await
     }
 
-    /// Breaks the connection: what is open on it ends as a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// A request's head, its length and its body's, once it is whole.
+/// Parses a request's head. Returns it with the lengths of the head and the body once the head is complete.
 fn parse(buffer: &[u8]) -> io::Result<Option<(ReceivedRequest, usize, usize)>> {
     let bad = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what.to_owned());
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut request = httparse::Request::new(&mut headers);
-    let httparse::Status::Complete(used) = request.parse(buffer).map_err(|e| bad(&e.to_string()))? else {
-        return if buffer.len() > HEAD { Err(bad("a head without an end")) } else { Ok(None) };
+    let httparse::Status::Complete(head_length) = request.parse(buffer).map_err(|e| bad(&e.to_string()))?
+    else {
+        return if buffer.len() > MAX_HEAD {
+            Err(bad("request head exceeds the size limit"))
+        } else {
+            Ok(None)
+        };
     };
     let text = |value: &[u8]| String::from_utf8_lossy(value).into_owned();
     let headers: Vec<_> = request.headers.iter().map(|h| (h.name.to_owned(), text(h.value))).collect();
-    let length = headers.iter().find(|(n, _)| n.eq_ignore_ascii_case("content-length"));
-    let length = length.map_or(Ok(0), |(_, v)| v.parse().map_err(|_| bad("a length that is no number")))?;
-    if length > BODY {
-        return Err(bad("a body too long"));
+    let header = headers.iter().find(|(n, _)| n.eq_ignore_ascii_case("content-length"));
+    let body_length =
+        header.map_or(Ok(0), |(_, v)| v.parse().map_err(|_| bad("content-length is not a number")))?;
+    if body_length > MAX_BODY {
+        return Err(bad("request body exceeds the size limit"));
     }
-    let got = ReceivedRequest {
+    let received = ReceivedRequest {
         method: request.method.unwrap_or("").to_owned(),
         path: request.path.unwrap_or("").to_owned(),
         headers,
         body: Vec::new(),
         first: Instant::now(),
     };
-    Ok(Some((got, used, length)))
+    Ok(Some((received, head_length, body_length)))
 }
 
-/// A listener on every address of the loopback device, and on no other device.
+/// Listens on every address of the loopback device, and on no other device.
 pub(crate) fn listen_on_loopback() -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.bind_device(Some(b"lo"))?;
@@ -133,31 +141,31 @@
     TcpListener::from_std(socket.into())
 }
 
-/// A listener for one address, on a port that may have been used just before.
-fn narrow(address: SocketAddr) -> io::Result<TcpListener> {
+/// Listens on one address, on a port that may have been in use shortly before.
+fn listen_on(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
     listen(socket)
 }
 
-/// A listener's port, and its task while it listens.
-type Own = (u16, Option<JoinHandle<()>>);
+/// Port of a separate listener, and its task while it is listening.
+type SeparateListener = (u16, Option<JoinHandle<()>>);
 
 /// All partners of an experiment.
 pub struct Emulator {
     world: Rc<RefCell<World>>,
     start: Instant,
     pub port: u16,
-    /// Gateways over HTTP/2 in place of nodes over HTTP/1.1.
+    /// Whether the partners are gateways over HTTP/2 instead of nodes over HTTP/1.1.
     push: bool,
-    /// Endpoints with listeners of their own: the port, and the listener's task while it listens.
-    own: RefCell<HashMap<(u32, u32), Own>>,
-    /// Told an endpoint whose connections break.
-    breaks: watch::Sender<(u32, u64)>,
-    /// Connections open at each endpoint.
-    open: RefCell<HashMap<u32, Rc<Cell<usize>>>>,
-    /// The destination of each endpoint that was called, as the list has it.
+    /// Endpoints with a separate listener, by index and number of moves.
+    separate_listeners: RefCell<HashMap<(u32, u32), SeparateListener>>,
+    /// Notifies connections to close: the index of the endpoint and a counter.
+    disconnects: watch::Sender<(u32, u64)>,
+    /// Number of open connections per endpoint.
+    open_connections: RefCell<HashMap<u32, Rc<Cell<usize>>>>,
+    /// Cached destination of each endpoint that was called.
     dests: RefCell<HashMap<u32, usize>>,
 }
 
@@ -169,9 +177,9 @@
             start,
             port: listener.local_addr()?.port(),
             push,
-            own: RefCell::default(),
-            breaks: watch::Sender::new((u32::MAX, 0)),
-            open: RefCell::default(),
+            separate_listeners: RefCell::default(),
+            disconnects: watch::Sender::new((u32::MAX, 0)),
+            open_connections: RefCell::default(),
             dests: RefCell::default(),
         });
         spawn_local(emulator.clone().accept(listener));
@@ -182,29 +190,32 @@
         self.start.elapsed()
     }
 
-    /// An endpoint's address.
+    /// Returns an endpoint's address.
     pub fn address(&self, endpoint: u32, moved: u32) -> SocketAddr {
-        let own = self.own.borrow().get(&(endpoint, moved)).map(|(port, _)| *port);
-        world::address(endpoint, moved, own.unwrap_or(self.port))
+        let separate_port = self.separate_listeners.borrow().get(&(endpoint, moved)).map(|(port, _)| *port);
+        world::address(endpoint, moved, separate_port.unwrap_or(self.port))
     }
 
-    /// Gives an endpoint a listener of its own, so that it can refuse connections.
-    pub fn make_own(self: &Rc<Self>, endpoint: u32, moved: u32) -> io::Result<()> {
-        let known = self.own.borrow().get(&(endpoint, moved)).map_or(0, |(port, _)| *port);
-        let listener = narrow(world::address(endpoint, moved, known))?;
+    /// Gives an endpoint a separate listener, so that it can refuse connections.
+    pub fn listen_separately(self: &Rc<Self>, endpoint: u32, moved: u32) -> io::Result<()> {
+        let known = self.separate_listeners.borrow().get(&(endpoint, moved)).map_or(0, |(port, _)| *port);
+        let listener = listen_on(world::address(endpoint, moved, known))?;
         let port = listener.local_addr()?.port();
         let task = spawn_local(self.clone().accept(listener));
-        self.own.borrow_mut().insert((endpoint, moved), (port, Some(task)));
+        self.separate_listeners.borrow_mut().insert((endpoint, moved), (port, Some(task)));
         Ok(())
     }
 
-    /// From now on an endpoint refuses connections; those that it has break if `breaks` says so.
-    pub fn refuse(&self, endpoint: u32, breaks: bool) {
-        for (_, (_, task)) in self.own.borrow_mut().iter_mut().filter(|((p, _), _)| *p == endpoint) {
+    /// Makes an endpoint refuse connections from now on; its open connections are closed if `close_open` is
+    /// true.
+    pub fn refuse(&self, endpoint: u32, close_open: bool) {
+        for (_, (_, task)) in
+            self.separate_listeners.borrow_mut().iter_mut().filter(|((p, _), _)| *p == endpoint)
+        {
             task.take().iter().for_each(JoinHandle::abort);
         }
-        if breaks {
-            self.breaks.send_modify(|(who, n)| (*who, *n) = (endpoint, *n + 1));
+        if close_open {
+            self.disconnects.send_modify(|(who, n)| (*who, *n) = (endpoint, *n + 1));
         }
     }
 
@@ -212,7 +223,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => drop(spawn_local(self.clone().connection(stream))),
-                // Out of descriptors: what comes next may find some again.
+                // Out of file descriptors: retry, since some may be released.
                 Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
             }
         }
@@ -235,29 +246,29 @@
         };
         let _ = stream.set_nodelay(true);
         let mut reader = RequestReader::new(stream);
-        let most = {
+        let max_connections = {
             let mut world = self.world.borrow_mut();
             let now = self.now();
             let partner = world.partner(dest, endpoint);
-            if partner.is_gone(now) {
+            if partner.refuses_connections(now) {
                 return reader.reset();
             }
             let (most, opens) = (partner.nature.connections, partner.nature.opens);
-            if !world.record.opened(now, endpoint, opens) {
+            if !world.record.connection_opened(now, endpoint, opens) {
                 return reader.reset();
             }
             most
         };
-        let open = self.open.borrow_mut().entry(endpoint).or_default().clone();
-        if most > 0 && open.get() >= most {
+        let open = self.open_connections.borrow_mut().entry(endpoint).or_default().clone();
+        if max_connections > 0 && open.get() >= max_connections {
             return reader.reset();
         }
-        let _one = Counted::new(open);
-        let mut breaks = self.breaks.subscribe();
-        breaks.borrow_and_update();
+        let _guard = ConnectionGuard::new(open);
+        let mut disconnects = self.disconnects.subscribe();
+        disconnects.borrow_and_update();
         let mut broken = std::pin::pin!(async {
-            while breaks.changed().await.is_ok() {
-                if breaks.borrow_and_update().0 == endpoint {
+            while disconnects.changed().await.is_ok() {
+                if disconnects.borrow_and_update().0 == endpoint {
                     return;
                 }
             }
@@ -273,9 +284,9 @@
         }
         loop {
             tokio::select! {
-                got = reader.next() => match got {
-                    Ok(Some(got)) => {
-                        if !self.serve(&mut reader, &got, dest, endpoint).await {
+                request = reader.next() => match request {
+                    Ok(Some(request)) => {
+                        if !self.serve(&mut reader, &request, dest, endpoint).await {
                             return reader.reset();
                         }
                     }
@@ -286,27 +297,27 @@
         }
     }
 
-    /// Serves a call; false if the connection is to break.
+    /// Serves a call. Returns false if the connection is to be reset.
     async fn serve(
         &self,
         reader: &mut RequestReader,
-        got: &ReceivedRequest,
+        request: &ReceivedRequest,
         dest: usize,
         endpoint: u32,
     ) -> bool {
-        let Some(msg) = got.header("x-request-id").and_then(message_number) else {
+        let Some(msg) = request.header("x-request-id").and_then(message_number) else {
             return reader.answer(400, &[], b"").await.is_ok();
         };
-        let first = got.first.saturating_duration_since(self.start);
-        let fate = self.world.borrow_mut().call(msg, dest, endpoint, first, self.now());
-        let over = |fate| self.world.borrow_mut().call_over(msg, dest, self.now(), fate);
-        match fate {
-            Fate::Served(after) => {
-                let gone = async {
+        let first = request.first.saturating_duration_since(self.start);
+        let outcome = self.world.borrow_mut().call(msg, dest, endpoint, first, self.now());
+        let end_call = |outcome| self.world.borrow_mut().call_ended(msg, dest, self.now(), outcome);
+        match outcome {
+            CallOutcome::Served(after) => {
+                let partner_down = async {
                     loop {
-                        // What broke meanwhile is seen soon enough at this grain.
+                        // Polling at this interval detects an outage of the partner soon enough.
                         tokio::time::sleep(Duration::from_millis(20)).await;
-                        if self.world.borrow_mut().partner(dest, endpoint).is_gone(self.now()) {
+                        if self.world.borrow_mut().partner(dest, endpoint).refuses_connections(self.now()) {
                             return;
                         }
                     }
@@ -314,41 +325,42 @@
                 let done = tokio::select! {
                     () = tokio::time::sleep(after) => true,
                     () = reader.closed() => false,
-                    () = gone => false,
+                    () = partner_down => false,
                 };
                 if !done {
-                    over(None);
+                    end_call(None);
                     return false;
                 }
                 let written = reader.answer(200, &[], b"ok").await.is_ok();
-                over(Some(fate).filter(|_| written));
+                end_call(Some(outcome).filter(|_| written));
                 written
             }
-            Fate::Failed => {
-                over(Some(fate));
+            CallOutcome::Failed => {
+                end_call(Some(outcome));
                 reader.answer(500, &[], b"").await.is_ok()
             }
-            Fate::Full(wait) => {
-                let told = wait.map(|wait| ("retry-after", format!("{:.3}", wait.as_secs_f64())));
-                let status = if told.is_some() { 429 } else { 503 };
-                let written = reader.answer(status, told.as_slice(), b"").await.is_ok();
-                over(Some(fate));
+            CallOutcome::Overloaded(wait) => {
+                let retry_after = wait.map(|wait| ("retry-after", format!("{:.3}", wait.as_secs_f64())));
+                let status = if retry_after.is_some() { 429 } else { 503 };
+                let written = reader.answer(status, retry_after.as_slice(), b"").await.is_ok();
+                end_call(Some(outcome));
                 written
             }
-            Fate::Lost => {
-                over(None);
+            CallOutcome::ConnectionLost => {
+                end_call(None);
                 false
             }
-            Fate::Silent => {
+            CallOutcome::Unanswered => {
                 reader.closed().await;
-                over(None);
+                end_call(None);
                 false
             }
         }
     }
 }
 
-/// The destination that an endpoint is of. Endpoints are numbered in the order of destinations, so that halving finds it.
+/// Finds the destination of an endpoint by binary search; endpoints are numbered in the order of
+/// destinations.
 fn destination(world: &World, endpoint: u32) -> Option<usize> {
     let (mut low, mut high) = (0, world.dests);
     while low < high {
@@ -362,17 +374,17 @@
     (low < world.dests && world.endpoints_of(low).contains(&endpoint)).then_some(low)
 }
 
-/// Counts one for as long as it lives.
-struct Counted(Rc<Cell<usize>>);
+/// Counts an open connection until it is dropped.
+struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Counted {
+impl ConnectionGuard {
     fn new(count: Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
-        Counted(count)
+        ConnectionGuard(count)
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -1,10 +1,10 @@
-//! The file that describes an experiment, read and checked here; every fault names its key.
+//! Experiment files: their format and their validation. Every error names the key at fault.
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
 use crate::arrivals::Load;
 use crate::file;
-use crate::model::{Nature, Trouble};
+use crate::model::{PartnerProfile, Trouble};
 use crate::service::Costs;
 
 /// An experiment.
@@ -12,12 +12,12 @@
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     pub name: String,
-    /// What it is to show, for the report.
+    /// Purpose of the experiment, shown in the report.
     #[serde(default)]
     pub about: String,
     #[serde(default = "one")]
     pub seed: u64,
-    /// How long messages come, in seconds.
+    /// Duration of the load, in seconds.
     pub seconds: f64,
     #[serde(default)]
     pub relay: RelayTable,
@@ -28,29 +28,30 @@
     pub list: ListTable,
     #[serde(rename = "trouble", default)]
     pub troubles: Vec<TroubleTable>,
-    /// Played once for each, with so many destinations listed; the partners' own count if absent.
+    /// Numbers of destinations to list. The experiment is run once for each; if empty, it is run with the
+    /// number of partners.
     #[serde(default)]
     pub sizes: Vec<usize>,
-    /// How often each size is played, the sizes by turns.
+    /// Number of repetitions of each size. Each repetition runs all sizes in order.
     #[serde(default = "one_time")]
     pub repeats: usize,
-    /// The same in virtual time beside it.
+    /// Also run the experiment in virtual time.
     #[serde(default)]
     pub virtual_time: bool,
-    /// Figures are drawn for the seconds from here on: the return of a partner.
+    /// Second at which a partner returns. If set, figures about the time after the return are computed.
     #[serde(default)]
     pub return_s: Option<f64>,
     #[serde(rename = "expect", default)]
     pub expectations: Vec<Expectation>,
 }
 
-/// The relays and the settings that they are told.
+/// Number of relays and their settings.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct RelayTable {
     pub front: Front,
     pub count: usize,
-    /// How many there are by the settings, where that is another number.
+    /// Number of relays according to the settings, if it differs from `count`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub told: Option<usize>,
     pub slots: u32,
@@ -58,13 +59,13 @@
     pub sockets: usize,
     pub disk_mb: f64,
     pub idle_close_ms: u64,
-    /// Calls a second of each destination are told in the list.
+    /// Include each destination's calls per second in the list.
     pub weights: bool,
-    /// Longest that a relay may go without asking for the list.
+    /// Longest time that a relay may go without requesting the list.
     pub must_ask_in_ms: u64,
-    /// The same is played against a bare forwarder beside it (the second front only).
+    /// Also run the experiment with the baseline proxy, for comparison (push interface only).
     pub floor: bool,
-    /// The relay's own file, as a table of it.
+    /// Contents of the relay's own file.
     pub own: toml::Table,
 }
 
@@ -87,57 +88,57 @@
     }
 }
 
-/// Which front is played.
+/// The interface of the relay that is used.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Front {
-    /// HTTP/1.1, with discovery.
+    /// HTTP/1.1, with endpoints from discovery.
     Platform,
-    /// HTTP/2 push gateways; the relay's own file lists them.
+    /// HTTP/2 push gateways, listed in the relay's own file.
     Push,
 }
 
-/// Partners that are alike.
+/// A group of partners with the same properties.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Partners {
     pub count: usize,
-    /// Endpoints of each.
+    /// Number of endpoints per partner.
     #[serde(default = "one_time")]
     pub endpoints: usize,
     #[serde(default)]
-    pub nature: Nature,
+    pub nature: PartnerProfile,
 }
 
-/// Discovery.
+/// Behaviour of the emulated discovery service.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ListTable {
-    /// What changes is told so many seconds late.
+    /// Delay in seconds before a change is published.
     pub late_s: f64,
-    /// Spans in which it is down, from and to in seconds.
+    /// Outages, as start and end in seconds.
     pub down: Vec<(f64, f64)>,
-    /// The whole list is told so often more before messages come.
+    /// Number of times the full list is published again before the load starts.
     pub told_again: usize,
-    /// The whole list is told at these seconds, with every weight changed.
+    /// Seconds at which the full list is published again with every weight changed.
     pub told_at: Vec<f64>,
-    /// The time of each start is told.
+    /// Include the start times of endpoints in the list.
     pub starts: bool,
-    /// What calls cost it.
+    /// Costs of calls to discovery.
     pub service: Costs,
 }
 
-/// Something that is wrong for a while.
+/// An event or a temporary fault at a partner.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TroubleTable {
     pub at_s: f64,
     #[serde(default)]
     pub for_s: f64,
-    /// The destination's place.
+    /// Index of the destination.
     pub dest: usize,
     pub kind: Event,
-    /// The list says nothing of it.
+    /// The list does not reflect the event.
     #[serde(default)]
     pub unlisted: bool,
 }
@@ -146,19 +147,19 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
-    /// Told as draining, and gone at the end.
+    /// It is listed as draining and stops at the end of the span.
     Drain,
-    /// Gone, and back cold under the same ids.
+    /// It stops, and restarts cold with the same ids.
     Restart,
-    /// Gone, and back cold under new ids at the same addresses.
+    /// It stops, and restarts cold with new ids at the same addresses.
     Replace,
-    /// Gone, and back cold under the same ids at other addresses.
+    /// It stops, and restarts cold with the same ids at other addresses.
     Move,
     #[serde(untagged)]
     Trouble(Trouble),
 }
 
-/// A figure of the result and its bounds.
+/// Bounds on a figure of the result.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Expectation {
@@ -170,7 +171,7 @@
 }
 
 impl Expectation {
-    /// Whether a figure is within its bounds; one that is missing is not.
+    /// Whether the figure is within its bounds. A missing figure is not.
     pub fn holds(&self, value: Option<f64>) -> bool {
         value.is_some_and(|v| {
             self.most.is_none_or(|most| v <= most) && self.least.is_none_or(|least| v >= least)
@@ -186,23 +187,23 @@
     1
 }
 
-/// Most endpoints: each has an address of its own in 127/8.
-const MOST_ENDPOINTS: usize = 1 << 22;
+/// Maximum number of endpoints: each has its own address in 127/8.
+const MAX_ENDPOINTS: usize = 1 << 22;
 
 impl Experiment {
-    /// Reads a file.
+    /// Reads and validates a file.
     pub fn read(path: &Path) -> Result<Experiment, String> {
         file::read(path, Experiment::parse)
     }
 
-    /// The same from the file's text.
+    /// Parses and validates the text of a file.
     pub fn parse(text: &str) -> Result<Experiment, String> {
         let experiment: Experiment = file::decode(text)?;
         experiment.check()?;
         Ok(experiment)
     }
 
-    /// The first fault, with its key.
+    /// Validates the values. The error starts with the key at fault.
     pub fn check(&self) -> Result<(), String> {
         let positive = |key: &str, value: f64| {
             if value > 0.0 && value.is_finite() {
@@ -215,10 +216,10 @@
         positive("relay.count", self.relay.count as f64)?;
         positive("relay.disk_mb", self.relay.disk_mb)?;
         if self.relay.floor && self.relay.front != Front::Push {
-            return Err("relay.floor: only the second front has one".into());
+            return Err("relay.floor: the baseline proxy supports the push interface only".into());
         }
         if self.partners.is_empty() {
-            return Err("partners: there are none".into());
+            return Err("partners: at least one is required".into());
         }
         for (i, p) in self.partners.iter().enumerate() {
             let n = &p.nature;
@@ -242,43 +243,43 @@
         }
         let (dests, endpoints) = (self.dests(), self.endpoints());
         let most = self.sizes.iter().copied().max().unwrap_or(0).max(endpoints);
-        if most > MOST_ENDPOINTS {
-            return Err(format!("partners: {most} endpoints are too many; {MOST_ENDPOINTS} at most"));
+        if most > MAX_ENDPOINTS {
+            return Err(format!("partners: {most} endpoints exceed the maximum of {MAX_ENDPOINTS}"));
         }
         if self.load.busy == 0 || self.load.busy > dests {
             return Err(format!("load.busy: {} must be from 1 to {dests}", self.load.busy));
         }
         if let Some(i) = self.sizes.iter().position(|s| *s < self.load.busy) {
-            return Err(format!("sizes[{i}]: fewer than load.busy"));
+            return Err(format!("sizes[{i}]: must not be below load.busy"));
         }
         for (i, t) in self.troubles.iter().enumerate() {
             if t.dest >= dests {
-                return Err(format!("trouble[{i}].dest: {} is none of {dests}", t.dest));
+                return Err(format!("trouble[{i}].dest: {} is not one of the {dests} destinations", t.dest));
             }
             let listed = !t.unlisted && !matches!(t.kind, Event::Trouble(_));
             if self.relay.front == Front::Push && (listed || t.kind == Event::Move) {
                 return Err(format!(
-                    "trouble[{i}].kind: no list tells it to the second front; unlisted, and no move"
+                    "trouble[{i}].kind: the push interface has no list; the event must be unlisted and not a move"
                 ));
             }
             if !(t.at_s >= 0.0 && t.for_s >= 0.0) {
-                return Err(format!("trouble[{i}].at_s: it and for_s must not be negative"));
+                return Err(format!("trouble[{i}].at_s: at_s and for_s must not be negative"));
             }
         }
         for (i, (_, _, dest)) in self.load.clumps.iter().enumerate() {
             if *dest >= dests {
-                return Err(format!("load.clumps[{i}]: destination {dest} is none of {dests}"));
+                return Err(format!("load.clumps[{i}]: {dest} is not one of the {dests} destinations"));
             }
         }
         for (i, e) in self.expectations.iter().enumerate() {
             if e.most.is_none() && e.least.is_none() {
-                return Err(format!("expect[{i}]: neither most nor least is given"));
+                return Err(format!("expect[{i}]: most or least is required"));
             }
         }
         Ok(())
     }
 
-    /// Destinations.
+    /// Number of destinations.
     pub fn dests(&self) -> usize {
         self.partners.iter().map(|p| p.count).sum()
     }
@@ -287,22 +288,23 @@
         self.partners.iter().map(|p| p.count * p.endpoints).sum()
     }
 
-    /// The place of a destination's first endpoint, and the partners that it is of. Those of one kind stand in a row;
-    /// what sizes list beyond the file's own is of the last kind.
+    /// Returns the index of a destination's first endpoint, and the group of partners it belongs to. Groups
+    /// are numbered consecutively. Destinations beyond those of the file, listed because of `sizes`, belong
+    /// to the last group.
     pub fn locate(&self, dest: usize) -> (usize, &Partners) {
-        let (mut first, mut left) = (0, dest);
-        let (last, others) = self.partners.split_last().expect("checked");
+        let (mut first, mut remaining) = (0, dest);
+        let (last, others) = self.partners.split_last().expect("at least one group, by check");
         for partners in others {
-            if left < partners.count {
-                return (first + left * partners.endpoints, partners);
+            if remaining < partners.count {
+                return (first + remaining * partners.endpoints, partners);
             }
             first += partners.count * partners.endpoints;
-            left -= partners.count;
+            remaining -= partners.count;
         }
-        (first + left * last.endpoints, last)
+        (first + remaining * last.endpoints, last)
     }
 
-    /// The partners that a destination is of.
+    /// Returns the group of partners that a destination belongs to.
     pub fn partners_of(&self, dest: usize) -> &Partners {
         self.locate(dest).1
     }
--- a/lab/src/experiment/tests.rs
+++ b/lab/src/experiment/tests.rs
@@ -22,10 +22,10 @@
     "#;
 
 #[test]
-fn a_sound_file_is_read_and_faults_name_their_key() {
-    let sound = Experiment::parse(FILE).expect("sound");
-    assert_eq!(sound.troubles[0].kind, Event::Trouble(Trouble::ShutTold));
-    assert_eq!(sound.troubles[1].kind, Event::Replace);
+fn a_valid_file_is_parsed_and_errors_name_the_key() {
+    let experiment = Experiment::parse(FILE).expect("valid");
+    assert_eq!(experiment.troubles[0].kind, Event::Trouble(Trouble::ShutTold));
+    assert_eq!(experiment.troubles[1].kind, Event::Replace);
     let cases = [
         ("seconds = 2.0", "seconds = 0.0", "seconds"),
         ("seconds = 2.0", "second = 2.0", "second"),
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,7 +1,8 @@
-//! The relay's laboratory. Plain values and models below ([`model`], [`arrivals`], [`rules`], [`service`], [`record`],
-//! [`experiment`], [`file`], [`world`]), free of sockets; above them what plays them: [`virtual_time`] against the decision
-//! module itself, or the stand-ins ([`emulator`], [`discovery`], [`load`], [`push`], [`relay`]) that [`play`] puts together;
-//! [`report`] last. `docs/lab.md` tells how to run and read an experiment.
+//! Test bench for the relay. The socket-free modules hold data and models: [`model`], [`arrivals`],
+//! [`rules`], [`service`], [`record`], [`experiment`], [`mod@file`] and [`world`]. Two drivers run experiments
+//! on them: [`virtual_time`] runs the decision module itself in virtual time, and [`play`] runs the real
+//! relay against emulated peers ([`emulator`], [`discovery`], [`load`], [`push`], [`relay`]). [`report`]
+//! summarizes the results. `docs/lab.md` explains how to run and read an experiment.
 #![forbid(unsafe_code)]
 
 pub mod arrivals;
@@ -23,7 +24,7 @@
 pub mod virtual_time;
 pub mod world;
 
-/// Messages are called `m` and their number.
+/// Parses the number of a message from its id, `m` followed by the number.
 pub fn message_number(id: &str) -> Option<u64> {
     id.strip_prefix('m')?.parse().ok()
 }
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -1,5 +1,5 @@
-//! Submitters: messages are handed in at the times that were drawn, whatever became of those before them, and every
-//! latency counts from the time at which a message should have been handed in.
+//! Submitters of messages. Messages are submitted at the times drawn in advance, independently of earlier
+//! answers, and every latency is measured from the time at which the message was scheduled to be submitted.
 use http_body_util::{BodyExt, Full};
 use hyper::body::Bytes;
 use hyper::client::conn::http1;
@@ -17,30 +17,31 @@
 use crate::arrivals::Arrival;
 use crate::world::World;
 
-/// Submitters wait so long for an answer, then close the connection.
+/// How long a submitter waits for an answer before it closes the connection.
 const ANSWER_TIME: Duration = Duration::from_millis(400);
 
 type Connection = http1::SendRequest<Full<Bytes>>;
 
-/// The submitters of one relay, on either front.
+/// The submitters of one relay, on either interface.
 pub trait Submitter: 'static {
-    /// What a front's way of telling a deadline may add to it.
+    /// Amount by which the interface may extend a deadline, because of the precision at which it transmits
+    /// deadlines.
     const DEADLINE_SLACK: Duration;
-    /// Hands one message in; whether it was taken on, if that was heard.
+    /// Submits one message. Returns whether it was accepted, or `None` if no answer was received in time.
     fn hand_in(&self, msg: u64, arrival: &Arrival, intended: Instant) -> impl Future<Output = Option<bool>>;
 }
 
-/// What a relay answered to a message.
+/// The relay's answer to a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// It was taken on, or is done.
+    /// The message was accepted or has already been delivered.
     Accepted,
-    /// It was not taken on.
+    /// The message was not accepted.
     Refused {
-        /// When the client is to come back, if that was told.
+        /// Delay after which the client should retry, if the answer contains one.
         retry_after: Option<Duration>,
     },
-    /// Any other answer.
+    /// Any other status.
     Failed(StatusCode),
 }
 
@@ -49,8 +50,8 @@
         match answer.status() {
             StatusCode::OK | StatusCode::ACCEPTED => Response::Accepted,
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                let told = answer.headers().get("retry-after").and_then(|value| value.to_str().ok());
-                let seconds = told.and_then(|text| text.parse().ok());
+                let header = answer.headers().get("retry-after").and_then(|value| value.to_str().ok());
+                let seconds = header.and_then(|text| text.parse().ok());
                 Response::Refused { retry_after: seconds.and_then(|s| Duration::try_from_secs_f64(s).ok()) }
             }
             status => Response::Failed(status),
@@ -58,17 +59,17 @@
     }
 }
 
-/// A request that was written to a connection of its own, which then ended without an answer.
+/// A request that was sent on a new connection, which then closed without an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Unanswered {
     pub msg: u64,
-    /// How the connection ended.
+    /// Error with which the connection ended.
     pub why: String,
     pub connected: Instant,
     pub ended: Instant,
 }
 
-/// The submitters of one relay on the platform's front.
+/// The submitters of one relay on the platform interface.
 pub struct Submitters {
     relay: SocketAddr,
     idle: RefCell<Vec<Connection>>,
@@ -82,12 +83,12 @@
         Rc::new(Submitters { relay, idle: RefCell::default(), body, unanswered: RefCell::default() })
     }
 
-    /// Requests that got no answer though nothing but the relay's end of their connections ended them.
+    /// Returns the requests that got no answer because the relay closed their connections.
     pub fn unanswered(&self) -> Vec<Unanswered> {
         self.unanswered.borrow().clone()
     }
 
-    /// A connection that has been used before and is still open.
+    /// Takes a connection from the pool that is still open.
     async fn open_connection(&self) -> Option<Connection> {
         loop {
             let mut idle = self.idle.borrow_mut().pop()?;
@@ -105,8 +106,9 @@
         Some(sender)
     }
 
-    /// Hands one message in; what the relay answered, if it did in time. A close between two requests may cross the second: that one
-    /// is sent once more, on a connection of its own.
+    /// Submits one message and returns the relay's answer if it arrives in time. An idle connection may be
+    /// closed while the request is being sent on it; the request is then sent once more, on a new
+    /// connection.
     pub async fn request(&self, msg: u64, arrival: &Arrival, intended: Instant) -> Option<Response> {
         let call = async {
             if let Some(open) = self.open_connection().await
@@ -144,7 +146,7 @@
             .header("x-timeout-ms", left.as_millis().to_string())
             .header("x-envelope", format!("dest={}", arrival.dest))
             .body(Full::new(self.body.clone()))
-            .expect("sound headers");
+            .expect("valid headers");
         let answer = connection.send_request(request).await?;
         let response = Response::of(&answer);
         answer.into_body().collect().await?;
@@ -161,17 +163,17 @@
     }
 }
 
-/// Hands all messages in, each at its time and whatever became of those before it, and reports to the world whose clock
-/// began at `start`.
+/// Submits all messages at their scheduled times, independently of earlier answers, and reports them to
+/// `world`, whose clock started at `start`.
 pub async fn submit_all<S: Submitter>(
     submitters: Rc<S>,
     world: Rc<RefCell<World>>,
     start: Instant,
     arrivals: Vec<(u64, Arrival)>,
-    begin: Instant,
+    load_start: Instant,
 ) {
     for (msg, arrival) in arrivals {
-        let intended = begin + arrival.at;
+        let intended = load_start + arrival.at;
         sleep_until(intended.into()).await;
         let (submitters, world) = (submitters.clone(), world.clone());
         spawn_local(async move {
--- a/lab/src/play.rs
+++ b/lab/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays an experiment on real sockets, against the real relay: one leg for each size and repetition.
+//! Runs an experiment on real sockets against the real relay, as one leg for each size and repetition.
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -16,39 +16,39 @@
 use crate::load;
 use crate::model::Trouble;
 use crate::push;
-use crate::record::{Second, Taken};
+use crate::record::{DestinationSecond, Second};
 use crate::relay::{Relay, RelayEnvironment, Usage};
 use crate::rules::{Breach, Rule};
-use crate::virtual_time::Play;
+use crate::virtual_time::VirtualRun;
 use crate::world::World;
 
-/// After the last message, what is open has so long to end.
-const AFTER: Duration = Duration::from_secs(13);
-/// A list told again is given so long to be taken in.
-const AGAIN: Duration = Duration::from_millis(250);
+/// Time for open messages to end after the last one was submitted.
+const END_TIMEOUT: Duration = Duration::from_secs(13);
+/// Time for the relays to start processing a list that is published again.
+const REPUBLISH_PAUSE: Duration = Duration::from_millis(250);
 
-/// One time an experiment was played.
+/// One run of an experiment.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Leg {
-    /// Destinations listed.
+    /// Number of destinations listed.
     pub size: usize,
     pub repeat: usize,
-    /// Whether it was played in virtual time.
+    /// Whether it ran in virtual time.
     pub virtual_time: bool,
     pub figures: BTreeMap<String, f64>,
     pub rules: BTreeMap<String, usize>,
     #[serde(skip_deserializing)]
     pub breaches: Vec<Breach>,
     pub seconds: Vec<Second>,
-    /// What each of the followed destinations got.
-    pub dests: BTreeMap<usize, Vec<Taken>>,
-    /// The first ten seconds after a return: offered, served, and what it takes.
-    pub first_ten_seconds: Vec<Taken>,
+    /// Load and capacity of each individually recorded destination.
+    pub dests: BTreeMap<usize, Vec<DestinationSecond>>,
+    /// The first ten seconds after a partner's return: calls offered and served, and the partner's capacity.
+    pub first_ten_seconds: Vec<DestinationSecond>,
 }
 
 impl Leg {
-    /// Puts what a bare forwarder took for the same beside it.
-    pub fn beside(&mut self, baseline: &Leg) {
+    /// Adds the figures of the baseline proxy for the same experiment.
+    pub fn add_baseline(&mut self, baseline: &Leg) {
         for name in [
             "cpu_us_per_job",
             "delivered_share",
@@ -64,17 +64,18 @@
     }
 }
 
-fn leg(world: World, size: usize, repeat: usize, return_s: Option<f64>, dest: usize) -> Leg {
+fn finish_leg(world: World, size: usize, repeat: usize, return_s: Option<f64>, dest: usize) -> Leg {
     let World { checker, record, .. } = world;
     let mut figures = record.figures();
     figures.insert("rules_broken".into(), checker.total() as f64);
-    let first_ten_seconds = return_s.map_or(Vec::new(), |s| record.from(dest, s.ceil() as usize, 10));
+    let first_ten_seconds =
+        return_s.map_or(Vec::new(), |s| record.destination_seconds(dest, s.ceil() as usize, 10));
     let rules: BTreeMap<_, _> = checker.counts().iter().map(|(rule, n)| (rule_name(*rule), *n)).collect();
     figures
         .insert("pushed_over".into(), checker.counts().get(&Rule::PushedOver).copied().unwrap_or(0) as f64);
     if !first_ten_seconds.is_empty() {
-        let most = first_ten_seconds.iter().filter(|t| t.offered > 0);
-        let share = most.map(|t| f64::from(t.offered) / t.takes.max(1e-9)).fold(0.0, f64::max);
+        let with_calls = first_ten_seconds.iter().filter(|t| t.offered > 0);
+        let share = with_calls.map(|t| f64::from(t.offered) / t.takes.max(1e-9)).fold(0.0, f64::max);
         figures.insert("return_offered_most_share".into(), share);
         let offered: u32 = first_ten_seconds.iter().map(|t| t.offered).sum();
         let takes: f64 = first_ten_seconds.iter().map(|t| t.takes).sum();
@@ -83,12 +84,13 @@
     let breaches = checker.breaches().to_vec();
     let (seconds, dests) = record.seconds();
     if let Some(s) = return_s {
-        // From the return on, the first second from which three in a row have a median within the aim of a second.
+        // The first second after the return from which three consecutive seconds have a median within the
+        // aim of one second.
         let from = s.ceil() as usize;
-        let met = |second: &&Second| second.delivered > 0 && second.p50_ms <= 1000.0;
-        let back =
-            (from..seconds.len().saturating_sub(2)).find(|n| seconds[*n..n + 3].iter().all(|x| met(&x)));
-        figures.insert("return_met_again_s".into(), back.map_or(f64::INFINITY, |n| (n - from) as f64));
+        let meets_aim = |second: &&Second| second.delivered > 0 && second.p50_ms <= 1000.0;
+        let recovered = (from..seconds.len().saturating_sub(2))
+            .find(|n| seconds[*n..n + 3].iter().all(|x| meets_aim(&x)));
+        figures.insert("return_met_again_s".into(), recovered.map_or(f64::INFINITY, |n| (n - from) as f64));
     }
     Leg { size, repeat, figures, rules, breaches, seconds, dests, first_ten_seconds, ..Leg::default() }
 }
@@ -97,24 +99,30 @@
     serde_json::to_value(rule).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
 }
 
-/// The destination whose return is drawn: that of the first thing that happens.
-fn followed(experiment: &Experiment) -> usize {
+/// The destination whose return is reported: that of the first event.
+fn followed_destination(experiment: &Experiment) -> usize {
     experiment.troubles.first().map_or(0, |t| t.dest)
 }
 
-/// Plays one leg in virtual time, whose clock begins a second before the first message.
+/// Runs one leg in virtual time. The clock starts one second before the load.
 pub fn in_virtual_time(experiment: &Experiment, size: usize, repeat: usize) -> Leg {
-    let begun = Instant::now();
-    let play = Play::run(experiment, size, experiment.seed + repeat as u64);
-    let kept = play.kept();
-    let mut leg = leg(play.world, size, repeat, experiment.return_s.map(|s| s + 1.0), followed(experiment));
+    let started = Instant::now();
+    let run = VirtualRun::run(experiment, size, experiment.seed + repeat as u64);
+    let record_counts = run.record_counts();
+    let mut leg = finish_leg(
+        run.world,
+        size,
+        repeat,
+        experiment.return_s.map(|s| s + 1.0),
+        followed_destination(experiment),
+    );
     leg.virtual_time = true;
-    leg.figures.insert("took_s".into(), begun.elapsed().as_secs_f64());
-    leg.figures.insert("full_records".into(), kept.full as f64);
+    leg.figures.insert("took_s".into(), started.elapsed().as_secs_f64());
+    leg.figures.insert("full_records".into(), record_counts.full as f64);
     leg
 }
 
-/// Plays one leg on sockets. Messages begin a second after the list was taken in.
+/// Runs one leg on sockets. The load starts once the relays have processed the list.
 pub async fn on_sockets(
     experiment: &Experiment,
     program: &Path,
@@ -125,64 +133,66 @@
 ) -> Result<Leg, String> {
     let seed = experiment.seed + repeat as u64;
     let world = Rc::new(RefCell::new(World::new(experiment, size, seed)));
-    let fault = |what: &str, e: std::io::Error| format!("{what}: {e}");
-    // Listing and its repetitions come before the clock of the experiment begins.
-    let began = Instant::now();
+    let fault = |what: &str, e: std::io::Error| format!("{what}: cannot listen: {e}");
+    // The clock starts before the list is published, so the load starts at an offset.
+    let clock_start = Instant::now();
     let push = experiment.relay.front == Front::Push;
-    let emulator =
-        Emulator::start(world.clone(), began, push).map_err(|e| fault("the emulator's listener", e))?;
+    let emulator = Emulator::start(world.clone(), clock_start, push).map_err(|e| fault("emulator", e))?;
     for t in &experiment.troubles {
         let endpoints = world.borrow().endpoints_of(t.dest);
-        for endpoint in endpoints.filter(|_| gone(t.kind)) {
+        for endpoint in endpoints.filter(|_| makes_unreachable(t.kind)) {
             let moves = if t.kind == Event::Move { 1 } else { 0 };
             for moved in 0..=moves {
-                emulator.make_own(endpoint, moved).map_err(|e| fault("an endpoint's listener", e))?;
+                emulator.listen_separately(endpoint, moved).map_err(|e| fault("endpoint", e))?;
             }
         }
     }
     let down = experiment.list.down.clone();
     let costs = experiment.list.service.clone();
-    let discovery = Discovery::start(world.clone(), emulator.clone(), began, down, costs);
-    let discovery = discovery.await.map_err(|e| fault("discovery's listener", e))?;
-    let notices = push::notices(world.clone(), began).await.map_err(|e| fault("the notices' listener", e))?;
+    let discovery = Discovery::start(world.clone(), emulator.clone(), clock_start, down, costs);
+    let discovery = discovery.await.map_err(|e| fault("discovery", e))?;
+    let notices =
+        push::notices(world.clone(), clock_start).await.map_err(|e| fault("receiver of notices", e))?;
     let list_or_notices = if push { notices } else { discovery.address };
-    let around = RelayEnvironment { list_or_notices, port: emulator.port, dests: size };
+    let environment = RelayEnvironment { list_or_notices, port: emulator.port, dests: size };
     let mut relays = Vec::new();
     for number in 0..experiment.relay.count {
-        let relay = Relay::start(program, folder, experiment, number, around, seed + number as u64);
+        let relay = Relay::start(program, folder, experiment, number, environment, seed + number as u64);
         relays.push(relay.await?);
     }
-    let mut extra: BTreeMap<String, f64> = BTreeMap::new();
-    settle(&relays).await;
-    extra.insert("resident_listed_kb".into(), sum(&relays).resident_kb as f64 / relays.len() as f64);
+    let mut extra_figures: BTreeMap<String, f64> = BTreeMap::new();
+    wait_until_idle(&relays).await;
+    extra_figures
+        .insert("resident_listed_kb".into(), total_usage(&relays).resident_kb as f64 / relays.len() as f64);
     for _ in 0..experiment.list.told_again {
         discovery.publish_all();
-        sleep(AGAIN).await;
-        settle(&relays).await;
+        sleep(REPUBLISH_PAUSE).await;
+        wait_until_idle(&relays).await;
     }
-    extra.insert("resident_again_kb".into(), sum(&relays).resident_kb as f64 / relays.len() as f64);
+    extra_figures
+        .insert("resident_again_kb".into(), total_usage(&relays).resident_kb as f64 / relays.len() as f64);
 
-    let begin = Instant::now();
-    let offset = began.elapsed();
+    let load_start = Instant::now();
+    let offset = clock_start.elapsed();
     let mut arrivals = vec![Vec::new(); relays.len()];
     for (n, arrival) in draw(&experiment.load, experiment.seconds, size, seed).into_iter().enumerate() {
         arrivals[n % relays.len()].push((n as u64 + 1, arrival));
     }
-    let before = sum(&relays);
+    let before = total_usage(&relays);
     for (relay, arrivals) in relays.iter().zip(arrivals) {
-        let (body, lines) = (experiment.load.body, experiment.load.connections);
+        let (body, connections) = (experiment.load.body, experiment.load.connections);
         if push {
-            let submitters = push::Submitters::new(relay.address, world.clone(), body, lines);
-            spawn_local(load::submit_all(submitters, world.clone(), began, arrivals, begin));
+            let submitters = push::Submitters::new(relay.address, world.clone(), body, connections);
+            spawn_local(load::submit_all(submitters, world.clone(), clock_start, arrivals, load_start));
         } else {
             let submitters = load::Submitters::new(relay.address, body);
-            spawn_local(load::submit_all(submitters, world.clone(), began, arrivals, begin));
+            spawn_local(load::submit_all(submitters, world.clone(), clock_start, arrivals, load_start));
         }
     }
     for at in experiment.list.told_at.clone() {
         let discovery = discovery.clone();
         spawn_local(async move {
-            sleep_until((begin + Duration::from_secs_f64(at)).into()).await;
+            sleep_until((load_start + Duration::from_secs_f64(at)).into()).await;
             discovery.publish_all_reweighted();
         });
     }
@@ -190,57 +200,57 @@
     for t in &experiment.troubles {
         let (t, world, emulator, discovery) = (t.clone(), world.clone(), emulator.clone(), discovery.clone());
         spawn_local(async move {
-            sleep_until((begin + Duration::from_secs_f64(t.at_s)).into()).await;
-            let now = began.elapsed();
-            let told = world.borrow_mut().apply_event(now, t.kind, t.dest, t.for_s, t.unlisted);
-            for (at, entry) in told {
+            sleep_until((load_start + Duration::from_secs_f64(t.at_s)).into()).await;
+            let now = clock_start.elapsed();
+            let changes = world.borrow_mut().apply_event(now, t.kind, t.dest, t.for_s, t.unlisted);
+            for (at, entry) in changes {
                 let discovery = discovery.clone();
                 spawn_local(async move {
-                    sleep_until((began + at + late).into()).await;
+                    sleep_until((clock_start + at + late).into()).await;
                     discovery.publish(entry);
                 });
             }
             let endpoints = world.borrow().endpoints_of(t.dest);
-            let until = began + now + Duration::from_secs_f64(t.for_s);
+            let until = clock_start + now + Duration::from_secs_f64(t.for_s);
             if t.kind == Event::Drain {
                 sleep_until(until.into()).await;
                 endpoints.for_each(|endpoint| emulator.refuse(endpoint, true));
-            } else if gone(t.kind) {
-                let breaks = t.kind != Event::Trouble(Trouble::Refuse);
-                endpoints.clone().for_each(|endpoint| emulator.refuse(endpoint, breaks));
+            } else if makes_unreachable(t.kind) {
+                let close_open = t.kind != Event::Trouble(Trouble::Refuse);
+                endpoints.clone().for_each(|endpoint| emulator.refuse(endpoint, close_open));
                 sleep_until(until.into()).await;
                 let moved = u32::from(t.kind == Event::Move);
-                // A port that cannot be had again leaves the endpoint down, which the figures show.
-                endpoints.for_each(|endpoint| drop(emulator.make_own(endpoint, moved)));
+                // If the port cannot be bound again, the endpoint stays down, which the figures show.
+                endpoints.for_each(|endpoint| drop(emulator.listen_separately(endpoint, moved)));
             }
         });
     }
     let total = experiment.seconds as u64;
     let bar = if progress { ProgressBar::new(total) } else { ProgressBar::hidden() };
-    bar.set_style(ProgressStyle::with_template("{msg} {bar:40} {pos}/{len} s").expect("a sound template"));
+    bar.set_style(ProgressStyle::with_template("{msg} {bar:40} {pos}/{len} s").expect("valid template"));
     bar.set_message(format!("{size} listed, {}", repeat + 1));
     let (mut last, mut after_messages) = (before, None);
     loop {
-        sleep(Duration::from_millis(1000 - (began.elapsed().as_millis() % 1000) as u64)).await;
-        let now = began.elapsed();
-        let usage = sum(&relays);
+        sleep(Duration::from_millis(1000 - (clock_start.elapsed().as_millis() % 1000) as u64)).await;
+        let now = clock_start.elapsed();
+        let usage = total_usage(&relays);
         let mut world = world.borrow_mut();
         world.tick(now);
         let second = world.record.second(now.saturating_sub(Duration::from_millis(500)));
         second.cpu_ms = (usage.cpu.saturating_sub(last.cpu)).as_secs_f64() * 1000.0;
         (second.resident_kb, second.descriptors) = (usage.resident_kb, usage.descriptors);
         last = usage;
-        bar.set_position(begin.elapsed().as_secs().min(total));
-        let over = begin.elapsed().as_secs_f64() >= experiment.seconds;
-        if over && after_messages.is_none() {
+        bar.set_position(load_start.elapsed().as_secs().min(total));
+        let load_over = load_start.elapsed().as_secs_f64() >= experiment.seconds;
+        if load_over && after_messages.is_none() {
             after_messages = Some(usage);
         }
-        let end = begin + Duration::from_secs_f64(experiment.seconds) + AFTER;
-        if over && (world.checker.open() == 0 || Instant::now() > end) {
+        let end = load_start + Duration::from_secs_f64(experiment.seconds) + END_TIMEOUT;
+        if load_over && (world.checker.open() == 0 || Instant::now() > end) {
             break;
         }
-        if let Some(n) = relays.iter_mut().position(|relay| !relay.runs()) {
-            return Err(format!("relay {n} has ended; its log is in {}", folder.display()));
+        if let Some(n) = relays.iter_mut().position(|relay| !relay.is_running()) {
+            return Err(format!("relay {n} exited unexpectedly; its log is in {}", folder.display()));
         }
     }
     bar.finish_and_clear();
@@ -249,22 +259,22 @@
     let lists = discovery.lists.get();
     let return_s = experiment.return_s.map(|s| s + offset.as_secs_f64());
     let world = std::mem::replace(&mut *world.borrow_mut(), World::new(experiment, 1, 0));
-    let mut leg = leg(world, size, repeat, return_s, followed(experiment));
+    let mut leg = finish_leg(world, size, repeat, return_s, followed_destination(experiment));
     let jobs = leg.figures["handed_in"].max(1.0);
-    extra.insert("cpu_us_per_job".into(), used.as_secs_f64() * 1e6 / jobs);
-    extra.insert("lists_told".into(), f64::from(lists));
+    extra_figures.insert("cpu_us_per_job".into(), used.as_secs_f64() * 1e6 / jobs);
+    extra_figures.insert("lists_told".into(), f64::from(lists));
     let most = leg.seconds.iter().map(|s| s.descriptors).max().unwrap_or(0);
-    extra.insert("descriptors_most".into(), f64::from(most));
-    leg.figures.extend(extra);
+    extra_figures.insert("descriptors_most".into(), f64::from(most));
+    leg.figures.extend(extra_figures);
     Ok(leg)
 }
 
-/// Whether an endpoint is not there while it lasts.
-fn gone(event: Event) -> bool {
+/// Whether the endpoint is unreachable during the event.
+fn makes_unreachable(event: Event) -> bool {
     !matches!(event, Event::Trouble(t) if !matches!(t, Trouble::Refuse | Trouble::Down))
 }
 
-fn sum(relays: &[Relay]) -> Usage {
+fn total_usage(relays: &[Relay]) -> Usage {
     relays.iter().map(Relay::usage).fold(Usage::default(), |a, b| Usage {
         cpu: a.cpu + b.cpu,
         resident_kb: a.resident_kb + b.resident_kb,
@@ -272,12 +282,12 @@
     })
 }
 
-/// Waits until the relays do no more work: they have taken in what they were told.
-async fn settle(relays: &[Relay]) {
-    let mut last = sum(relays).cpu;
+/// Waits until the relays are idle, that is, have processed the list they received.
+async fn wait_until_idle(relays: &[Relay]) {
+    let mut last = total_usage(relays).cpu;
     for _ in 0..100 {
         sleep(Duration::from_millis(150)).await;
-        let now = sum(relays).cpu;
+        let now = total_usage(relays).cpu;
         if now.saturating_sub(last) < Duration::from_millis(3) {
             return;
         }
--- a/lab/src/push.rs
+++ b/lab/src/push.rs
@@ -1,7 +1,8 @@
-//! The second front's world: gateways, a reader of notices and submitters over HTTP/2 without TLS.
+//! Emulated peers for the push interface: gateways, the receiver of notices, and submitters, over HTTP/2
+//! without TLS.
 //!
-//! Streams take the place of connections: a call that breaks is a stream that is reset, and a partner that refuses
-//! connections breaks those that it has.
+//! Streams take the role that connections have on the platform interface: a broken call is a stream reset,
+//! and a partner that refuses connections closes those it has.
 use bytes::Bytes;
 use h2::{Reason, RecvStream, client, server};
 use http::{Request, Response, StatusCode};
@@ -19,16 +20,17 @@
 use crate::experiment::Experiment;
 use crate::load::Submitter;
 use crate::message_number;
-use crate::model::{At, Fate};
+use crate::model::{At, CallOutcome};
 use crate::world::{World, address};
 
-/// Streams that one connection may have open.
+/// Maximum number of concurrent streams on a connection.
 const STREAMS: u32 = 1000;
-/// Submitters wait so long for an answer.
+/// How long a submitter waits for an answer.
 const ANSWER_TIME: Duration = Duration::from_secs(3);
 
-/// The relay's own file for an experiment: an upstream for each destination, a location for each of its classes.
-pub fn file(
+/// Builds the relay's own file for an experiment, with an upstream for each destination and a location for
+/// each destination and class.
+pub fn relay_file(
     experiment: &Experiment,
     dests: usize,
     listen: SocketAddr,
@@ -41,7 +43,7 @@
     let table = |pairs: Vec<(&str, Value)>| -> Table {
         pairs.into_iter().map(|(key, value)| (key.to_owned(), value)).collect()
     };
-    let whole = |n: u64| Value::Integer(n as i64);
+    let int = |n: u64| Value::Integer(n as i64);
     file.insert(
         "push".into(),
         table(vec![
@@ -49,25 +51,25 @@
             ("notices", notices.to_string().into()),
             ("state", state.into()),
             ("disk_mb", relay.disk_mb.into()),
-            ("body_limit", whole(experiment.load.body.max(4096) as u64)),
-            ("connections", whole(256)),
+            ("body_limit", int(experiment.load.body.max(4096) as u64)),
+            ("connections", int(256)),
         ])
         .into(),
     );
     let mut limits = table(vec![
-        ("relays", whole(relay.count as u64)),
-        ("slots", whole(relay.slots.into())),
-        ("jobs", whole(relay.held.into())),
-        ("idle_close_ms", whole(relay.idle_close_ms)),
+        ("relays", int(relay.count as u64)),
+        ("slots", int(relay.slots.into())),
+        ("jobs", int(relay.held.into())),
+        ("idle_close_ms", int(relay.idle_close_ms)),
     ]);
-    // What the experiment says of them itself.
+    // Limits set by the experiment take precedence.
     limits.extend(file.get("limits").and_then(Value::as_table).cloned().unwrap_or_default());
     file.insert("limits".into(), limits.into());
     let class = |name: &str, aim: u64, give_up: u64, repeat: &str, worth: f64| {
         let pairs = vec![
             ("name", name.into()),
-            ("aim_ms", whole(aim)),
-            ("give_up_ms", whole(give_up)),
+            ("aim_ms", int(aim)),
+            ("give_up_ms", int(give_up)),
             ("repeat", repeat.into()),
             ("worth", worth.into()),
         ];
@@ -102,7 +104,7 @@
 }
 
 /// Reads a body to its end.
-async fn whole(mut body: RecvStream) -> Result<Bytes, h2::Error> {
+async fn read_body(mut body: RecvStream) -> Result<Bytes, h2::Error> {
     let mut all = Vec::new();
     while let Some(part) = body.data().await {
         let part = part?;
@@ -112,19 +114,19 @@
     Ok(all.into())
 }
 
-/// The message that a request's path ends with.
+/// Parses the message number from the last segment of a request's path.
 fn message(path: &str) -> Option<u64> {
     message_number(path.rsplit('/').next()?)
 }
 
-/// A gateway's side of one connection, until it ends.
+/// Serves a connection as a gateway until it ends.
 pub async fn serve(stream: TcpStream, world: Rc<RefCell<World>>, start: Instant, dest: usize, endpoint: u32) {
     let mut builder = server::Builder::new();
     builder.max_concurrent_streams(STREAMS);
     let Ok(mut connection) = builder.handshake::<_, Bytes>(stream).await else { return };
     while let Some(Ok((request, answer))) = connection.accept().await {
         spawn_local(call(request, answer, world.clone(), start, dest, endpoint));
-        if world.borrow_mut().partner(dest, endpoint).is_gone(start.elapsed()) {
+        if world.borrow_mut().partner(dest, endpoint).refuses_connections(start.elapsed()) {
             return;
         }
     }
@@ -140,42 +142,42 @@
 ) {
     let first = start.elapsed();
     let message = message(request.uri().path());
-    let (Some(msg), Ok(_)) = (message, whole(request.into_body()).await) else {
+    let (Some(msg), Ok(_)) = (message, read_body(request.into_body()).await) else {
         return answer.send_reset(Reason::PROTOCOL_ERROR);
     };
     let now = || -> At { start.elapsed() };
-    let fate = world.borrow_mut().call(msg, dest, endpoint, first, now());
-    let over = |fate| world.borrow_mut().call_over(msg, dest, now(), fate);
+    let outcome = world.borrow_mut().call(msg, dest, endpoint, first, now());
+    let end_call = |outcome| world.borrow_mut().call_ended(msg, dest, now(), outcome);
     let mut status = StatusCode::CREATED;
-    match fate {
-        Fate::Served(after) => {
+    match outcome {
+        CallOutcome::Served(after) => {
             let ended = std::future::poll_fn(|cx| answer.poll_reset(cx));
             tokio::select! {
                 () = tokio::time::sleep(after) => {}
-                _ = ended => return over(None),
+                _ = ended => return end_call(None),
             }
         }
-        Fate::Failed => status = StatusCode::INTERNAL_SERVER_ERROR,
-        Fate::Full(_) => status = StatusCode::TOO_MANY_REQUESTS,
-        Fate::Lost => {
+        CallOutcome::Failed => status = StatusCode::INTERNAL_SERVER_ERROR,
+        CallOutcome::Overloaded(_) => status = StatusCode::TOO_MANY_REQUESTS,
+        CallOutcome::ConnectionLost => {
             answer.send_reset(Reason::INTERNAL_ERROR);
-            return over(None);
+            return end_call(None);
         }
-        Fate::Silent => {
+        CallOutcome::Unanswered => {
             let _ = std::future::poll_fn(|cx| answer.poll_reset(cx)).await;
-            return over(None);
+            return end_call(None);
         }
     }
     let mut response = Response::builder().status(status);
-    if let Fate::Full(Some(wait)) = fate {
+    if let CallOutcome::Overloaded(Some(wait)) = outcome {
         response = response.header("retry-after", format!("{:.3}", wait.as_secs_f64()));
     }
-    let response = response.body(()).expect("a sound answer");
+    let response = response.body(()).expect("valid response");
     let sent = answer.send_response(response, true).is_ok();
-    over(Some(fate).filter(|_| sent));
+    end_call(Some(outcome).filter(|_| sent));
 }
 
-/// The reader of notices; gives its address.
+/// Starts the receiver of notices and returns its address.
 pub async fn notices(world: Rc<RefCell<World>>, start: Instant) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
@@ -187,11 +189,11 @@
                 while let Some(Ok((request, mut answer))) = connection.accept().await {
                     let world = world.clone();
                     spawn_local(async move {
-                        let read = whole(request.into_body())
+                        let valid = read_body(request.into_body())
                             .await
-                            .is_ok_and(|body| world.borrow_mut().report(&body, start.elapsed()));
-                        let status = if read { StatusCode::NO_CONTENT } else { StatusCode::BAD_REQUEST };
-                        let response = Response::builder().status(status).body(()).expect("a sound answer");
+                            .is_ok_and(|body| world.borrow_mut().receive_notices(&body, start.elapsed()));
+                        let status = if valid { StatusCode::NO_CONTENT } else { StatusCode::BAD_REQUEST };
+                        let response = Response::builder().status(status).body(()).expect("valid response");
                         let _: Result<h2::SendStream<Bytes>, _> = answer.send_response(response, true);
                     });
                 }
@@ -201,69 +203,69 @@
     Ok(address)
 }
 
-/// Opens a connection over HTTP/2 that reads and writes by itself.
-pub async fn dial(address: SocketAddr, builder: &client::Builder) -> Option<client::SendRequest<Bytes>> {
+/// Opens an HTTP/2 connection and drives it in a task of its own.
+pub async fn connect(address: SocketAddr, builder: &client::Builder) -> Option<client::SendRequest<Bytes>> {
     let stream = TcpStream::connect(address).await.ok()?;
     stream.set_nodelay(true).ok()?;
-    let (line, connection) = builder.handshake(stream).await.ok()?;
+    let (sender, connection) = builder.handshake(stream).await.ok()?;
     spawn_local(async move { drop(connection.await) });
-    Some(line)
+    Some(sender)
 }
 
-/// The submitters of one relay: a few connections, with a stream for each message.
+/// The submitters of one relay. They share a few connections, with one stream for each message.
 pub struct Submitters {
     relay: SocketAddr,
-    lines: RefCell<Vec<Option<client::SendRequest<Bytes>>>>,
+    connections: RefCell<Vec<Option<client::SendRequest<Bytes>>>>,
     next: Cell<usize>,
     world: Rc<RefCell<World>>,
     body: Bytes,
 }
 
 impl Submitters {
-    pub fn new(relay: SocketAddr, world: Rc<RefCell<World>>, body: usize, lines: usize) -> Rc<Self> {
+    pub fn new(relay: SocketAddr, world: Rc<RefCell<World>>, body: usize, connections: usize) -> Rc<Self> {
         let body = Bytes::from(vec![b'x'; body]);
-        let lines = RefCell::new(vec![None; lines.max(1)]);
-        Rc::new(Submitters { relay, lines, next: Cell::new(0), world, body })
+        let connections = RefCell::new(vec![None; connections.max(1)]);
+        Rc::new(Submitters { relay, connections, next: Cell::new(0), world, body })
     }
 
-    /// The next connection by turns, opened where it is not.
-    async fn line(&self) -> Option<client::SendRequest<Bytes>> {
-        let slot = self.next.get() % self.lines.borrow().len();
+    /// Selects the next connection in round-robin order and opens it if necessary.
+    async fn connection(&self) -> Option<client::SendRequest<Bytes>> {
+        let slot = self.next.get() % self.connections.borrow().len();
         self.next.set(slot + 1);
-        let known = self.lines.borrow()[slot].clone();
-        if let Some(line) = known
-            && let Ok(line) = line.ready().await
+        let known = self.connections.borrow()[slot].clone();
+        if let Some(connection) = known
+            && let Ok(connection) = connection.ready().await
         {
-            return Some(line);
+            return Some(connection);
         }
-        let line = dial(self.relay, &client::Builder::new()).await?;
-        self.lines.borrow_mut()[slot] = Some(line.clone());
-        line.ready().await.ok()
+        let connection = connect(self.relay, &client::Builder::new()).await?;
+        self.connections.borrow_mut()[slot] = Some(connection.clone());
+        connection.ready().await.ok()
     }
 }
 
 impl Submitter for Submitters {
-    /// Times to live are whole seconds, rounded.
+    /// A time to live is sent in whole seconds, rounded.
     const DEADLINE_SLACK: Duration = Duration::from_millis(500);
 
     async fn hand_in(&self, msg: u64, arrival: &Arrival, intended: Instant) -> Option<bool> {
         let call = async {
-            let mut line = self.line().await?;
+            let mut connection = self.connection().await?;
             let left = arrival.patience.saturating_sub(intended.elapsed());
             let class = arrival.class();
             let request = Request::post(format!("http://{}/{class}/{}/m{msg}", self.relay, arrival.dest))
                 .header("ttl", left.as_secs_f64().round().max(1.0) as u64)
                 .body(())
                 .ok()?;
-            let (answer, mut stream) = line.send_request(request, false).ok()?;
+            let (answer, mut stream) = connection.send_request(request, false).ok()?;
             stream.send_data(self.body.clone(), true).ok()?;
             let answer = answer.await.ok()?;
-            let taken = answer.status().is_success();
+            let accepted = answer.status().is_success();
             let location = answer.headers().get("location").and_then(|v| v.to_str().ok());
-            if let Some(id) = location.and_then(|l| l.rsplit('/').next()).filter(|_| taken) {
-                self.world.borrow_mut().named(id, msg);
+            if let Some(id) = location.and_then(|l| l.rsplit('/').next()).filter(|_| accepted) {
+                self.world.borrow_mut().assign_id(id, msg);
             }
-            Some(taken)
+            Some(accepted)
         };
         timeout(ANSWER_TIME, call).await.ok().flatten()
     }
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -1,4 +1,4 @@
-//! The real relay: its configuration, its process, and what the system says of that.
+//! Control of real relay processes: configuration, start, and resource usage.
 use serde_json::{Value, json};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -10,14 +10,14 @@
 use crate::experiment::{Experiment, Front, RelayTable};
 use crate::push;
 
-/// A relay that was started.
+/// A running relay process.
 pub struct Relay {
     child: Child,
     pub id: u32,
     pub address: SocketAddr,
 }
 
-/// What the system says of processes.
+/// Resource usage of a process, as reported by the system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     pub cpu: Duration,
@@ -25,34 +25,37 @@
     pub descriptors: u32,
 }
 
-/// How long a relay may take to be ready.
-const READY: Duration = Duration::from_secs(20);
+/// How long a relay may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The relay's program beside the lab's own, built first where it is not there.
+/// Path of the relay binary, which is expected next to the test bench's own. It is built if it does not
+/// exist.
 pub fn program() -> Result<PathBuf, String> {
-    let program = beside("onyxglade")?;
+    let program = artifact_path("onyxglade")?;
     if !program.exists() {
         build(&program, &["-p", "onyxglade", "--bin", "onyxglade"])?;
     }
     Ok(program)
 }
 
-/// The shim that makes a relay's system calls fail, built first: no test depends on it, so that it may be an old one.
+/// Path of the shim that injects system call faults into a relay. It is always rebuilt: no test depends on
+/// its package, so an existing file may be outdated.
 pub fn shim() -> Result<PathBuf, String> {
     static BUILT: OnceLock<Result<PathBuf, String>> = OnceLock::new();
     let built = || {
-        let shim = beside("libonyxglade_shim.so")?;
+        let shim = artifact_path("libonyxglade_shim.so")?;
         build(&shim, &["-p", "onyxglade-shim"])?;
         Ok(shim)
     };
     BUILT.get_or_init(built).clone()
 }
 
-/// What is built beside the lab's own program.
-fn beside(file: &str) -> Result<PathBuf, String> {
-    let own = std::env::current_exe().map_err(|e| format!("where the lab is: {e}"))?;
-    let folder = own.parent().unwrap_or(Path::new("."));
-    // Tests run one folder further down.
+/// Path of a build artifact next to the test bench's own binary.
+fn artifact_path(file: &str) -> Result<PathBuf, String> {
+    let lab =
+        std::env::current_exe().map_err(|e| format!("cannot determine the path of the lab binary: {e}"))?;
+    let folder = lab.parent().unwrap_or(Path::new("."));
+    // Test binaries are located one folder further down.
     let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
     Ok(folder.join(file))
 }
@@ -63,16 +66,16 @@
     if file.parent().is_some_and(|folder| folder.ends_with("release")) {
         build.arg("--release");
     }
-    // The workspace, wherever this is run.
+    // Cargo must run inside the workspace, whatever the current folder is.
     build.current_dir(Path::new(env!("CARGO_MANIFEST_DIR")));
-    let built = build.status().map_err(|e| format!("building {}: {e}", file.display()))?;
+    let built = build.status().map_err(|e| format!("cannot run cargo to build {}: {e}", file.display()))?;
     if !built.success() || !file.exists() {
-        return Err(format!("{} is not there", file.display()));
+        return Err(format!("building {} failed", file.display()));
     }
     Ok(())
 }
 
-/// The settings that the platform would tell, on sockets and in virtual time alike.
+/// The settings that the platform would send, used on sockets and in virtual time.
 pub fn settings(table: &RelayTable) -> Value {
     json!({
         "step": 5_000_000u64,
@@ -97,7 +100,7 @@
     })
 }
 
-/// What the platform would tell a relay.
+/// The configuration that the platform would provide for a relay.
 pub fn configuration(
     table: &RelayTable,
     name: &str,
@@ -114,7 +117,7 @@
 }
 
 impl Relay {
-    /// Starts a relay in a folder of its own and waits until it is ready.
+    /// Starts a relay in its own folder and waits until it is ready.
     pub async fn start(
         program: &Path,
         folder: &Path,
@@ -124,17 +127,17 @@
         seed: u64,
     ) -> Result<Relay, String> {
         let fault = |what: &str, e: std::io::Error| format!("relay {number}: {what}: {e}");
-        // A port of its own: told by the system, then given up for the relay to take.
+        // The system selects a free port; it is released again so that the relay can bind it.
         let port = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|l| l.local_addr());
-        let address = port.map_err(|e| fault("no port", e))?;
+        let address = port.map_err(|e| fault("cannot find a free port", e))?;
         let folder = folder.join(format!("relay{number}"));
-        std::fs::create_dir_all(folder.join("state")).map_err(|e| fault("its folder", e))?;
-        let (file, own) = (folder.join("config.json"), folder.join("own.toml"));
+        std::fs::create_dir_all(folder.join("state")).map_err(|e| fault("cannot create its folder", e))?;
+        let (config_file, own_file) = (folder.join("config.json"), folder.join("own.toml"));
         let push = experiment.relay.front == Front::Push;
-        let text = match push {
+        let table = match push {
             true => {
                 let state = folder.join("state").display().to_string();
-                push::file(
+                push::relay_file(
                     experiment,
                     environment.dests,
                     address,
@@ -145,21 +148,21 @@
             }
             false => experiment.relay.own.clone(),
         };
-        let text = toml::to_string(&text).map_err(|e| format!("relay.own: {e}"))?;
-        std::fs::write(&own, text).map_err(|e| fault("its own file", e))?;
-        let log = std::fs::File::create(folder.join("log")).map_err(|e| fault("its log", e))?;
+        let text = toml::to_string(&table).map_err(|e| format!("relay.own: {e}"))?;
+        std::fs::write(&own_file, text).map_err(|e| fault("cannot write its own file", e))?;
+        let log = std::fs::File::create(folder.join("log")).map_err(|e| fault("cannot create its log", e))?;
         let mut command = Command::new(program);
         command
             .env_clear()
             .env("ONYXGLADE_LOG", std::env::var("ONYXGLADE_LOG").unwrap_or("info".into()))
             .stdout(Stdio::from(log))
             .kill_on_drop(true);
-        // The lab's own program is the baseline proxy.
-        let baseline = std::env::current_exe().is_ok_and(|own| own == program);
+        // The test bench's own binary contains the baseline proxy.
+        let baseline = std::env::current_exe().is_ok_and(|lab| lab == program);
         command.args(if baseline {
-            vec!["floor".as_ref(), own.as_os_str()]
+            vec!["floor".as_ref(), own_file.as_os_str()]
         } else {
-            vec!["--config".as_ref(), own.as_os_str()]
+            vec!["--config".as_ref(), own_file.as_os_str()]
         });
         if !push {
             let config = configuration(
@@ -169,28 +172,29 @@
                 environment.list_or_notices,
                 seed,
             );
-            std::fs::write(&file, config.to_string()).map_err(|e| fault("its configuration", e))?;
-            command.env("BALANCER_CONFIG", file).env("BALANCER_STATE", folder.join("state"));
+            std::fs::write(&config_file, config.to_string())
+                .map_err(|e| fault("cannot write its configuration", e))?;
+            command.env("BALANCER_CONFIG", config_file).env("BALANCER_STATE", folder.join("state"));
         }
-        let child = command.spawn().map_err(|e| fault("cannot be started", e))?;
-        let id = child.id().ok_or("a relay that has ended")?;
+        let child = command.spawn().map_err(|e| fault("cannot start the process", e))?;
+        let id = child.id().ok_or("the relay has already exited")?;
         let mut relay = Relay { child, id, address };
-        let begun = Instant::now();
+        let started = Instant::now();
         while !ready(address, push).await {
             if let Ok(Some(status)) = relay.child.try_wait() {
                 let log = std::fs::read_to_string(folder.join("log")).unwrap_or_default();
-                return Err(format!("relay {number} ended with {status}: {log}"));
+                return Err(format!("relay {number} exited with {status} before it was ready: {log}"));
             }
-            if begun.elapsed() > READY {
-                return Err(format!("relay {number} is not ready after {READY:?}"));
+            if started.elapsed() > READY_TIMEOUT {
+                return Err(format!("relay {number} is not ready after {READY_TIMEOUT:?}"));
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         Ok(relay)
     }
 
-    /// Whether the process still runs.
-    pub fn runs(&mut self) -> bool {
+    /// Whether the process is still running.
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
@@ -199,18 +203,18 @@
     }
 }
 
-/// What a relay is to find round it.
+/// Peers that a relay is configured with.
 #[derive(Clone, Copy)]
 pub struct RelayEnvironment {
-    /// Discovery, or the reader of notices.
+    /// Address of discovery, or of the receiver of notices on the push interface.
     pub list_or_notices: SocketAddr,
-    /// The port of the partners.
+    /// Port of the partners.
     pub port: u16,
-    /// Destinations listed.
+    /// Number of destinations listed.
     pub dests: usize,
 }
 
-/// The second front is ready as soon as it listens.
+/// Checks whether a relay is ready. On the push interface, it is as soon as it listens.
 async fn ready(address: SocketAddr, push: bool) -> bool {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let call = async {
@@ -226,8 +230,9 @@
     tokio::time::timeout(Duration::from_secs(1), call).await.ok().flatten().unwrap_or(false)
 }
 
-/// What the system says of a process. Processor time is its first thread's, to the nanosecond, as the scheduler
-/// counts it: all jobs are done there, and threads that end (long lists are decoded on one) would take theirs along.
+/// Reads the resource usage of a process. CPU time is that of its main thread, in nanoseconds from the
+/// scheduler: all jobs are processed there. The total over all threads would lose the time of threads that
+/// have ended, such as those that decode long lists.
 fn usage(id: u32) -> Option<Usage> {
     let folder = PathBuf::from(format!("/proc/{id}"));
     let text = std::fs::read_to_string(folder.join("schedstat")).ok()?;
--- a/lab/src/relay/tests.rs
+++ b/lab/src/relay/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn the_system_tells_of_this_very_process() {
-    let told = usage(std::process::id()).expect("told");
-    assert!(told.cpu > Duration::ZERO && told.resident_kb > 500 && told.descriptors >= 3);
+fn the_usage_of_a_running_process_is_read_and_of_an_unknown_one_is_not() {
+    let this = usage(std::process::id()).expect("this process is running");
+    assert!(this.cpu > Duration::ZERO && this.resident_kb > 500 && this.descriptors >= 3);
     assert!(usage(u32::MAX).is_none());
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! The result of an experiment: figures over its legs, whether its expectations held, and the report with plots.
+//! The result of an experiment: figures over its legs, the expectations on them, and a report with plots.
 use plotters::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -9,27 +9,29 @@
 use crate::play::Leg;
 use crate::record::{Second, write_csv};
 
-/// What an experiment came to.
+/// Result of an experiment.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Outcome {
     pub name: String,
     pub about: String,
-    /// The median over repetitions. With several sizes, `figure@size`; in virtual time, `virtual.figure`.
+    /// Median over repetitions. The key is `figure@size` with several sizes, and starts with `virtual.` in
+    /// virtual time.
     pub figures: BTreeMap<String, f64>,
-    /// Least and most over repetitions.
+    /// Minimum and maximum over repetitions.
     pub spread: BTreeMap<String, (f64, f64)>,
     pub rules_broken: usize,
-    /// Resident memory for each listed endpoint beyond its name and address, after the list was read again and again.
+    /// Resident memory per listed endpoint, without its name and address, after the list was published
+    /// repeatedly.
     pub bytes_per_idle_endpoint: BTreeMap<usize, f64>,
     pub cpu_us_per_job: BTreeMap<usize, f64>,
-    pub first_ten_seconds: Vec<crate::record::Taken>,
-    pub expectations: Vec<Held>,
+    pub first_ten_seconds: Vec<crate::record::DestinationSecond>,
+    pub expectations: Vec<ExpectationResult>,
     pub legs: Vec<Leg>,
 }
 
-/// An expectation and what came of it.
+/// An expectation and whether it was met.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Held {
+pub struct ExpectationResult {
     pub figure: String,
     pub value: Option<f64>,
     pub most: Option<f64>,
@@ -43,8 +45,8 @@
     if n == 0 { f64::NAN } else { (values[(n - 1) / 2] + values[n / 2]) / 2.0 }
 }
 
-/// Bytes of an endpoint's name and address, as text.
-fn own_bytes(size: usize) -> f64 {
+/// Length of an endpoint's name and address as text, in bytes.
+fn name_and_address_bytes(size: usize) -> f64 {
     let digits = |n: usize| n.to_string().len();
     let (last, port) = (size.saturating_sub(1), 5);
     (1 + digits(last) + "127.16.100.100:".len() + port) as f64
@@ -82,7 +84,7 @@
             let memory = |size, figure| Some((of(size, figure)? - of(*base, figure)?) * 1024.0);
             for size in larger {
                 if let Some(grown) = memory(*size, "resident_again_kb") {
-                    bytes.insert(*size, grown / (size - base) as f64 - own_bytes(*size));
+                    bytes.insert(*size, grown / (size - base) as f64 - name_and_address_bytes(*size));
                 }
             }
             cpu = experiment.sizes.iter().filter_map(|s| Some((*s, of(*s, "cpu_us_per_job")?))).collect();
@@ -97,7 +99,13 @@
         }
         let expectations = experiment.expectations.iter().map(|e| {
             let value = figures.get(&e.figure).copied();
-            Held { figure: e.figure.clone(), value, most: e.most, least: e.least, held: e.holds(value) }
+            ExpectationResult {
+                figure: e.figure.clone(),
+                value,
+                most: e.most,
+                least: e.least,
+                held: e.holds(value),
+            }
         });
         let first = legs.iter().find(|leg| !leg.virtual_time && !leg.first_ten_seconds.is_empty());
         Outcome {
@@ -131,7 +139,7 @@
         std::fs::write(folder.join("report.html"), self.html(experiment)?).map_err(fault)
     }
 
-    /// The figures in a line.
+    /// Summary of the main figures on one line.
     pub fn line(&self) -> String {
         let mut line = format!("{}: rules_broken={}", self.name, self.rules_broken);
         for (size, value) in &self.bytes_per_idle_endpoint {
@@ -190,7 +198,7 @@
                 );
             }
             page.push_str(&plots(leg, experiment)?);
-            page.push_str(&by_partner(leg));
+            page.push_str(&partner_table(leg));
         }
         page.push_str("<h2>Figures</h2><table><tr><th>figure<th>median<th>least<th>most");
         for (name, value) in &self.figures {
@@ -206,37 +214,39 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// Partners that a leg's table names.
-const NAMED: usize = 12;
+/// Maximum number of partners in a leg's table.
+const MAX_LISTED_PARTNERS: usize = 12;
 
-/// What the partners that were called most got, and their worst second against what they took.
-fn by_partner(leg: &Leg) -> String {
+/// HTML table of the partners with the most calls, with their worst second relative to their capacity.
+fn partner_table(leg: &Leg) -> String {
     let mut all: Vec<_> = leg.dests.iter().collect();
-    let offered = |taken: &[crate::record::Taken]| taken.iter().map(|t| t.offered).sum::<u32>();
-    all.sort_by_key(|(_, taken)| std::cmp::Reverse(offered(taken)));
+    let offered =
+        |seconds: &[crate::record::DestinationSecond]| seconds.iter().map(|t| t.offered).sum::<u32>();
+    all.sort_by_key(|(_, seconds)| std::cmp::Reverse(offered(seconds)));
     let mut table = String::from(
         "<table><tr><th>partner<th>calls offered<th>served<th>most in a second<th>of what it takes",
     );
-    for (dest, taken) in all.into_iter().take(NAMED) {
-        let served: u32 = taken.iter().map(|t| t.served).sum();
-        let most = taken.iter().map(|t| t.offered).max().unwrap_or(0);
-        let share = taken.iter().map(|t| f64::from(t.offered) / t.takes.max(1e-9)).fold(0.0, f64::max);
-        let _ = write!(table, "<tr><td>{dest}<td>{}<td>{served}<td>{most}<td>{share:.2}", offered(taken));
+    for (dest, seconds) in all.into_iter().take(MAX_LISTED_PARTNERS) {
+        let served: u32 = seconds.iter().map(|t| t.served).sum();
+        let most = seconds.iter().map(|t| t.offered).max().unwrap_or(0);
+        let share = seconds.iter().map(|t| f64::from(t.offered) / t.takes.max(1e-9)).fold(0.0, f64::max);
+        let _ = write!(table, "<tr><td>{dest}<td>{}<td>{served}<td>{most}<td>{share:.2}", offered(seconds));
     }
     table + "</table>"
 }
 
-type Line<'a> = (&'a str, RGBColor, Vec<(f64, f64)>);
+type PlotLine<'a> = (&'a str, RGBColor, Vec<(f64, f64)>);
 
-/// A leg's plots: rates, latencies, what is open, and what the followed destination got.
+/// Plots of a leg: rates, latencies, open messages, and the load of the destination that returns.
 fn plots(leg: &Leg, experiment: &Experiment) -> Result<String, String> {
     let of = |value: fn(&Second) -> f64| -> Vec<(f64, f64)> {
         leg.seconds.iter().map(|s| (s.second as f64, value(s))).collect()
     };
-    // Messages begin a second into virtual time, and as late on sockets as the first of them.
-    let begin = leg.seconds.iter().find(|s| s.handed_in > 0).map_or(0.0, |s| s.second as f64);
+    // The load starts one second into virtual time; on sockets, the first second with a message marks its
+    // start.
+    let load_start = leg.seconds.iter().find(|s| s.handed_in > 0).map_or(0.0, |s| s.second as f64);
     let marks: Vec<f64> =
-        experiment.troubles.iter().flat_map(|t| [t.at_s, t.at_s + t.for_s]).map(|s| s + begin).collect();
+        experiment.troubles.iter().flat_map(|t| [t.at_s, t.at_s + t.for_s]).map(|s| s + load_start).collect();
     let rates = vec![
         ("handed in", BLACK, of(|s| f64::from(s.handed_in))),
         ("delivered", GREEN, of(|s| f64::from(s.delivered))),
@@ -253,18 +263,18 @@
     page += &plot("milliseconds until delivered", &latencies, &marks)?;
     page += &plot("messages open", &open, &marks)?;
     let dest = experiment.troubles.first().map_or(0, |t| t.dest);
-    if let Some(taken) = leg.dests.get(&dest).filter(|_| experiment.return_s.is_some()) {
+    if let Some(seconds) = leg.dests.get(&dest).filter(|_| experiment.return_s.is_some()) {
         let lines = vec![
-            ("takes", BLACK, taken.iter().map(|t| (t.second as f64, t.takes)).collect()),
-            ("offered", RED, taken.iter().map(|t| (t.second as f64, f64::from(t.offered))).collect()),
-            ("served", GREEN, taken.iter().map(|t| (t.second as f64, f64::from(t.served))).collect()),
+            ("takes", BLACK, seconds.iter().map(|t| (t.second as f64, t.takes)).collect()),
+            ("offered", RED, seconds.iter().map(|t| (t.second as f64, f64::from(t.offered))).collect()),
+            ("served", GREEN, seconds.iter().map(|t| (t.second as f64, f64::from(t.served))).collect()),
         ];
         page += &plot(&format!("destination {dest}: calls a second"), &lines, &marks)?;
     }
     Ok(page)
 }
 
-fn plot(title: &str, lines: &[Line], marks: &[f64]) -> Result<String, String> {
+fn plot(title: &str, lines: &[PlotLine], marks: &[f64]) -> Result<String, String> {
     let mut text = String::new();
     {
         let points = || lines.iter().flat_map(|(_, _, points)| points);
@@ -303,7 +313,7 @@
     Ok(text)
 }
 
-/// Two results side by side, with their spreads.
+/// Compares two results side by side, with their spreads.
 pub fn compare(a: &Outcome, b: &Outcome) -> String {
     let mut text = format!("{:<44} {:>26} {:>26} {:>8}\n", "figure", a.name, b.name, "b/a");
     let names: std::collections::BTreeSet<_> = a.figures.keys().chain(b.figures.keys()).collect();
@@ -317,14 +327,14 @@
             (Some(a), Some(b)) if *a != 0.0 => format!("{:.3}", b / a),
             _ => "-".into(),
         };
-        // Spreads that do not touch are a difference; others may be chance.
-        let apart = match (a.spread.get(name), b.spread.get(name)) {
+        // Disjoint spreads indicate a difference; overlapping ones may be due to chance.
+        let marker = match (a.spread.get(name), b.spread.get(name)) {
             (Some(a), Some(b)) if a.0 > b.1 || b.0 > a.1 => " *",
             _ => "",
         };
-        let _ = writeln!(text, "{name:<44} {:>26} {:>26} {ratio:>8}{apart}", cell(a), cell(b));
+        let _ = writeln!(text, "{name:<44} {:>26} {:>26} {ratio:>8}{marker}", cell(a), cell(b));
     }
-    text.push_str("* the spreads over repetitions do not touch\n");
+    text.push_str("* the spreads over repetitions are disjoint\n");
     text
 }
 
--- a/lab/src/rules.rs
+++ b/lab/src/rules.rs
@@ -1,47 +1,47 @@
-//! Whether the rules are kept: a checker that is told all that happens, as partners and submitters see it.
+//! Checker of the delivery rules. It is notified of all events as partners and submitters observe them.
 //!
-//! Owns what was told to whom and when, and what is open. It may know neither sockets nor the relay: whatever plays
-//! an experiment reports to it, in the order of time.
+//! It records what was requested of whom and when, and which messages are open. It must depend neither on
+//! sockets nor on the relay: whatever runs an experiment reports to it, in order of time.
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
 use crate::model::At;
 
-/// Calls that arrive so soon after a told wait began were on their way.
-const ON_THE_WAY: Duration = Duration::from_millis(100);
-/// Nothing new goes to a draining node so long after that was told.
+/// Calls that arrive within this time after the start of a requested wait were already in flight.
+const WAIT_GRACE: Duration = Duration::from_millis(100);
+/// Time after a drain is published until which new calls may still reach the node.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// What is told over one connection may overtake what was sent over another by so much.
-const OVERTAKES: Duration = Duration::from_millis(50);
-/// Ends may come so long after a deadline, measured where submitters are.
+/// Time by which data on one connection may overtake data on another.
+const REORDER_SLACK: Duration = Duration::from_millis(50);
+/// Time after its deadline until which the end of a message may arrive at the submitters.
 const END_SLACK: Duration = Duration::from_millis(350);
 
-/// What a rule says.
+/// The rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Never two claims out for one message.
+    /// A message has at most one claim in flight.
     TwoOut,
-    /// What may have run and may not be repeated is never sent again.
+    /// A message that may run only once is not sent again after it may have run.
     Repeated,
-    /// Nothing in a told wait.
+    /// No calls are made during a wait that a destination has requested.
     InWait,
-    /// Nothing new to a draining node.
+    /// No new calls are made to a draining node.
     Draining,
-    /// A cold partner is not pushed over.
+    /// No partner crashes from calls that it receives while cold.
     PushedOver,
-    /// A message goes to its own destination only.
+    /// A message is sent only to its own destination.
     Astray,
-    /// Each message taken is ended.
+    /// Each accepted message ends.
     Lost,
-    /// ... and once.
+    /// Each accepted message ends only once.
     EndedTwice,
-    /// Nothing is sent of a message whose end or refusal was told.
+    /// No call is made for a message after its end or its refusal was reported.
     AfterEnd,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Breach {
     pub rule: Rule,
@@ -52,213 +52,219 @@
 #[derive(Default)]
 struct Message {
     dest: u64,
-    /// Until when it may be delivered.
+    /// Time until which it may be delivered.
     deadline: At,
-    /// It may run once only.
+    /// It may run only once.
     once: bool,
-    taken: bool,
+    accepted: bool,
     ended: bool,
     delivered: bool,
-    /// How a notice ended it: returned, or failed.
+    /// How a notice ended it: returned (true) or failed (false).
     returned: Option<bool>,
-    /// When its end, or its refusal, was first told.
-    over: Option<At>,
+    /// When its end or its refusal was first reported.
+    end_reported: Option<At>,
     may_have_run: bool,
-    out: u32,
-    /// No end of it is overdue before that: its relay is being restarted.
+    in_flight: u32,
+    /// Its end is not overdue before this time, because its relay is restarting.
     not_overdue_before: At,
 }
 
-/// A call that reached a node while the node was draining or gone, by the list service's word.
+/// A call that reached a node while the list service had published the node as draining or removed.
 #[derive(Clone, Copy, Debug, Serialize, PartialEq)]
 pub struct DrainedCall {
     pub msg: u64,
     pub node: u32,
-    /// When the list service told the drain.
+    /// When the list service published the drain.
     pub drained: At,
-    /// When the call's first byte came.
+    /// When the first byte of the call arrived.
     pub first: At,
 }
 
-/// Watches an experiment.
+/// Checks the rules during an experiment.
 #[derive(Default)]
 pub struct Checker {
-    /// Calls to draining nodes are kept for a judge that knows what each relay was told, and are no breaches here.
-    drains_judged_elsewhere: bool,
+    /// Calls to draining nodes are collected instead of being reported as breaches. They are evaluated
+    /// elsewhere, with the knowledge of when each relay was notified.
+    collect_drained_calls: bool,
     drained_calls: Vec<DrainedCall>,
     messages: HashMap<u64, Message>,
-    /// Begin and end of the waits told, by destination.
+    /// Start and end of the requested waits, by destination.
     waits: HashMap<u64, (At, At)>,
-    /// When nodes were told to drain.
+    /// When each draining node was published as such.
     drains: HashMap<u32, At>,
-    falls: HashMap<u32, u32>,
+    crashes: HashMap<u32, u32>,
     breaches: Vec<Breach>,
     counts: BTreeMap<Rule, usize>,
 }
 
-/// Breaches told one by one; further ones are only counted.
-const TOLD: usize = 100;
+/// Number of breaches that are stored; further ones are only counted.
+const MAX_REPORTED_BREACHES: usize = 100;
 
 impl Checker {
-    fn broken(&mut self, rule: Rule, at: At, what: String) {
+    fn record_breach(&mut self, rule: Rule, at: At, what: String) {
         *self.counts.entry(rule).or_default() += 1;
-        if self.breaches.len() < TOLD {
+        if self.breaches.len() < MAX_REPORTED_BREACHES {
             self.breaches.push(Breach { rule, at_s: at.as_secs_f64(), what });
         }
     }
 
-    /// Keeps calls to draining nodes for another judge, in place of holding each drain to have been heard by all at once.
+    /// Collects calls to draining nodes for a separate evaluation, instead of assuming that every relay is
+    /// notified of a drain at once.
     pub fn keep_drained_calls(&mut self) {
-        self.drains_judged_elsewhere = true;
+        self.collect_drained_calls = true;
     }
 
-    /// Those that were kept.
+    /// Returns the collected calls to draining nodes.
     pub fn drained_calls(&self) -> &[DrainedCall] {
         &self.drained_calls
     }
 
-    /// A message is handed in.
+    /// A message is submitted.
     pub fn handed_in(&mut self, msg: u64, dest: u64, deadline: At, once: bool) {
         self.messages.insert(msg, Message { dest, deadline, once, ..Message::default() });
     }
 
-    /// The relay has taken it on.
-    pub fn taken(&mut self, msg: u64) {
-        self.messages.entry(msg).or_default().taken = true;
+    /// The relay has accepted the message.
+    pub fn accepted(&mut self, msg: u64) {
+        self.messages.entry(msg).or_default().accepted = true;
     }
 
-    /// The relay has turned it away, or nobody heard its answer: nothing is owed.
-    pub fn not_taken(&mut self, msg: u64) {
-        if let Some(message) = self.messages.get_mut(&msg).filter(|m| !m.taken) {
+    /// The relay has rejected the message, or its answer was lost: the message need not end.
+    pub fn not_accepted(&mut self, msg: u64) {
+        if let Some(message) = self.messages.get_mut(&msg).filter(|m| !m.accepted) {
             message.ended = true;
         }
     }
 
-    /// The relay has refused it: it is over, and nothing of it may be sent.
+    /// The relay has refused the message: it has ended, and no call may be made for it.
     pub fn refused(&mut self, msg: u64, now: At) {
-        self.not_taken(msg);
-        if let Some(message) = self.messages.get_mut(&msg).filter(|m| !m.taken) {
-            message.over.get_or_insert(now);
+        self.not_accepted(msg);
+        if let Some(message) = self.messages.get_mut(&msg).filter(|m| !m.accepted) {
+            message.end_reported.get_or_insert(now);
         }
     }
 
-    /// Nothing is owed for a message any more, whatever becomes of it: who held it has lost its memory.
+    /// Stops tracking a message, so that none of its rules applies, because the relay that had accepted it has lost its state.
     pub fn exempt(&mut self, msg: u64) {
         self.messages.remove(&msg);
     }
 
-    /// A call has come in whole at a node of a destination; its first byte came at `first`.
-    pub fn called(&mut self, msg: u64, node: u32, dest: u64, first: At, now: At) {
+    /// A call was received completely at a node of a destination; its first byte arrived at `first`.
+    pub fn call_arrived(&mut self, msg: u64, node: u32, dest: u64, first: At, now: At) {
         if let Some((from, until)) = self.waits.get(&dest).copied()
-            && now > from + ON_THE_WAY
+            && now > from + WAIT_GRACE
             && now < until
         {
-            self.broken(Rule::InWait, now, format!("message {msg} at destination {dest}"));
+            self.record_breach(Rule::InWait, now, format!("message {msg} at destination {dest}"));
         }
         if let Some(drained) =
             self.drains.get(&node).copied().filter(|drained| first > *drained + DRAIN_GRACE)
         {
-            if self.drains_judged_elsewhere {
+            if self.collect_drained_calls {
                 self.drained_calls.push(DrainedCall { msg, node, drained, first });
             } else {
-                self.broken(Rule::Draining, now, format!("message {msg} at node {node}"));
+                self.record_breach(Rule::Draining, now, format!("message {msg} at node {node}"));
             }
         }
         let Some(message) = self.messages.get_mut(&msg) else { return };
-        let late = message.over.and_then(|over| first.checked_sub(over + OVERTAKES));
+        let after_end =
+            message.end_reported.and_then(|end_reported| first.checked_sub(end_reported + REORDER_SLACK));
         let found = [
             (message.dest != dest, Rule::Astray),
-            (message.out > 0, Rule::TwoOut),
+            (message.in_flight > 0, Rule::TwoOut),
             (message.once && message.may_have_run, Rule::Repeated),
-            (late.is_some_and(|late| !late.is_zero()), Rule::AfterEnd),
+            (after_end.is_some_and(|time| !time.is_zero()), Rule::AfterEnd),
         ];
-        message.out += 1;
+        message.in_flight += 1;
         for (_, rule) in found.into_iter().filter(|(broken, _)| *broken) {
-            self.broken(rule, now, format!("message {msg} at node {node}"));
+            self.record_breach(rule, now, format!("message {msg} at node {node}"));
         }
     }
 
-    /// A call is over: answered, or its connection has ended. `ran` says whether it may have run.
-    pub fn call_over(&mut self, msg: u64, ran: bool) {
+    /// A call was answered, or its connection ended. `may_have_run` says whether it may have run.
+    pub fn call_ended(&mut self, msg: u64, may_have_run: bool) {
         if let Some(message) = self.messages.get_mut(&msg) {
-            message.out = message.out.saturating_sub(1);
-            message.may_have_run |= ran;
+            message.in_flight = message.in_flight.saturating_sub(1);
+            message.may_have_run |= may_have_run;
         }
     }
 
-    /// A call was answered as delivered.
+    /// A call was answered as delivered. Returns false if the message was already delivered.
     pub fn delivered(&mut self, msg: u64) -> bool {
         let Some(message) = self.messages.get_mut(&msg) else { return false };
         message.ended = true;
         !std::mem::replace(&mut message.delivered, true)
     }
 
-    /// A node told its destination's wait.
-    pub fn told_wait(&mut self, dest: u64, now: At, wait: Duration) {
+    /// A node has requested a wait for its destination.
+    pub fn wait_requested(&mut self, dest: u64, now: At, wait: Duration) {
         let until = now + wait;
         let entry = self.waits.entry(dest).or_insert((now, until));
         if until > entry.1 || now >= entry.1 {
-            // A longer wait goes on from the first word of it.
+            // A longer wait extends the current one, and keeps its start.
             *entry = (if now < entry.1 { entry.0 } else { now }, until);
         }
     }
 
-    /// A node is told to drain, or to serve again.
-    pub fn drain(&mut self, node: u32, told: Option<At>) {
-        match told {
+    /// A node starts to drain at the given time, or serves again.
+    pub fn drain(&mut self, node: u32, since: Option<At>) {
+        match since {
             Some(at) => drop(self.drains.insert(node, at)),
             None => drop(self.drains.remove(&node)),
         }
     }
 
-    /// A node has fallen over so often by now.
-    pub fn falls(&mut self, node: u32, falls: u32, now: At) {
-        let known = self.falls.entry(node).or_default();
-        if falls > *known {
-            *known = falls;
-            self.broken(Rule::PushedOver, now, format!("node {node}"));
+    /// Updates the number of crashes of a node; an increase is a breach.
+    pub fn crashed(&mut self, node: u32, crashes: u32, now: At) {
+        let known = self.crashes.entry(node).or_default();
+        if crashes > *known {
+            *known = crashes;
+            self.record_breach(Rule::PushedOver, now, format!("node {node}"));
         }
     }
 
-    /// No end of a message is overdue before a time: from the end of its relay's process until a while after it serves again.
+    /// Defers the time from which the end of a message is overdue. Used from the end of its relay's process
+    /// until some time after the relay serves again.
     pub fn defer_end(&mut self, msg: u64, until: At) {
         if let Some(message) = self.messages.get_mut(&msg) {
             message.not_overdue_before = until;
         }
     }
 
-    /// A notice ends a message; one for a message that was delivered does no harm, nor does the same one again: its answer may have been
-    /// lost on a link that was cut.
-    pub fn noticed(&mut self, msg: u64, returned: bool, now: At) {
+    /// A notice has ended a message. Notices for a delivered message are permitted, as are repeated ones:
+    /// the answer to the first may have been lost on a broken link.
+    pub fn ended_by_notice(&mut self, msg: u64, returned: bool, now: At) {
         let Some(message) = self.messages.get_mut(&msg) else { return };
         let again = message.returned.is_some_and(|before| before == returned);
-        let twice = message.ended && !message.delivered && message.taken && !again;
+        let twice = message.ended && !message.delivered && message.accepted && !again;
         (message.ended, message.returned) = (true, Some(returned));
-        message.over.get_or_insert(now);
+        message.end_reported.get_or_insert(now);
         if twice {
-            self.broken(Rule::EndedTwice, now, format!("message {msg}"));
+            self.record_breach(Rule::EndedTwice, now, format!("message {msg}"));
         }
     }
 
-    /// Looks for messages whose end is overdue, and forgets those that are over.
-    pub fn look(&mut self, now: At) {
+    /// Reports messages whose end is overdue, and removes those that have ended.
+    pub fn check_overdue(&mut self, now: At) {
         let overdue: Vec<u64> = self
             .messages
             .iter()
-            .filter(|(_, m)| m.taken && !m.ended && now > (m.deadline + END_SLACK).max(m.not_overdue_before))
+            .filter(|(_, m)| {
+                m.accepted && !m.ended && now > (m.deadline + END_SLACK).max(m.not_overdue_before)
+            })
             .map(|(id, _)| *id)
             .collect();
         for msg in overdue {
-            self.messages.get_mut(&msg).expect("just found").ended = true;
-            self.broken(Rule::Lost, now, format!("message {msg}"));
+            self.messages.get_mut(&msg).expect("collected above").ended = true;
+            self.record_breach(Rule::Lost, now, format!("message {msg}"));
         }
         let kept = END_SLACK + Duration::from_secs(5);
-        self.messages.retain(|_, m| !m.ended || m.out > 0 || now < m.deadline + kept);
+        self.messages.retain(|_, m| !m.ended || m.in_flight > 0 || now < m.deadline + kept);
     }
 
-    /// Messages taken and not ended.
+    /// Number of messages that were accepted and have not ended.
     pub fn open(&self) -> usize {
-        self.messages.values().filter(|m| m.taken && !m.ended).count()
+        self.messages.values().filter(|m| m.accepted && !m.ended).count()
     }
 
     pub fn counts(&self) -> &BTreeMap<Rule, usize> {
@@ -273,7 +279,7 @@
         &self.breaches
     }
 
-    /// The messages known, for tests.
+    /// Returns the numbers of the messages that are stored. For tests.
     pub fn known(&self) -> HashSet<u64> {
         self.messages.keys().copied().collect()
     }
--- a/lab/src/service.rs
+++ b/lab/src/service.rs
@@ -1,24 +1,28 @@
-//! A service that takes one call at a time: when each call's turn comes, what it costs, and which are thrown away.
+//! Model of a service that processes one call at a time: when each call completes, what it costs, and which
+//! calls are discarded.
 //!
-//! Owns the queue's arithmetic and nothing else: no socket and no clock. Calls come in the order of time, and what becomes of one
-//! is known as soon as it comes, since nothing overtakes. Whoever called may be gone by then; the service does not see that.
+//! This module holds only the arithmetic of the queue, without sockets or a clock. Calls are passed in order
+//! of time. As the queue is first-in first-out, the result of a call is known as soon as it arrives. The
+//! service does not notice when a caller disconnects while its call is queued.
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
 use crate::model::At;
 
-/// What calls cost a list service.
+/// Costs of calls to a list service.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Costs {
-    /// A whole list, in milliseconds.
+    /// Cost of a full list, in milliseconds.
     pub whole_ms: f64,
-    /// The start of a watch, in milliseconds. One that goes on within `renew_ms` of its last answer costs nothing.
+    /// Cost of starting a watch, in milliseconds. A watch that continues within `renew_ms` of its last
+    /// answer is free.
     pub watch_ms: f64,
     pub renew_ms: u64,
-    /// What has waited so long by its turn is thrown away, in milliseconds.
+    /// Calls that were queued for longer than this many milliseconds are discarded when their processing
+    /// starts.
     pub waits_ms: u64,
-    /// At such a part of its cost.
+    /// Share of a call's cost that is spent to discard it.
     pub thrown_part: f64,
 }
 
@@ -29,7 +33,7 @@
 }
 
 impl Costs {
-    /// The first key that is out of bounds, and why.
+    /// Returns the first key that is out of bounds, and the reason.
     pub fn fault(&self) -> Option<(&'static str, String)> {
         let bad = |v: f64| !(v.is_finite() && v >= 0.0);
         if bad(self.whole_ms) {
@@ -43,33 +47,33 @@
     }
 }
 
-/// What becomes of a call.
+/// Result of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turn {
-    /// When it is dealt with.
+pub struct Completion {
+    /// When the service has finished processing the call.
     pub done: At,
-    /// It had waited too long.
-    pub thrown: bool,
+    /// Whether the call was discarded because it had been queued too long.
+    pub discarded: bool,
 }
 
-/// The service's time, call by call.
+/// State of the service's queue and its total processing time.
 #[derive(Debug, Default)]
 pub struct Service {
-    free: At,
-    /// Time given to calls that were answered, and to those that were thrown away.
-    pub answering: Duration,
-    pub throwing: Duration,
+    free_at: At,
+    /// Total time spent on answered calls and on discarded calls.
+    pub answering_time: Duration,
+    pub discarding_time: Duration,
 }
 
 impl Service {
-    /// Takes a call that costs so much.
-    pub fn call(&mut self, costs: &Costs, now: At, cost: Duration) -> Turn {
-        let begin = self.free.max(now);
-        let thrown = begin - now > Duration::from_millis(costs.waits_ms);
-        let cost = if thrown { cost.mul_f64(costs.thrown_part) } else { cost };
-        *(if thrown { &mut self.throwing } else { &mut self.answering }) += cost;
-        self.free = begin + cost;
-        Turn { done: self.free, thrown }
+    /// Queues a call with the given cost and returns its result.
+    pub fn call(&mut self, costs: &Costs, now: At, cost: Duration) -> Completion {
+        let start = self.free_at.max(now);
+        let discarded = start - now > Duration::from_millis(costs.waits_ms);
+        let cost = if discarded { cost.mul_f64(costs.thrown_part) } else { cost };
+        *(if discarded { &mut self.discarding_time } else { &mut self.answering_time }) += cost;
+        self.free_at = start + cost;
+        Completion { done: self.free_at, discarded }
     }
 }
 
--- a/lab/src/virtual_time.rs
+++ b/lab/src/virtual_time.rs
@@ -1,10 +1,10 @@
-//! The same partners and load against the decision module itself, in virtual time and without sockets: an hour of
-//! silence and a hundred thousand endpoints take seconds.
+//! Runs an experiment against the decision module itself, in virtual time and without sockets. An hour
+//! without traffic and a hundred thousand endpoints take seconds.
 //!
-//! What sockets do is put in simply: a call takes a fixed way there and back, a partner that is gone refuses
-//! connections, and a limit on a call ends it as a time-out. The host here is the relay's core in small: it keeps
-//! drains and told waits from being broken by calls decided on before they were told, and gives up on what is
-//! answered too late.
+//! Network behaviour is simplified: a call takes a fixed time in each direction, a partner that is down
+//! refuses connections, and a call that exceeds its limit ends as a timeout. The host in this module is a
+//! reduced version of the relay's core: it makes sure that calls decided earlier do not violate drains and
+//! waits that arrived since, and ignores answers that arrive too late.
 use slatethread::*;
 use slatethread_wirehost::env;
 use std::cmp::Reverse;
@@ -12,35 +12,35 @@
 use std::time::Duration;
 
 use crate::arrivals::{Arrival, draw};
-use crate::experiment::{Event as Happening, Experiment, RelayTable};
-use crate::model::{At, Fate};
+use crate::experiment::{Event as PartnerEvent, Experiment, RelayTable};
+use crate::model::{At, CallOutcome};
 use crate::relay;
 use crate::world::{Entry, State, World};
 
-/// One way over loopback, and the connection's own.
-const WAY: Duration = Duration::from_micros(200);
-/// The module's clock starts at an hour, as the relay's does.
-const START: Duration = Duration::from_secs(3600);
-/// Time between rounds.
-const STEP: Duration = Duration::from_millis(5);
+/// One-way latency over loopback, including the connection's overhead.
+const ONE_WAY: Duration = Duration::from_micros(200);
+/// The module's clock starts at one hour, as it does in the relay.
+const CLOCK_START: Duration = Duration::from_secs(3600);
+/// Minimum time between rounds.
+const ROUND_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What happens next.
-enum Next {
+/// A simulation event.
+enum SimEvent {
     Arrival(u64, Arrival),
-    Happen(Happening, usize, f64, bool),
-    Told(Entry),
-    /// A call reaches its partner.
-    Reaches(Call),
-    /// A call's outcome is back.
-    Back(Call, Outcome),
-    /// The relay stops waiting.
-    LimitOver(Call),
+    Partner(PartnerEvent, usize, f64, bool),
+    ListChange(Entry),
+    /// A call arrives at its partner.
+    CallArrives(Call),
+    /// The result of a call arrives at the relay.
+    CallReturns(Call, Outcome),
+    /// The relay's time limit for a call expires.
+    CallTimeout(Call),
     Timer(usize, u64),
     Round(usize),
     Tick,
 }
 
-/// Which call of which relay.
+/// Identifies a call of a relay.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Call {
     relay: usize,
@@ -48,142 +48,142 @@
     attempt: u32,
 }
 
-/// A call that is out.
-struct Out {
+/// A call in flight.
+struct InFlightCall {
     attempt: u32,
     endpoint: EndpointId,
     dest: usize,
     endpoint_index: u32,
     sent: At,
-    /// What its partner made of it, once it has arrived there.
-    fate: Option<Fate>,
+    /// The partner's response, once the call has arrived there.
+    partner_outcome: Option<CallOutcome>,
 }
 
-/// A relay as far as virtual time needs one.
+/// A reduced relay for virtual time.
 struct Host {
-    courier: Dispatcher,
+    dispatcher: Dispatcher,
     inbox: Vec<Event>,
     round_at: Option<At>,
     last_round: At,
-    /// Module's number of each endpoint that was told: new for each name.
-    numbers: HashMap<(u32, u32, u32), EndpointId>,
+    /// The module's id of each endpoint, by index, generation and number of moves.
+    endpoint_ids: HashMap<(u32, u32, u32), EndpointId>,
     endpoints: HashMap<EndpointId, (usize, u32)>,
-    next: u32,
-    /// Calls out, by message.
-    out: HashMap<u64, Out>,
-    /// The number of each message's next attempt.
+    last_endpoint_id: u32,
+    /// Calls in flight, by message.
+    in_flight: HashMap<u64, InFlightCall>,
+    /// Number of the next attempt, by message.
     attempts: HashMap<u64, u32>,
-    /// Messages that came since the last round and were not refused in this one.
-    fresh: Vec<u64>,
+    /// Messages that arrived since the last round and have not been refused.
+    new_messages: Vec<u64>,
 }
 
-pub struct Play {
+pub struct VirtualRun {
     pub world: World,
     hosts: Vec<Host>,
     queue: BinaryHeap<Reverse<(At, u64)>>,
-    events: HashMap<u64, Next>,
-    count: u64,
+    events: HashMap<u64, SimEvent>,
+    scheduled: u64,
     now: At,
 }
 
-/// The settings that the relay would be told, with what its own file adds to them.
+/// The settings that the relay would receive, with the additions of its own file.
 pub(crate) fn settings(table: &RelayTable) -> Settings {
-    let env = serde_json::from_value(relay::settings(table)).expect("the form that the relay reads");
-    let (told, _) = env::settings(env).expect("sound settings");
+    let env = serde_json::from_value(relay::settings(table)).expect("settings deserialize");
+    let (parsed, _) = env::settings(env).expect("valid settings");
     let cold_after = table.own.get("idle").and_then(|idle| idle.get("cold_after_s")?.as_integer());
-    Settings { cold_after: cold_after.map(|s| s as u64 * 1_000_000_000), ..told }
+    Settings { cold_after: cold_after.map(|s| s as u64 * 1_000_000_000), ..parsed }
 }
 
-impl Play {
-    /// Plays an experiment with so many destinations listed.
-    pub fn run(experiment: &Experiment, dests: usize, seed: u64) -> Play {
+impl VirtualRun {
+    /// Runs an experiment with `dests` destinations listed.
+    pub fn run(experiment: &Experiment, dests: usize, seed: u64) -> VirtualRun {
         let hosts = (0..experiment.relay.count).map(|n| Host {
-            courier: Dispatcher::new(settings(&experiment.relay), seed ^ (n as u64) << 32),
+            dispatcher: Dispatcher::new(settings(&experiment.relay), seed ^ (n as u64) << 32),
             inbox: Vec::new(),
             round_at: None,
             last_round: At::ZERO,
-            numbers: HashMap::new(),
+            endpoint_ids: HashMap::new(),
             endpoints: HashMap::new(),
-            next: 0,
-            out: HashMap::new(),
+            last_endpoint_id: 0,
+            in_flight: HashMap::new(),
             attempts: HashMap::new(),
-            fresh: Vec::new(),
+            new_messages: Vec::new(),
         });
-        let mut play = Play {
+        let mut run = VirtualRun {
             world: World::new(experiment, dests, seed),
             hosts: hosts.collect(),
             queue: BinaryHeap::new(),
             events: HashMap::new(),
-            count: 0,
+            scheduled: 0,
             now: At::ZERO,
         };
-        let list: Vec<_> = play.world.list().collect();
-        for relay in 0..play.hosts.len() {
-            let entries = list.iter().map(|e| play.hosts[relay].entry(e, START)).collect();
-            play.hosts[relay].inbox.push(Event::List { scope: ListScope::Whole, entries });
-            play.wake(relay);
+        let list: Vec<_> = run.world.list().collect();
+        for relay in 0..run.hosts.len() {
+            let entries = list.iter().map(|e| run.hosts[relay].entry(e, CLOCK_START)).collect();
+            run.hosts[relay].inbox.push(Event::List { scope: ListScope::Whole, entries });
+            run.schedule_round(relay);
         }
-        let begin = Duration::from_secs(1);
+        let load_start = Duration::from_secs(1);
         for (n, arrival) in draw(&experiment.load, experiment.seconds, dests, seed).into_iter().enumerate() {
-            play.at(begin + arrival.at, Next::Arrival(n as u64 + 1, arrival));
+            run.schedule(load_start + arrival.at, SimEvent::Arrival(n as u64 + 1, arrival));
         }
         for t in &experiment.troubles {
-            let at = begin + Duration::from_secs_f64(t.at_s);
-            play.at(at, Next::Happen(t.kind, t.dest, t.for_s, t.unlisted));
+            let at = load_start + Duration::from_secs_f64(t.at_s);
+            run.schedule(at, SimEvent::Partner(t.kind, t.dest, t.for_s, t.unlisted));
         }
-        let end = begin + Duration::from_secs_f64(experiment.seconds) + Duration::from_secs(35);
-        play.at(Duration::from_secs(1), Next::Tick);
+        let end = load_start + Duration::from_secs_f64(experiment.seconds) + Duration::from_secs(35);
+        run.schedule(Duration::from_secs(1), SimEvent::Tick);
         let late = Duration::from_secs_f64(experiment.list.late_s);
-        while let Some(Reverse((at, id))) = play.queue.pop() {
+        while let Some(Reverse((at, id))) = run.queue.pop() {
             if at > end {
                 break;
             }
-            play.now = at;
-            if let Some(next) = play.events.remove(&id) {
-                play.happen(next, late);
+            run.now = at;
+            if let Some(next) = run.events.remove(&id) {
+                run.handle(next, late);
             }
         }
-        play.world.tick(end);
-        play
+        run.world.tick(end);
+        run
     }
 
-    /// What all couriers keep just now.
-    pub fn kept(&self) -> RecordCounts {
-        self.hosts[0].courier.record_counts()
+    /// Number of records that the first relay's decision module currently keeps.
+    pub fn record_counts(&self) -> RecordCounts {
+        self.hosts[0].dispatcher.record_counts()
     }
 
-    fn at(&mut self, at: At, next: Next) {
-        self.count += 1;
-        self.queue.push(Reverse((at, self.count)));
-        self.events.insert(self.count, next);
+    fn schedule(&mut self, at: At, next: SimEvent) {
+        self.scheduled += 1;
+        self.queue.push(Reverse((at, self.scheduled)));
+        self.events.insert(self.scheduled, next);
     }
 
-    fn wake(&mut self, relay: usize) {
+    fn schedule_round(&mut self, relay: usize) {
         let host = &mut self.hosts[relay];
         if host.round_at.is_none() {
-            let at = (host.last_round + STEP).max(self.now);
+            let at = (host.last_round + ROUND_INTERVAL).max(self.now);
             host.round_at = Some(at);
-            self.at(at, Next::Round(relay));
+            self.schedule(at, SimEvent::Round(relay));
         }
     }
 
-    fn tell(&mut self, relay: usize, event: Event) {
+    fn push_event(&mut self, relay: usize, event: Event) {
         self.hosts[relay].inbox.push(event);
-        self.wake(relay);
+        self.schedule_round(relay);
     }
 
-    fn happen(&mut self, next: Next, late: Duration) {
+    fn handle(&mut self, next: SimEvent, late: Duration) {
         let now = self.now;
         match next {
-            Next::Tick => {
+            SimEvent::Tick => {
                 self.world.tick(now);
-                self.at(now + Duration::from_secs(1), Next::Tick);
+                self.schedule(now + Duration::from_secs(1), SimEvent::Tick);
             }
-            Next::Arrival(msg, arrival) => {
+            SimEvent::Arrival(msg, arrival) => {
                 let relay = msg as usize % self.hosts.len();
                 self.world.hand_in(msg, arrival.dest, now, arrival.patience, arrival.order);
-                self.hosts[relay].fresh.push(msg);
-                self.tell(
+                self.hosts[relay].new_messages.push(msg);
+                self.push_event(
                     relay,
                     Event::Request(Request {
                         msg: MsgId(msg as u32),
@@ -201,66 +201,72 @@
                     }),
                 );
             }
-            Next::Happen(event, dest, seconds, unlisted) => {
+            SimEvent::Partner(event, dest, seconds, unlisted) => {
                 for (at, entry) in self.world.apply_event(now, event, dest, seconds, unlisted) {
-                    self.at(at + late, Next::Told(entry));
+                    self.schedule(at + late, SimEvent::ListChange(entry));
                 }
             }
-            Next::Told(entry) => {
+            SimEvent::ListChange(entry) => {
                 let draining = (entry.state == State::Draining).then_some(now);
-                if entry.state != State::Gone {
+                if entry.state != State::Removed {
                     self.world.checker.drain(entry.endpoint, draining);
                 }
                 for relay in 0..self.hosts.len() {
-                    let listed = self.hosts[relay].entry(&entry, START);
-                    self.tell(relay, Event::List { scope: ListScope::Patch, entries: vec![listed] });
+                    let listed = self.hosts[relay].entry(&entry, CLOCK_START);
+                    self.push_event(relay, Event::List { scope: ListScope::Patch, entries: vec![listed] });
                 }
             }
-            Next::Reaches(call) => self.reaches(call),
-            Next::Back(call, outcome) => self.closed(call, outcome),
-            Next::LimitOver(call) => self.closed(call, Outcome::Timeout),
-            Next::Timer(relay, nonce) => self.tell(relay, Event::Timer { nonce }),
-            Next::Round(relay) => self.round(relay),
+            SimEvent::CallArrives(call) => self.call_arrives(call),
+            SimEvent::CallReturns(call, outcome) => self.call_ended(call, outcome),
+            SimEvent::CallTimeout(call) => self.call_ended(call, Outcome::Timeout),
+            SimEvent::Timer(relay, nonce) => self.push_event(relay, Event::Timer { nonce }),
+            SimEvent::Round(relay) => self.round(relay),
         }
     }
 
-    fn reaches(&mut self, call: Call) {
+    fn call_arrives(&mut self, call: Call) {
         let now = self.now;
-        let Some(out) = self.hosts[call.relay].out(call) else { return };
-        let (dest, endpoint_index) = (out.dest, out.endpoint_index);
-        if self.world.partner(dest, endpoint_index).is_gone(now) {
-            return self.at(now + WAY, Next::Back(call, Outcome::ConnectFailed));
+        let Some(in_flight) = self.hosts[call.relay].in_flight_call(call) else { return };
+        let (dest, endpoint_index) = (in_flight.dest, in_flight.endpoint_index);
+        if self.world.partner(dest, endpoint_index).refuses_connections(now) {
+            return self.schedule(now + ONE_WAY, SimEvent::CallReturns(call, Outcome::ConnectFailed));
         }
-        let fate = self.world.call(call.msg, dest, endpoint_index, now, now);
-        self.hosts[call.relay].out(call).expect("just seen").fate = Some(fate);
-        let (after, outcome) = match fate {
-            Fate::Served(after) => (after, Outcome::Ok),
-            Fate::Failed => (Duration::ZERO, Outcome::Error),
-            Fate::Full(wait) => {
+        let partner_outcome = self.world.call(call.msg, dest, endpoint_index, now, now);
+        self.hosts[call.relay].in_flight_call(call).expect("checked above").partner_outcome =
+            Some(partner_outcome);
+        let (after, outcome) = match partner_outcome {
+            CallOutcome::Served(after) => (after, Outcome::Ok),
+            CallOutcome::Failed => (Duration::ZERO, Outcome::Error),
+            CallOutcome::Overloaded(wait) => {
                 (Duration::ZERO, Outcome::Overloaded { retry_after: wait.map(|w| w.as_nanos() as u64) })
             }
-            Fate::Lost => (Duration::ZERO, Outcome::Reset),
-            Fate::Silent => return,
+            CallOutcome::ConnectionLost => (Duration::ZERO, Outcome::Reset),
+            CallOutcome::Unanswered => return,
         };
-        self.at(now + after + WAY, Next::Back(call, outcome));
+        self.schedule(now + after + ONE_WAY, SimEvent::CallReturns(call, outcome));
     }
 
-    /// A call is over for the relay, unless it was over before.
-    fn closed(&mut self, call: Call, outcome: Outcome) {
+    /// Ends a call at the relay, unless it has already ended.
+    fn call_ended(&mut self, call: Call, outcome: Outcome) {
         let now = self.now;
         let host = &mut self.hosts[call.relay];
-        if host.out(call).is_none() {
+        if host.in_flight_call(call).is_none() {
             return;
         }
-        let out = host.out.remove(&call.msg).expect("just seen");
-        let heard = !matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
-        if let Some(fate) = out.fate {
-            self.world.call_over(call.msg, out.dest, now, Some(fate).filter(|_| heard));
+        let in_flight = host.in_flight.remove(&call.msg).expect("checked above");
+        let answer_received = !matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
+        if let Some(partner_outcome) = in_flight.partner_outcome {
+            self.world.call_ended(
+                call.msg,
+                in_flight.dest,
+                now,
+                Some(partner_outcome).filter(|_| answer_received),
+            );
         }
-        // What never arrived at its partner is not out there, and was never sent for all that it knows.
+        // A call that has not arrived at its partner was never sent as far as the partner is concerned.
         let outcome = match outcome {
-            Outcome::Timeout if out.fate.is_none() => Outcome::ConnectFailed,
-            Outcome::Cancelled if out.fate.is_none() => Outcome::NotSent,
+            Outcome::Timeout if in_flight.partner_outcome.is_none() => Outcome::ConnectFailed,
+            Outcome::Cancelled if in_flight.partner_outcome.is_none() => Outcome::NotSent,
             outcome => outcome,
         };
         if outcome == Outcome::Ok {
@@ -269,13 +275,13 @@
         let event = Event::AttemptEnded {
             msg: MsgId(call.msg as u32),
             attempt: call.attempt,
-            endpoint: out.endpoint,
+            endpoint: in_flight.endpoint,
             outcome,
-            latency: (now - out.sent).as_nanos() as u64,
+            latency: (now - in_flight.sent).as_nanos() as u64,
             message_done: outcome == Outcome::Ok,
             report: Report::default(),
         };
-        self.tell(call.relay, event);
+        self.push_event(call.relay, event);
     }
 
     fn round(&mut self, relay: usize) {
@@ -284,7 +290,7 @@
         (host.round_at, host.last_round) = (None, now);
         let events = std::mem::take(&mut host.inbox);
         let mut actions = Vec::new();
-        host.courier.on_round((START + now).as_nanos() as u64, &events, &mut actions);
+        host.dispatcher.on_round((CLOCK_START + now).as_nanos() as u64, &events, &mut actions);
         for action in actions {
             match action {
                 Action::Send { msg, endpoint, timeout: limit } => {
@@ -294,36 +300,42 @@
                     let call = Call { relay, msg, attempt: *next };
                     *next += 1;
                     let (dest, endpoint_index) = host.endpoints[&endpoint];
-                    let out =
-                        Out { attempt: call.attempt, endpoint, dest, endpoint_index, sent: now, fate: None };
-                    host.out.insert(msg, out);
-                    self.at(now + WAY, Next::Reaches(call));
-                    self.at(now + Duration::from_nanos(limit), Next::LimitOver(call));
+                    let in_flight = InFlightCall {
+                        attempt: call.attempt,
+                        endpoint,
+                        dest,
+                        endpoint_index,
+                        sent: now,
+                        partner_outcome: None,
+                    };
+                    host.in_flight.insert(msg, in_flight);
+                    self.schedule(now + ONE_WAY, SimEvent::CallArrives(call));
+                    self.schedule(now + Duration::from_nanos(limit), SimEvent::CallTimeout(call));
                 }
-                Action::Refuse { msg, .. } => self.ended(relay, u64::from(msg.0), true),
-                Action::Fail { msg } => self.ended(relay, u64::from(msg.0), false),
+                Action::Refuse { msg, .. } => self.message_ended(relay, u64::from(msg.0), true),
+                Action::Fail { msg } => self.message_ended(relay, u64::from(msg.0), false),
                 Action::Cancel { msg, attempt } => {
                     let msg = u64::from(msg.0);
-                    // The relay closes the connection; what ran has run.
-                    self.closed(Call { relay, msg, attempt }, Outcome::Cancelled);
+                    // The relay closes the connection; the call may have run.
+                    self.call_ended(Call { relay, msg, attempt }, Outcome::Cancelled);
                 }
                 Action::SetTimer { nonce, after } => {
-                    self.at(now + Duration::from_nanos(after), Next::Timer(relay, nonce));
+                    self.schedule(now + Duration::from_nanos(after), SimEvent::Timer(relay, nonce));
                 }
                 _ => {}
             }
         }
-        let fresh = std::mem::take(&mut self.hosts[relay].fresh);
-        // What was not refused in its first round is taken on.
-        fresh.into_iter().for_each(|msg| self.world.answer(msg, now, Some(true)));
+        let new_messages = std::mem::take(&mut self.hosts[relay].new_messages);
+        // Messages that were not refused in their first round are accepted.
+        new_messages.into_iter().for_each(|msg| self.world.answer(msg, now, Some(true)));
     }
 
-    fn ended(&mut self, relay: usize, msg: u64, returned: bool) {
+    fn message_ended(&mut self, relay: usize, msg: u64, returned: bool) {
         let now = self.now;
         let host = &mut self.hosts[relay];
         host.attempts.remove(&msg);
-        if let Some(index) = host.fresh.iter().position(|fresh| *fresh == msg) {
-            host.fresh.remove(index);
+        if let Some(index) = host.new_messages.iter().position(|known| *known == msg) {
+            host.new_messages.remove(index);
             self.world.answer(msg, now, Some(false));
         } else {
             self.world.notice(msg, now, returned);
@@ -332,17 +344,17 @@
 }
 
 impl Host {
-    /// A call, if it is still out.
-    fn out(&mut self, call: Call) -> Option<&mut Out> {
-        self.out.get_mut(&call.msg).filter(|out| out.attempt == call.attempt)
+    /// Returns a call if it is still in flight.
+    fn in_flight_call(&mut self, call: Call) -> Option<&mut InFlightCall> {
+        self.in_flight.get_mut(&call.msg).filter(|in_flight| in_flight.attempt == call.attempt)
     }
 
-    /// An entry as the module has it, with a number that is new for each name.
+    /// Converts a list entry for the module, with a new id for each new name or address.
     fn entry(&mut self, entry: &Entry, start: Duration) -> Endpoint {
         let key = (entry.endpoint, entry.generation, entry.moved);
-        let id = *self.numbers.entry(key).or_insert_with(|| {
-            self.next += 1;
-            EndpointId(self.next)
+        let id = *self.endpoint_ids.entry(key).or_insert_with(|| {
+            self.last_endpoint_id += 1;
+            EndpointId(self.last_endpoint_id)
         });
         self.endpoints.insert(id, (entry.dest, entry.endpoint));
         Endpoint {
@@ -353,7 +365,7 @@
             condition: match entry.state {
                 State::Serving => Condition::Active,
                 State::Draining => Condition::Draining,
-                State::Gone => Condition::Removed,
+                State::Removed => Condition::Removed,
             },
             weight: entry.weight,
             started: entry.started.map_or(0, |at| (start + at).as_nanos() as u64),
