--- a/rig/src/check.rs
+++ b/rig/src/check.rs
@@ -1,5 +1,5 @@
 //! Invariants of a fleet, checked against what was observed from outside. A violation names the events that show it.
-use onyxglade_lab::discovery::{CallFate, FALSE};
+use onyxglade_lab::discovery::{FALSE_GENERATION, ListCallOutcome};
 
 use crate::drains;
 use crate::history::{EventKind, History, UnansweredRequest};
@@ -87,7 +87,7 @@
                 match e.kind {
                     EventKind::Started => newest[e.relay] = (0, at, 0),
                     // The false generation of `list-lies` is neither older nor newer than a true one.
-                    EventKind::Listed(FALSE) => {}
+                    EventKind::Listed(FALSE_GENERATION) => {}
                     EventKind::Listed(generation) => {
                         // A service that lost its state numbers generations from 1 again; those before the loss are older from then on.
                         let older_numbering =
@@ -108,7 +108,7 @@
         }
         Invariant::ServiceTimeIsUseful => {
             let (useful, useless) = (history.answering.as_secs_f64(), history.discarding.as_secs_f64());
-            let discarded_calls = history.list_calls.iter().filter(|c| c.fate == CallFate::Thrown).count();
+            let discarded_calls = history.list_calls.iter().filter(|c| c.outcome == ListCallOutcome::Thrown).count();
             (useful < 2.0 * useless).then(|| {
                 format!(
                     "{useful:.1} s on answered calls, {useless:.1} s on {discarded_calls} discarded calls"
--- a/rig/src/clients.rs
+++ b/rig/src/clients.rs
@@ -19,7 +19,7 @@
 pub type AcceptedBy = Rc<RefCell<HashMap<u64, usize>>>;
 
 impl Submitter for Clients {
-    const GRACE: Duration = Duration::ZERO;
+    const DEADLINE_SLACK: Duration = Duration::ZERO;
 
     async fn hand_in(&self, msg: u64, arrival: &Arrival, intended: Instant) -> Option<bool> {
         let answer = self.submit_to(self.home, msg, arrival, intended).await;
--- a/rig/src/drains.rs
+++ b/rig/src/drains.rs
@@ -4,7 +4,7 @@
 //! written to its process since the process started; the process logged that it has such a version; a time limit of the platform's
 //! rules ran out, after which the relay counts as informed whether or not it received the change. This check does not apply where
 //! relays exchange lists: there the checker takes the drain as known to all relays at once.
-use onyxglade_lab::rules::{DRAIN_HEARD, DrainedCall};
+use onyxglade_lab::rules::{DRAIN_GRACE, DrainedCall};
 use std::time::Duration;
 
 use crate::history::{Elapsed, EventKind, History};
@@ -38,7 +38,7 @@
 
 /// By how much a call came too late; `None` if it was in time.
 fn lateness(history: &History, relay: usize, call: &DrainedCall) -> Option<Duration> {
-    let allowed = known_since(history, relay, call) + DRAIN_HEARD + SOCKET_SLACK;
+    let allowed = known_since(history, relay, call) + DRAIN_GRACE + SOCKET_SLACK;
     call.first.checked_sub(allowed).filter(|late| !late.is_zero())
 }
 
--- a/rig/src/play.rs
+++ b/rig/src/play.rs
@@ -227,7 +227,7 @@
     for (home, arrivals) in arrivals.into_iter().enumerate() {
         let accepted_by = run.accepted_by.clone();
         let clients = Rc::new(Clients { relays: submitters.clone(), home, accepted_by });
-        spawn_local(load::play(clients, world.clone(), start, arrivals, load_start));
+        spawn_local(load::submit_all(clients, world.clone(), start, arrivals, load_start));
     }
     let total = schedule.seconds.ceil() as u64;
     let bar = if progress { ProgressBar::new(total) } else { ProgressBar::hidden() };
@@ -268,10 +268,10 @@
     let accepted_by = run.accepted_by.borrow();
     let with_relay = |call: &DrainedCall| Some((*accepted_by.get(&call.msg)?, *call));
     history.drained_calls = world.checker.drained_calls().iter().filter_map(with_relay).collect();
-    history.state_losses = discovery.forgot.borrow().clone();
-    history.changes = discovery.told.borrow().clone();
-    (history.answering, history.discarding) = discovery.used();
-    (history.opens_most, history.opens_refused, history.opens_all) = world.record.opens();
+    history.state_losses = discovery.state_losses.borrow().clone();
+    history.changes = discovery.published.borrow().clone();
+    (history.answering, history.discarding) = discovery.service_time();
+    (history.opens_most, history.opens_refused, history.opens_all) = world.record.connection_counts();
     history.opens_taken = opens_limit.unwrap_or(0);
     history.breaches = world.checker.breaches().to_vec();
     history.rules_broken = world.checker.total();
@@ -312,7 +312,7 @@
     if known == KnownList::Nothing {
         return None;
     }
-    let mut list: Value = serde_json::from_slice(&discovery.known(port).await).ok()?;
+    let mut list: Value = serde_json::from_slice(&discovery.current_list(port).await).ok()?;
     if known == KnownList::Old {
         // Shifts all addresses by one entry.
         list["generation"] = 0.into();
@@ -331,21 +331,21 @@
         let numbers = self.schedule.relays(&fault.relays)?;
         let chosen: Vec<_> = numbers.iter().map(|n| self.relays[*n].clone()).collect();
         match fault.kind {
-            FaultKind::ListDown => self.discovery.go_down(duration.unwrap_or_default()),
-            FaultKind::ListForgets => self.discovery.forget(),
-            FaultKind::ListChanges => self.discovery.tell_all_anew(),
+            FaultKind::ListDown => self.discovery.start_outage(duration.unwrap_or_default()),
+            FaultKind::ListForgets => self.discovery.lose_state(),
+            FaultKind::ListChanges => self.discovery.publish_all_reweighted(),
             FaultKind::ListBusy => {
-                self.discovery.take_one_in(fault.one_in);
+                self.discovery.accept_one_in(fault.one_in);
                 if let Some(duration) = duration {
                     sleep(duration).await;
-                    self.discovery.take_one_in(0);
+                    self.discovery.accept_one_in(0);
                 }
             }
             FaultKind::ListLies => {
-                self.discovery.lie_to(&numbers, true);
+                self.discovery.set_false_generation(&numbers, true);
                 if let Some(duration) = duration {
                     sleep(duration).await;
-                    self.discovery.lie_to(&numbers, false);
+                    self.discovery.set_false_generation(&numbers, false);
                 }
             }
             FaultKind::Partner => self.apply_partner_trouble(fault),
@@ -398,7 +398,7 @@
                     let accepted_by = self.accepted_by.borrow();
                     let mut world = self.world.borrow_mut();
                     let lost = accepted_by.iter().filter(|(_, relay)| numbers.contains(relay));
-                    lost.for_each(|(msg, _)| world.checker.excuse(*msg));
+                    lost.for_each(|(msg, _)| world.checker.exempt(*msg));
                 }
                 let Some(duration) = duration else { return Ok(()) };
                 sleep(duration).await;
@@ -446,13 +446,13 @@
         let accepted_by = self.accepted_by.borrow();
         let mut world = self.world.borrow_mut();
         let accepted = accepted_by.iter().filter(|(_, acceptor)| **acceptor == relay);
-        accepted.for_each(|(msg, _)| world.checker.put_off(*msg, until));
+        accepted.for_each(|(msg, _)| world.checker.defer_end(*msg, until));
     }
 
     /// Once a restarted relay is ready, its accepted messages are due again, after [`DEADLINE_EXTENSION`].
     async fn resume_deadlines(self: Rc<Self>, relay: Rc<Relay>) {
         if relay.ready().await {
-            self.extend_deadlines(relay.number, self.discovery.begun().elapsed() + DEADLINE_EXTENSION);
+            self.extend_deadlines(relay.number, self.discovery.clock_start().elapsed() + DEADLINE_EXTENSION);
         }
     }
 
@@ -484,9 +484,9 @@
     /// Begins a partner's trouble and publishes the list changes that come of it.
     fn apply_partner_trouble(self: &Rc<Self>, fault: &Fault) {
         let (Some(dest), Some(trouble)) = (fault.dest, fault.trouble) else { return };
-        let begun = self.discovery.begun();
+        let begun = self.discovery.clock_start();
         let seconds = fault.for_s.unwrap_or(86_400.0);
-        let list_changes = self.world.borrow_mut().happen(
+        let list_changes = self.world.borrow_mut().apply_event(
             begun.elapsed(),
             trouble,
             dest,
@@ -497,7 +497,7 @@
             let discovery = self.discovery.clone();
             spawn_local(async move {
                 sleep_until((begun + at).into()).await;
-                discovery.tell(entry);
+                discovery.publish(entry);
             });
         }
     }
--- a/rig/tests/starts.rs
+++ b/rig/tests/starts.rs
@@ -2,9 +2,9 @@
 //! end every running relay has the list, and every change published meanwhile reached all relays.
 mod common;
 
+use onyxglade_lab::discovery::ListCallOutcome;
+use onyxglade_rig::history::{History, EventKind};
 use common::{play_and_expect_pass, play_schedule, read_schedule};
-use onyxglade_lab::discovery::CallFate;
-use onyxglade_rig::history::{EventKind, History};
 
 /// Asserts that each change reached every relay that had a list at the time, `min_count` times or more in all.
 fn expect_propagated(history: &History, min_count: usize) {
@@ -17,7 +17,7 @@
 
 /// Whether the list service answered a relay that is not a seed.
 fn service_answered_non_seed(history: &History) -> bool {
-    history.list_calls.iter().any(|c| c.who > 2 && c.fate == CallFate::Answered)
+    history.list_calls.iter().any(|c| c.who > 2 && c.outcome == ListCallOutcome::Answered)
 }
 
 #[test]
@@ -39,7 +39,7 @@
 #[test]
 fn a_list_service_that_rejects_nine_calls_in_ten_suffices_for_all() {
     let history = play_and_expect_pass("start-list-busy.toml");
-    assert!(history.list_calls.iter().any(|c| c.fate == CallFate::Down), "no call was rejected");
+    assert!(history.list_calls.iter().any(|c| c.outcome == ListCallOutcome::Down), "no call was rejected");
 }
 
 #[test]
