--- a/rig/src/check.rs
+++ b/rig/src/check.rs
@@ -108,7 +108,8 @@
         }
         Invariant::ServiceTimeIsUseful => {
             let (useful, useless) = (history.answering.as_secs_f64(), history.discarding.as_secs_f64());
-            let discarded_calls = history.list_calls.iter().filter(|c| c.outcome == ListCallOutcome::Thrown).count();
+            let discarded_calls =
+                history.list_calls.iter().filter(|c| c.outcome == ListCallOutcome::Thrown).count();
             (useful < 2.0 * useless).then(|| {
                 format!(
                     "{useful:.1} s on answered calls, {useless:.1} s on {discarded_calls} discarded calls"
--- a/rig/tests/short.rs
+++ b/rig/tests/short.rs
@@ -1,11 +1,11 @@
 //! Plays short schedules with processes of the real program. A run passes if the invariants and the schedule's expectations hold.
 mod common;
 
+use common::{play_and_expect_pass, play_schedule, read_schedule};
 use onyxglade_lab::discovery::ListCallOutcome;
+use onyxglade_rig::history::EventKind;
 use onyxglade_rig::schedule::Schedule;
 use std::path::Path;
-use common::{play_and_expect_pass, play_schedule, read_schedule};
-use onyxglade_rig::history::EventKind;
 
 #[test]
 fn a_cold_start_with_a_slow_list_service_ends_with_lists_for_all() {
@@ -41,7 +41,8 @@
     let history = play_and_expect_pass("short-lists.toml");
     let first: Vec<_> = history.list_calls.iter().filter(|c| c.at.as_secs_f64() < 2.0).collect();
     assert!(first.len() <= 2, "eight relays, and these calls: {first:?}");
-    let answered_other = history.list_calls.iter().any(|c| c.who > 2 && c.outcome == ListCallOutcome::Answered);
+    let answered_other =
+        history.list_calls.iter().any(|c| c.who > 2 && c.outcome == ListCallOutcome::Answered);
     assert!(answered_other, "no other relay fetched the list: {:?}", history.list_calls);
     assert!(
         history.propagation_times().iter().all(Option::is_some),
--- a/rig/tests/starts.rs
+++ b/rig/tests/starts.rs
@@ -2,9 +2,9 @@
 //! end every running relay has the list, and every change published meanwhile reached all relays.
 mod common;
 
-use onyxglade_lab::discovery::ListCallOutcome;
-use onyxglade_rig::history::{History, EventKind};
 use common::{play_and_expect_pass, play_schedule, read_schedule};
+use onyxglade_lab::discovery::ListCallOutcome;
+use onyxglade_rig::history::{EventKind, History};
 
 /// Asserts that each change reached every relay that had a list at the time, `min_count` times or more in all.
 fn expect_propagated(history: &History, min_count: usize) {
