--- a/lab/src/capacity/backlog.rs
+++ b/lab/src/capacity/backlog.rs
@@ -13,7 +13,7 @@
 };
 use super::process::RelayFolder;
 use super::stand_ins::{ALL_ZONES, StandIns};
-use super::{Fault, Figure, Measured, Options};
+use super::{CapacityError, Figure, Measured, Options};
 use crate::relay;
 
 const SUBJECT: &str = "backlog";
@@ -56,12 +56,12 @@
 }
 
 /// Measures the sizes that the options ask for.
-pub fn measure(options: &Options) -> Result<Measured, Fault> {
+pub fn measure(options: &Options) -> Result<Measured, CapacityError> {
     measure_plan(&Plan::of(options), options.seed)
 }
 
 /// Measures the sizes of a plan.
-pub fn measure_plan(plan: &Plan, seed: u64) -> Result<Measured, Fault> {
+pub fn measure_plan(plan: &Plan, seed: u64) -> Result<Measured, CapacityError> {
     let program = relay::program().map_err(failed)?;
     let folder = tempfile::tempdir().map_err(|e| failed(e.to_string()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -117,14 +117,19 @@
 }
 
 impl Setup {
-    fn folder(&self, name: &str, messages: u32, list_service: SocketAddr) -> Result<RelayFolder, Fault> {
+    fn folder(
+        &self,
+        name: &str,
+        messages: u32,
+        list_service: SocketAddr,
+    ) -> Result<RelayFolder, CapacityError> {
         let path = self.folder.join(format!("{name}{messages}"));
         RelayFolder::create(&self.program, &path, |listen| {
             configuration(Room::in_memory(messages), listen, list_service, self.seed)
         })
     }
 
-    async fn hold(&self, messages: u32, watch: Duration) -> Result<Held, Fault> {
+    async fn hold(&self, messages: u32, watch: Duration) -> Result<Held, CapacityError> {
         let stand_ins = StandIns::start(DESTINATIONS)?;
         stand_ins.silence(ALL_ZONES);
         let folder = self.folder("held", messages, stand_ins.list_service)?;
@@ -165,7 +170,7 @@
         })
     }
 
-    async fn expire(&self, messages: u32) -> Result<Expired, Fault> {
+    async fn expire(&self, messages: u32) -> Result<Expired, CapacityError> {
         let stand_ins = StandIns::start(DESTINATIONS)?;
         stand_ins.silence(ALL_ZONES);
         let folder = self.folder("expired", messages, stand_ins.list_service)?;
@@ -229,6 +234,6 @@
     }
 }
 
-fn failed(reason: impl Into<String>) -> Fault {
-    Fault::Measurement { subject: SUBJECT, reason: reason.into() }
+fn failed(reason: impl Into<String>) -> CapacityError {
+    CapacityError::Measurement { subject: SUBJECT, reason: reason.into() }
 }
--- a/lab/src/capacity/backlog_load.rs
+++ b/lab/src/capacity/backlog_load.rs
@@ -12,7 +12,7 @@
 use super::fit::Law;
 use super::process::RelayProcess;
 use super::stand_ins::ZONES;
-use super::{Fault, Point, Series};
+use super::{CapacityError, Point, Series};
 use crate::arrivals::Arrival;
 use crate::experiment::RelayTable;
 use crate::load::{Response, Submitters};
@@ -70,8 +70,8 @@
     process: &RelayProcess,
     numbers: std::ops::Range<u32>,
     end: End,
-) -> Result<Filled, Fault> {
-    let failed = |reason: String| Fault::Measurement { subject, reason };
+) -> Result<Filled, CapacityError> {
+    let failed = |reason: String| CapacityError::Measurement { subject, reason };
     let submitters = Submitters::new(process.address, BODY);
     let (next, filled) = (Rc::new(Cell::new(numbers.start)), Rc::new(Cell::new(Filled::default())));
     let client = |submitters: Rc<Submitters>, next: Rc<Cell<u32>>, filled: Rc<Cell<Filled>>| async move {
@@ -132,7 +132,7 @@
 }
 
 /// Waits until a relay does no more than its rounds.
-pub async fn settle(process: &RelayProcess) -> Result<(), Fault> {
+pub async fn settle(process: &RelayProcess) -> Result<(), CapacityError> {
     let mut last = process.usage()?.cpu;
     for _ in 0..40 {
         sleep(Duration::from_millis(100)).await;
--- a/lab/src/capacity/backlog_on_disk.rs
+++ b/lab/src/capacity/backlog_on_disk.rs
@@ -16,7 +16,7 @@
 use super::process::{RelayFolder, RelayProcess};
 use super::site::{Probe, Sample, histogram, run};
 use super::stand_ins::{ALL_ZONES, Observations, StandIns};
-use super::{Fault, Figure, Measured, Options};
+use super::{CapacityError, Figure, Measured, Options};
 use crate::relay;
 
 const SUBJECT: &str = "backlog-on-disk";
@@ -78,12 +78,12 @@
 }
 
 /// Measures the sizes that the options ask for.
-pub fn measure(options: &Options) -> Result<Measured, Fault> {
+pub fn measure(options: &Options) -> Result<Measured, CapacityError> {
     measure_plan(&Plan::of(options), options.seed)
 }
 
 /// Measures the sizes of a plan.
-pub fn measure_plan(plan: &Plan, seed: u64) -> Result<Measured, Fault> {
+pub fn measure_plan(plan: &Plan, seed: u64) -> Result<Measured, CapacityError> {
     let program = relay::program().map_err(failed)?;
     let folder = tempfile::tempdir().map_err(|e| failed(e.to_string()))?;
     let setup = Setup { program, folder: folder.path().to_owned(), seed };
@@ -194,7 +194,12 @@
         self.folder.join("backlog")
     }
 
-    fn relay(&self, messages: u32, list_service: SocketAddr, storage: Storage) -> Result<RelayFolder, Fault> {
+    fn relay(
+        &self,
+        messages: u32,
+        list_service: SocketAddr,
+        storage: Storage,
+    ) -> Result<RelayFolder, CapacityError> {
         let room = if storage == Storage::Disk { ROOM } else { Room::in_memory(messages) };
         let relay = RelayFolder::create(&self.program, &self.folder.join("relay"), |listen| {
             configuration(room, listen, list_service, self.seed)
@@ -208,7 +213,7 @@
         Ok(relay)
     }
 
-    async fn hold(&self, messages: u32, plan: &Plan) -> Result<Held, Fault> {
+    async fn hold(&self, messages: u32, plan: &Plan) -> Result<Held, CapacityError> {
         let stand_ins = StandIns::start(DESTINATIONS)?;
         stand_ins.silence(ALL_ZONES);
         let relay = self.relay(messages, stand_ins.list_service, Storage::Disk)?;
@@ -260,7 +265,7 @@
         })
     }
 
-    async fn drain(&self, messages: u32, rate: u32, storage: Storage) -> Result<Drained, Fault> {
+    async fn drain(&self, messages: u32, rate: u32, storage: Storage) -> Result<Drained, CapacityError> {
         let stand_ins = StandIns::start(DESTINATIONS)?;
         stand_ins.silence(ALL_ZONES);
         let relay = self.relay(messages, stand_ins.list_service, storage)?;
@@ -296,15 +301,15 @@
     }
 }
 
-async fn fill_all(process: &RelayProcess, messages: u32) -> Result<Filled, Fault> {
+async fn fill_all(process: &RelayProcess, messages: u32) -> Result<Filled, CapacityError> {
     fill(SUBJECT, process, 0..messages, End::EachAfter(HOUR)).await
 }
 
 /// What comes of something, and how long the relay took to answer meanwhile.
 async fn probed<T>(
     process: &RelayProcess,
-    done: impl Future<Output = Result<T, Fault>>,
-) -> Result<(T, Vec<Sample>), Fault> {
+    done: impl Future<Output = Result<T, CapacityError>>,
+) -> Result<(T, Vec<Sample>), CapacityError> {
     let probe = Probe::start(process.address);
     let result = done.await;
     let samples = probe.finish().map_err(failed)?;
@@ -312,7 +317,7 @@
 }
 
 /// Waits until all messages have ended, or no more do.
-async fn all_ended(stand_ins: &StandIns, messages: u32) -> Result<Ends, Fault> {
+async fn all_ended(stand_ins: &StandIns, messages: u32) -> Result<Ends, CapacityError> {
     let (mut seen, mut changed) = (0, Instant::now());
     while seen < messages as usize && changed.elapsed() < QUIET {
         sleep(LOOK).await;
@@ -467,6 +472,6 @@
     ]
 }
 
-fn failed(reason: impl Into<String>) -> Fault {
-    Fault::Measurement { subject: SUBJECT, reason: reason.into() }
+fn failed(reason: impl Into<String>) -> CapacityError {
+    CapacityError::Measurement { subject: SUBJECT, reason: reason.into() }
 }
--- a/lab/src/capacity/bounds.rs
+++ b/lab/src/capacity/bounds.rs
@@ -2,7 +2,7 @@
 //! test holds the page's rows against that file.
 use serde::{Deserialize, Serialize};
 
-use super::{Fault, Report};
+use super::{CapacityError, Report};
 
 /// The file of bounds, as it was when the laboratory was built.
 const FILE: &str = include_str!("../../../docs/capacity.toml");
@@ -60,16 +60,18 @@
 
 impl Bounds {
     /// The bounds beside `docs/CAPACITY.md`.
-    pub fn of_the_page() -> Result<Bounds, Fault> {
+    pub fn documented() -> Result<Bounds, CapacityError> {
         Bounds::read(FILE)
     }
 
     /// Reads bounds from TOML. A range that its own measured value lies outside of is refused.
-    pub fn read(text: &str) -> Result<Bounds, Fault> {
-        let bounds: Bounds = toml::from_str(text).map_err(|e| Fault::Bounds(e.to_string()))?;
+    pub fn read(text: &str) -> Result<Bounds, CapacityError> {
+        let bounds: Bounds = toml::from_str(text).map_err(|e| CapacityError::Bounds(e.to_string()))?;
         let contradiction = bounds.bound.iter().find(|b| !(b.least..=b.most).contains(&b.measured));
         match contradiction {
-            Some(bound) => Err(Fault::Bounds(format!("{}: measured lies outside of its range", bound.name))),
+            Some(bound) => {
+                Err(CapacityError::Bounds(format!("{}: measured lies outside of its range", bound.name)))
+            }
             None => Ok(bounds),
         }
     }
--- a/lab/src/capacity/configuration.rs
+++ b/lab/src/capacity/configuration.rs
@@ -17,7 +17,7 @@
 
 use super::fit::Law;
 use super::site::{Probe, Site, histogram, median_longest, run};
-use super::{Fault, Figure, Measured, Options, Point, Series, cpu_time};
+use super::{CapacityError, Figure, Measured, Options, Point, Series, cpu_time};
 use crate::experiment::RelayTable;
 
 const SUBJECT: &str = "configuration";
@@ -52,11 +52,11 @@
     Sizes { destinations: &[2_312, 9_250, 37_000], held: &[10_000, 40_000, 160_000], reloads: 21 };
 
 /// Measures all of it.
-pub fn measure(options: &Options) -> Result<Measured, Fault> {
+pub fn measure(options: &Options) -> Result<Measured, CapacityError> {
     measure_at(if options.quick { &QUICK } else { &FULL }, options.seed)
 }
 
-fn measure_at(sizes: &Sizes, seed: u64) -> Result<Measured, Fault> {
+fn measure_at(sizes: &Sizes, seed: u64) -> Result<Measured, CapacityError> {
     let mut measured = Measured::default();
     let mut by_destinations = Vec::new();
     for size in sizes.destinations {
@@ -116,13 +116,13 @@
     worst_pause_ms: f64,
 }
 
-async fn at_destinations(size: usize, reloads: usize, seed: u64) -> Result<Reading, Fault> {
+async fn at_destinations(size: usize, reloads: usize, seed: u64) -> Result<Reading, CapacityError> {
     let own = "idle = { list_limit_mb = 64 }".parse().expect("a sound table");
     let site = Site::start(SUBJECT, size, RelayTable { own, ..RelayTable::default() }, seed).await?;
     reload_often(&site, reloads).await
 }
 
-async fn at_held(size: usize, reloads: usize, seed: u64) -> Result<Reading, Fault> {
+async fn at_held(size: usize, reloads: usize, seed: u64) -> Result<Reading, CapacityError> {
     let held = size as u32 * 4;
     let table = RelayTable { held, disk_mb: 1024.0, ..RelayTable::default() };
     let site = Site::start(SUBJECT, FEW_DESTINATIONS, table, seed).await?;
@@ -139,7 +139,7 @@
 }
 
 /// What reloads of a changed configuration cost: processor time without a probe, then pauses with one.
-async fn reload_often(site: &Site, reloads: usize) -> Result<Reading, Fault> {
+async fn reload_often(site: &Site, reloads: usize) -> Result<Reading, CapacityError> {
     let before = reloaded(site)?;
     let cpu_ms = processor_time(site, reloads).await?;
     let pauses = pauses(site, reloads).await?;
@@ -151,7 +151,7 @@
 }
 
 /// Processor time of a reload in milliseconds, less what the relay uses in the same time without one.
-async fn processor_time(site: &Site, reloads: usize) -> Result<f64, Fault> {
+async fn processor_time(site: &Site, reloads: usize) -> Result<f64, CapacityError> {
     let (begin, begun) = (cpu_time::of_deciding_thread(site.relay.id)?, Instant::now());
     for _ in 0..reloads {
         sleep(RELOAD_WINDOW).await;
@@ -168,7 +168,7 @@
 }
 
 /// The longest answers during reloads and without; the processor time is not told.
-async fn pauses(site: &Site, reloads: usize) -> Result<Reading, Fault> {
+async fn pauses(site: &Site, reloads: usize) -> Result<Reading, CapacityError> {
     let probe = Probe::start(site.relay.address);
     let (mut with, mut without) = (Vec::new(), Vec::new());
     for number in 0..reloads {
@@ -194,7 +194,7 @@
 }
 
 /// Has the relay take up a configuration with another value in it each time.
-async fn reload_another(site: &Site, number: usize) -> Result<(), Fault> {
+async fn reload_another(site: &Site, number: usize) -> Result<(), CapacityError> {
     change(site, |settings| {
         settings["policy_limits"]["max_retry_after"] = (3_000_000_000 + number as u64).into();
     })?;
@@ -205,21 +205,21 @@
     site.folder.path().join("relay0").join(name)
 }
 
-fn read(path: PathBuf) -> Result<String, Fault> {
-    std::fs::read_to_string(&path).map_err(|source| Fault::File { path, source })
+fn read(path: PathBuf) -> Result<String, CapacityError> {
+    std::fs::read_to_string(&path).map_err(|source| CapacityError::File { path, source })
 }
 
 /// Changes the settings in the relay's configuration; what it does not read whole it does not take up.
-fn change(site: &Site, settings: impl FnOnce(&mut serde_json::Value)) -> Result<(), Fault> {
+fn change(site: &Site, settings: impl FnOnce(&mut serde_json::Value)) -> Result<(), CapacityError> {
     let path = file(site, "config.json");
     let text = read(path.clone())?;
     let fault = |e: serde_json::Error| site.fault(format!("the relay's configuration: {e}"));
     let mut configuration: serde_json::Value = serde_json::from_str(&text).map_err(fault)?;
     settings(&mut configuration["settings"]);
-    std::fs::write(&path, configuration.to_string()).map_err(|source| Fault::File { path, source })
+    std::fs::write(&path, configuration.to_string()).map_err(|source| CapacityError::File { path, source })
 }
 
-fn signal(site: &Site) -> Result<(), Fault> {
+fn signal(site: &Site) -> Result<(), CapacityError> {
     let id = site.relay.id.to_string();
     let sent = Command::new("kill").args(["-HUP", &id]).stdout(Stdio::null()).status();
     match sent {
@@ -230,12 +230,12 @@
 }
 
 /// How many configurations the relay has taken up since its start.
-fn reloaded(site: &Site) -> Result<usize, Fault> {
+fn reloaded(site: &Site) -> Result<usize, CapacityError> {
     Ok(read(file(site, "log"))?.matches(RELOADED).count())
 }
 
 /// Has the relay read its configuration, and waits until it has.
-async fn reload(site: &Site) -> Result<(), Fault> {
+async fn reload(site: &Site) -> Result<(), CapacityError> {
     let before = reloaded(site)?;
     signal(site)?;
     let end = Instant::now() + RELOAD_PATIENCE;
@@ -249,7 +249,7 @@
 }
 
 /// Hands in messages for the destination that never answers, as fast as they are taken on.
-async fn hand_in(site: &Site, messages: usize) -> Result<(), Fault> {
+async fn hand_in(site: &Site, messages: usize) -> Result<(), CapacityError> {
     let (next, taken) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
     let body = Bytes::from(vec![b'x'; BODY]);
     let clients: Vec<_> = (0..CONNECTIONS)
--- a/lab/src/capacity/destinations.rs
+++ b/lab/src/capacity/destinations.rs
@@ -7,9 +7,9 @@
 use tokio::time::sleep;
 
 use super::fit::Law;
-use super::hollow_relay::{self, Behaviour, Call, Knowledge, Plan};
+use super::simulated_relay::{self, Behaviour, Call, Knowledge, Plan};
 use super::site::{Probe, Site, median, median_longest, run};
-use super::{Fault, Figure, Measured, Options, Point, Series, cpu_time};
+use super::{CapacityError, Figure, Measured, Options, Point, Series, cpu_time};
 use crate::arrivals::Arrival;
 use crate::experiment::RelayTable;
 use crate::load::{self, Submitters};
@@ -100,11 +100,11 @@
 };
 
 /// Measures all of it.
-pub fn measure(options: &Options) -> Result<Measured, Fault> {
+pub fn measure(options: &Options) -> Result<Measured, CapacityError> {
     measure_at(if options.quick { &QUICK } else { &FULL }, options.seed)
 }
 
-fn measure_at(sizes: &Sizes, seed: u64) -> Result<Measured, Fault> {
+fn measure_at(sizes: &Sizes, seed: u64) -> Result<Measured, CapacityError> {
     let mut measured = Measured::default();
     run(SUBJECT, lists(sizes, seed, &mut measured))?;
     run(SUBJECT, in_use(sizes, seed, &mut measured))?;
@@ -133,7 +133,7 @@
     pause_before_ms: f64,
 }
 
-async fn lists(sizes: &Sizes, seed: u64, measured: &mut Measured) -> Result<(), Fault> {
+async fn lists(sizes: &Sizes, seed: u64, measured: &mut Measured) -> Result<(), CapacityError> {
     let mut readings = Vec::new();
     for size in sizes.listed {
         readings.push((*size as f64, list(*size, sizes, seed).await?));
@@ -152,7 +152,7 @@
     Ok(())
 }
 
-async fn list(size: usize, sizes: &Sizes, seed: u64) -> Result<ListReading, Fault> {
+async fn list(size: usize, sizes: &Sizes, seed: u64) -> Result<ListReading, CapacityError> {
     let site = Site::start(SUBJECT, size, table(FEW_SOCKETS, 10_000), seed).await?;
     let whole_bytes = site.discovery.known(None).await.len() as f64;
     let before = cpu_time::of_process(site.relay.id)?;
@@ -170,7 +170,7 @@
 }
 
 /// Processor time for one change of an entry, each told by itself.
-async fn change(site: &Site, size: usize, told: u32) -> Result<f64, Fault> {
+async fn change(site: &Site, size: usize, told: u32) -> Result<f64, CapacityError> {
     let place = (size - 1) as u32;
     let plain = site.world.borrow().entry(size - 1, place);
     let before = cpu_time::of_deciding_thread(site.relay.id)?;
@@ -185,7 +185,7 @@
 
 /// The longest answer while a list with every entry changed is taken in, and in the same time without one: medians over
 /// lists, in milliseconds.
-async fn pause_of_list(site: &Site, sizes: &Sizes) -> Result<(f64, f64), Fault> {
+async fn pause_of_list(site: &Site, sizes: &Sizes) -> Result<(f64, f64), CapacityError> {
     let probe = Probe::start(site.relay.address);
     let (mut with, mut without) = (Vec::new(), Vec::new());
     for _ in 0..sizes.lists_told {
@@ -210,7 +210,7 @@
     descriptors: f64,
 }
 
-async fn in_use(sizes: &Sizes, seed: u64, measured: &mut Measured) -> Result<(), Fault> {
+async fn in_use(sizes: &Sizes, seed: u64, measured: &mut Measured) -> Result<(), CapacityError> {
     let (mut memory, mut cpu) = (Vec::new(), Vec::new());
     for used in sizes.used {
         let reading = use_once(sizes.most_listed, *used, table(FEW_SOCKETS, 10_000), seed).await?;
@@ -234,7 +234,12 @@
 }
 
 /// Sends a message to each of the first so many destinations of a relay's.
-async fn use_once(listed: usize, used: usize, table: RelayTable, seed: u64) -> Result<UseReading, Fault> {
+async fn use_once(
+    listed: usize,
+    used: usize,
+    table: RelayTable,
+    seed: u64,
+) -> Result<UseReading, CapacityError> {
     let site = Site::start(SUBJECT, listed, table, seed).await?;
     (0..used).filter(|destination| destination % 200 < 3 && used > 200).for_each(|d| site.hang(d));
     let (resident, cpu) = (site.resident(), cpu_time::of_deciding_thread(site.relay.id)?);
@@ -255,7 +260,7 @@
 }
 
 /// Waits until nearly all messages were delivered; 1.5% of them go to destinations that hang.
-async fn delivered(site: &Site, messages: usize) -> Result<(), Fault> {
+async fn delivered(site: &Site, messages: usize) -> Result<(), CapacityError> {
     let wanted = messages as f64 * LEAST_DELIVERED;
     let end = Instant::now() + PATIENCE;
     loop {
@@ -273,7 +278,7 @@
 
 /// Rounds of the decision module itself: processor time of one in which a message comes and one in which its answer
 /// comes, and of the round that sweeps.
-fn rounds(sizes: &Sizes, measured: &mut Measured) -> Result<(), Fault> {
+fn rounds(sizes: &Sizes, measured: &mut Measured) -> Result<(), CapacityError> {
     let mut cpu = Vec::new();
     for listed in sizes.listed {
         let reading = round(*listed as u32, sizes.module_used[0], sizes.rounds)?;
@@ -299,7 +304,7 @@
 }
 
 /// Plays rounds with one message or one answer each at a module that lists and has used so many destinations.
-fn round(listed: u32, used: u32, rounds: usize) -> Result<RoundReading, Fault> {
+fn round(listed: u32, used: u32, rounds: usize) -> Result<RoundReading, CapacityError> {
     let mut module = Module::new(listed, used);
     let before = cpu_time::of_this_thread()?;
     let mut longest = vec![Duration::ZERO; rounds.div_ceil(SWEEP_ROUNDS)];
@@ -326,11 +331,11 @@
 
 impl Module {
     fn new(listed: u32, used: u32) -> Module {
-        let mut settings = hollow_relay::settings(1, IDLE_CLOSE);
+        let mut settings = simulated_relay::settings(1, IDLE_CLOSE);
         settings.slots = Some(WARM_UP_BATCH * 2);
         let mut module =
             Module { courier: Dispatcher::new(settings, 1), now: HOUR, used, message: 0, out: None };
-        let entries = (0..listed).map(hollow_relay::entry).collect();
+        let entries = (0..listed).map(simulated_relay::entry).collect();
         module.play(&[Event::List { scope: ListScope::Whole, entries }]);
         let destinations: Vec<_> = (0..used).collect();
         for batch in destinations.chunks(WARM_UP_BATCH as usize) {
@@ -344,7 +349,7 @@
 
     fn request(&mut self, destination: u32) -> Event {
         self.message += 1;
-        Event::Request(hollow_relay::request(self.message, destination))
+        Event::Request(simulated_relay::request(self.message, destination))
     }
 
     fn play(&mut self, events: &[Event]) -> Vec<Action> {
@@ -434,13 +439,13 @@
         destinations: FLEET_DESTINATIONS,
         mean_gap: FLEET_GAP,
         time: DOWN_FROM + Duration::from_secs(seconds),
-        settings: hollow_relay::settings(relays, IDLE_CLOSE),
+        settings: simulated_relay::settings(relays, IDLE_CLOSE),
         look_every: 0,
         until_known: None,
     };
     let records: Vec<_> = (0..relays)
         .map(|relay| {
-            hollow_relay::play(&plan, seed ^ ((relay as u64 + 1) << 24), |destination, at| {
+            simulated_relay::play(&plan, seed ^ ((relay as u64 + 1) << 24), |destination, at| {
                 if destination == 0 && at >= DOWN_FROM { down } else { Behaviour::Serves }
             })
         })
--- a/lab/src/capacity/lists.rs
+++ b/lab/src/capacity/lists.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use super::fit::Law;
-use super::hollow_instances::{self, CpuMeter, Held, Quantity};
-use super::{Fault, Measured, Options};
+use super::simulated_instances::{self, CpuMeter, MemorySubject, Quantity};
+use super::{CapacityError, Measured, Options};
 
 /// Lengths of lists: a factor of four apart.
 const ENTRIES: [usize; 3] = [2_300, 9_250, 37_000];
@@ -80,20 +80,20 @@
 }
 
 /// Measures at each length and at each number of instances.
-pub fn measure(options: &Options) -> Result<Measured, Fault> {
+pub fn measure(options: &Options) -> Result<Measured, CapacityError> {
     let mut by_entries = Vec::new();
     for entries in if options.quick { ENTRIES_QUICK } else { ENTRIES } {
-        let held = Held::Lists.in_child(entries, options.seed)?.bytes()?;
-        let memory_changed = Held::ChangedList.in_child(entries, options.seed)?.bytes()?;
+        let held = MemorySubject::Lists.measure_in_child(entries, options.seed)?.bytes()?;
+        let memory_changed = MemorySubject::ChangedList.measure_in_child(entries, options.seed)?.bytes()?;
         let reading = read_by_entries(entries, options.seed)?;
         by_entries.push((entries, ByEntries { memory: held / HELD as f64, memory_changed, ..reading }));
     }
     let mut by_instances = Vec::new();
-    for &count in hollow_instances::instances(options) {
+    for &count in simulated_instances::instances(options) {
         by_instances.push((count, read_by_instances(count, options.seed)?));
     }
-    let mut series = hollow_instances::series("instances", &BY_INSTANCES, &by_instances);
-    series.extend(hollow_instances::series("entries", &BY_ENTRIES, &by_entries));
+    let mut series = simulated_instances::series("instances", &BY_INSTANCES, &by_instances);
+    series.extend(simulated_instances::series("entries", &BY_ENTRIES, &by_entries));
     Ok(Measured { series, figures: Vec::new() })
 }
 
@@ -120,11 +120,11 @@
 }
 
 /// Runs until all hold the present list; gives the seconds since a time.
-fn until_all_hold(net: &mut Network, from: At) -> Result<f64, Fault> {
+fn until_all_hold(net: &mut Network, from: At) -> Result<f64, CapacityError> {
     while !net.behind().is_empty() {
         if net.now > from + secs(GIVEN_UP) {
             let reason = format!("{} instances hold an older list after {GIVEN_UP} s", net.behind().len());
-            return Err(Fault::Measurement { subject: "lists", reason });
+            return Err(CapacityError::Measurement { subject: "lists", reason });
         }
         net.run(LOOK);
     }
@@ -139,7 +139,7 @@
 }
 
 /// Bytes for a change of one entry beyond those at rest (on average, the worst instance), and seconds until all hold it.
-fn change(net: &mut Network, turn: usize, rest: (f64, f64)) -> Result<(f64, f64, f64), Fault> {
+fn change(net: &mut Network, turn: usize, rest: (f64, f64)) -> Result<(f64, f64, f64), CapacityError> {
     let (before, from) = (net.sent.clone(), net.now);
     let (name, text) = entry(turn, turn + 2);
     net.change_to(name, text);
@@ -150,7 +150,7 @@
     Ok((mean - rest.0 * seconds, worst - rest.1 * seconds, held))
 }
 
-fn read_by_instances(count: usize, seed: u64) -> Result<ByInstances, Fault> {
+fn read_by_instances(count: usize, seed: u64) -> Result<ByInstances, CapacityError> {
     let mut net = Network::new(count, seed);
     let entries = net.service.entry_count() as f64;
     let from = net.now;
@@ -189,7 +189,7 @@
     })
 }
 
-fn read_by_entries(entries: usize, seed: u64) -> Result<ByEntries, Fault> {
+fn read_by_entries(entries: usize, seed: u64) -> Result<ByEntries, CapacityError> {
     let alone = answer_alone(entries, seed);
     let mut net = Network::new(FEW, seed);
     net.fill((0..entries).map(|n| entry(n, 1)));
@@ -223,7 +223,7 @@
 
 /// Resident bytes that lists which are held add: several as they came, or one after changes.
 pub(super) fn resident_bytes(entries: usize, seed: u64, changed: bool) -> u64 {
-    hollow_instances::resident_bytes_of(|| {
+    simulated_instances::resident_bytes_of(|| {
         let held = if changed { 1 } else { HELD };
         let mut lists: Vec<_> = (0..held).map(|n| alone(n, seed)).collect();
         for one in &mut lists {
--- a/lab/src/capacity/lists/tests.rs
+++ b/lab/src/capacity/lists/tests.rs
@@ -6,7 +6,7 @@
     let first = read();
     assert_eq!(first, read());
     assert_eq!(first.start_calls, 2.0, "the first two ask the service");
-    let named = hollow_instances::series("instances", &BY_INSTANCES, &[(8, first)]);
+    let named = simulated_instances::series("instances", &BY_INSTANCES, &[(8, first)]);
     for series in named.iter().filter(|series| series.name != "lists.rest_cpu") {
         assert!(series.points[0].value > 0.0, "{}", series.name);
     }
--- a/lab/src/capacity/membership.rs
+++ b/lab/src/capacity/membership.rs
@@ -11,8 +11,8 @@
 use std::thread;
 
 use super::fit::Law;
-use super::hollow_instances::{self, CpuMeter, Held, PLANNED, Quantity};
-use super::{Fault, Measured, Options};
+use super::simulated_instances::{self, CpuMeter, MemorySubject, PLANNED, Quantity};
+use super::{CapacityError, Measured, Options};
 
 const ZONES: usize = 4;
 const REGIONS: usize = 2;
@@ -83,30 +83,30 @@
 }
 
 /// Measures at each number of instances.
-pub fn measure(options: &Options) -> Result<Measured, Fault> {
-    let counts = hollow_instances::instances(options);
+pub fn measure(options: &Options) -> Result<Measured, CapacityError> {
+    let counts = simulated_instances::instances(options);
     // Each in a thread of its own, of which the processor time is told by itself.
-    let read: Result<Vec<_>, Fault> = thread::scope(|scope| {
+    let read: Result<Vec<_>, CapacityError> = thread::scope(|scope| {
         let begun: Vec<_> = counts.iter().map(|count| scope.spawn(|| read(*count, options))).collect();
         begun.into_iter().map(|thread| thread.join().expect("a play does not panic")).collect()
     });
     let read: Vec<_> = counts.iter().copied().zip(read?).collect();
-    Ok(Measured { series: hollow_instances::series("instances", &QUANTITIES, &read), figures: Vec::new() })
+    Ok(Measured { series: simulated_instances::series("instances", &QUANTITIES, &read), figures: Vec::new() })
 }
 
-fn read(count: usize, options: &Options) -> Result<Reading, Fault> {
+fn read(count: usize, options: &Options) -> Result<Reading, CapacityError> {
     let mut reading = play(count, options)?;
     reading.memory = f64::NAN;
     // Beyond that the views of all take more memory than this run may.
     if count <= PLANNED {
-        reading.memory = Held::Views.in_child(count, options.seed)?.bytes()? / count as f64;
+        reading.memory = MemorySubject::Views.measure_in_child(count, options.seed)?.bytes()? / count as f64;
     }
     Ok(reading)
 }
 
 /// Resident bytes that instances and their views of one another add, once they have started and are at rest.
 pub(super) fn resident_bytes(count: usize, seed: u64) -> u64 {
-    hollow_instances::resident_bytes_of(|| {
+    simulated_instances::resident_bytes_of(|| {
         let mut network = Network::new(count, seed);
         network.described = described;
         (0..count).for_each(|n| network.start(n));
@@ -116,7 +116,7 @@
     })
 }
 
-fn play(count: usize, options: &Options) -> Result<Reading, Fault> {
+fn play(count: usize, options: &Options) -> Result<Reading, CapacityError> {
     let mut fleet = Fleet::new(count, options.seed);
     let all: Vec<_> = (0..count).collect();
     let rack: Vec<_> = all[count - (count / RACKS).max(1)..].to_vec();
@@ -134,7 +134,7 @@
         fleet.run(SETTLING);
         let gone = fleet.event(|fleet| fleet.kill(who))?;
         fleet.run(SETTLING);
-        Ok::<_, Fault>((gone, fleet.event(|fleet| fleet.start(who))?))
+        Ok::<_, CapacityError>((gone, fleet.event(|fleet| fleet.start(who))?))
     };
     let (rack_gone, rack_back) = gone_and_back(&rack)?;
     let (zone_gone, zone_back) = gone_and_back(&zone)?;
@@ -306,7 +306,7 @@
     }
 
     /// Plays an event, its first moments, and until all agree.
-    fn event(&mut self, happens: impl FnOnce(&mut Fleet)) -> Result<Event, Fault> {
+    fn event(&mut self, happens: impl FnOnce(&mut Fleet)) -> Result<Event, CapacityError> {
         let from = self.network.now;
         let mut agreed = None;
         let traffic = self.during(|fleet| {
@@ -333,15 +333,15 @@
         }
     }
 
-    fn until_agreed(&mut self, from: At) -> Result<f64, Fault> {
+    fn until_agreed(&mut self, from: At) -> Result<f64, CapacityError> {
         self.look_until_agreed(from, GIVEN_UP).ok_or_else(|| {
             let reason = format!("{} pairs of views are wrong after {GIVEN_UP} s", self.wrong);
-            Fault::Measurement { subject: "membership", reason }
+            CapacityError::Measurement { subject: "membership", reason }
         })
     }
 
     /// Restarts one by one, each once the one before is long over.
-    fn single_restarts(&mut self) -> Result<Event, Fault> {
+    fn single_restarts(&mut self) -> Result<Event, CapacityError> {
         let mut slowest = 0.0_f64;
         let last = self.lives.len() - 1;
         let traffic = self.during(|fleet| {
@@ -364,7 +364,7 @@
     }
 
     /// A day's restarts one after another, in the shortest order: each begins before the one before is back.
-    fn rolling_restart(&mut self) -> Result<Event, Fault> {
+    fn rolling_restart(&mut self) -> Result<Event, CapacityError> {
         let count = self.lives.len();
         let traffic = self.during(|fleet| {
             let mut away = std::collections::VecDeque::new();
@@ -385,12 +385,12 @@
     }
 
     /// The views as the instances themselves give them agree, too.
-    fn check(&self) -> Result<(), Fault> {
+    fn check(&self) -> Result<(), CapacityError> {
         match self.network.wrong().len() {
             0 => Ok(()),
             wrong => {
                 let reason = format!("{wrong} pairs of views are wrong though all changes were told");
-                Err(Fault::Measurement { subject: "membership", reason })
+                Err(CapacityError::Measurement { subject: "membership", reason })
             }
         }
     }
--- a/lab/src/capacity/membership/tests.rs
+++ b/lab/src/capacity/membership/tests.rs
@@ -27,7 +27,7 @@
 fn a_seed_decides_all_bytes_and_all_that_happens_costs_bytes_and_ends_in_agreement() {
     let [first, again] = [(); 2].map(|()| reproducible(play(8, &options()).expect("agreement")));
     assert_eq!(first, again);
-    let named = hollow_instances::series("instances", &QUANTITIES, &[(8, first)]);
+    let named = simulated_instances::series("instances", &QUANTITIES, &[(8, first)]);
     for series in named.iter().filter(|s| s.unit.starts_with("B/s") || s.unit.starts_with("s until")) {
         assert!(series.points[0].value > 0.0, "{}", series.name);
     }
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -1,6 +1,6 @@
 //! Scale tests: each measures a quantity at several sizes, a factor of four apart, and states the law that it follows.
 //!
-//! A measurement is one file of this module with a function `measure(&Options) -> Result<Measured, Fault>`. This module
+//! A measurement is one file of this module with a function `measure(&Options) -> Result<Measured, CapacityError>`. This module
 //! runs the selected ones, fits their series, holds the results against the bounds of [`bounds::Bounds`], and writes
 //! `result.json` and one plot a series.
 use clap::ValueEnum;
@@ -16,12 +16,12 @@
 mod cpu_time;
 mod destinations;
 pub mod fit;
-pub mod hollow_instances;
-mod hollow_relay;
 mod lists;
 mod membership;
 mod plot;
 mod process;
+pub mod simulated_instances;
+mod simulated_relay;
 mod site;
 mod stand_ins;
 mod thin_traffic;
@@ -65,7 +65,7 @@
 
 /// Why a measurement could not be made.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum CapacityError {
     /// A file or folder could not be read or written.
     #[error("{path}: {source}")]
     File {
@@ -192,8 +192,8 @@
 
 /// Measures the named subjects, all if none is named, and writes the result. The bounds are those that stand beside
 /// `docs/CAPACITY.md`.
-pub fn run(only: &[Subject], options: &Options) -> Result<Report, Fault> {
-    let bounds = Bounds::of_the_page()?;
+pub fn run(only: &[Subject], options: &Options) -> Result<Report, CapacityError> {
+    let bounds = Bounds::documented()?;
     create_folder(&options.out)?;
     let subjects = if only.is_empty() { Subject::value_variants() } else { only };
     let mut report = Report {
@@ -210,7 +210,7 @@
     Ok(report)
 }
 
-fn measure(subject: Subject, options: &Options) -> Result<Measured, Fault> {
+fn measure(subject: Subject, options: &Options) -> Result<Measured, CapacityError> {
     match subject {
         Subject::Backlog => backlog::measure(options),
         Subject::BacklogOnDisk => backlog_on_disk::measure(options),
@@ -223,15 +223,15 @@
     }
 }
 
-fn write(report: &Report, out: &Path) -> Result<(), Fault> {
+fn write(report: &Report, out: &Path) -> Result<(), CapacityError> {
     let path = out.join("result.json");
     let text = serde_json::to_vec_pretty(report).expect("a report has only plain values");
-    std::fs::write(&path, text).map_err(|source| Fault::File { path, source })?;
+    std::fs::write(&path, text).map_err(|source| CapacityError::File { path, source })?;
     report.series.iter().try_for_each(|fitted| plot::draw(fitted, out))
 }
 
-fn create_folder(path: &Path) -> Result<(), Fault> {
-    std::fs::create_dir_all(path).map_err(|source| Fault::File { path: path.to_owned(), source })
+fn create_folder(path: &Path) -> Result<(), CapacityError> {
+    std::fs::create_dir_all(path).map_err(|source| CapacityError::File { path: path.to_owned(), source })
 }
 
 #[cfg(test)]
--- a/lab/src/capacity/plot.rs
+++ b/lab/src/capacity/plot.rs
@@ -2,7 +2,7 @@
 use plotters::prelude::*;
 use std::path::Path;
 
-use super::{Fault, Fitted};
+use super::{CapacityError, Fitted};
 
 /// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (640, 400);
@@ -10,10 +10,10 @@
 const CURVE_STEPS: u32 = 64;
 
 /// Draws a series into `NAME.svg` in the folder.
-pub fn draw(fitted: &Fitted, folder: &Path) -> Result<(), Fault> {
+pub fn draw(fitted: &Fitted, folder: &Path) -> Result<(), CapacityError> {
     let series = &fitted.series;
     let path = folder.join(format!("{}.svg", series.name));
-    let fault = |reason: String| Fault::Plot { series: series.name.to_owned(), reason };
+    let fault = |reason: String| CapacityError::Plot { series: series.name.to_owned(), reason };
     let largest = series.points.iter().map(|point| point.size).fold(1.0, f64::max);
     let highest = series.points.iter().map(|point| point.value).fold(f64::MIN_POSITIVE, f64::max);
     let area = SVGBackend::new(&path, SIZE).into_drawing_area();
--- a/lab/src/capacity/process.rs
+++ b/lab/src/capacity/process.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 
-use super::Fault;
+use super::CapacityError;
 
 /// How long a relay may take to be ready.
 const READY: Duration = Duration::from_secs(60);
@@ -51,8 +51,8 @@
         program: &Path,
         folder: &Path,
         configure: impl FnOnce(SocketAddr) -> serde_json::Value,
-    ) -> Result<RelayFolder, Fault> {
-        let fault = |source| Fault::File { path: folder.to_owned(), source };
+    ) -> Result<RelayFolder, CapacityError> {
+        let fault = |source| CapacityError::File { path: folder.to_owned(), source };
         std::fs::create_dir_all(folder.join("state")).map_err(fault)?;
         // A port of its own: told by the system, then given up for the relay to take.
         let port = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|l| l.local_addr());
@@ -64,9 +64,9 @@
     }
 
     /// Puts this into the relay's own file.
-    pub fn write_own_file(&self, text: &str) -> Result<(), Fault> {
+    pub fn write_own_file(&self, text: &str) -> Result<(), CapacityError> {
         let path = self.folder.join("own.toml");
-        std::fs::write(&path, text).map_err(|source| Fault::File { path, source })
+        std::fs::write(&path, text).map_err(|source| CapacityError::File { path, source })
     }
 
     /// What the relay has logged since its last start.
@@ -75,8 +75,8 @@
     }
 
     /// Starts the relay and waits until it is ready.
-    pub async fn start(&self) -> Result<RelayProcess, Fault> {
-        let fault = |source| Fault::File { path: self.folder.clone(), source };
+    pub async fn start(&self) -> Result<RelayProcess, CapacityError> {
+        let fault = |source| CapacityError::File { path: self.folder.clone(), source };
         let log = std::fs::File::create(self.folder.join("log")).map_err(fault)?;
         let begun = Instant::now();
         let child = Command::new(&self.program)
@@ -107,9 +107,9 @@
     }
 
     /// Bytes of the files in the folder that lasts.
-    pub fn disk(&self) -> Result<u64, Fault> {
+    pub fn disk(&self) -> Result<u64, CapacityError> {
         let state = self.folder.join("state");
-        let fault = |source| Fault::File { path: state.clone(), source };
+        let fault = |source| CapacityError::File { path: state.clone(), source };
         let entries = std::fs::read_dir(&state).map_err(fault)?;
         let sizes = entries.filter_map(|entry| entry.ok()?.metadata().ok()).map(|file| file.len());
         Ok(sizes.sum())
@@ -118,7 +118,7 @@
 
 impl RelayProcess {
     /// What the system says of the process now.
-    pub fn usage(&self) -> Result<Usage, Fault> {
+    pub fn usage(&self) -> Result<Usage, CapacityError> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.id));
         let status = status.map_err(|e| failed(&format!("it is gone: {e}")))?;
         let bytes = |field| bytes_of(&status, field).ok_or_else(|| failed("its memory is not told"));
@@ -128,7 +128,7 @@
     }
 
     /// Ends the process by SIGKILL and waits for its end.
-    pub async fn kill(mut self) -> Result<(), Fault> {
+    pub async fn kill(mut self) -> Result<(), CapacityError> {
         self.child.kill().await.map_err(|e| failed(&format!("it cannot be ended: {e}")))
     }
 }
@@ -155,8 +155,8 @@
     tasks.filter_map(|task| time(task.ok()?)).collect()
 }
 
-fn failed(reason: &str) -> Fault {
-    Fault::Measurement { subject: "relay", reason: reason.to_owned() }
+fn failed(reason: &str) -> CapacityError {
+    CapacityError::Measurement { subject: "relay", reason: reason.to_owned() }
 }
 
 async fn is_ready(address: SocketAddr) -> bool {
--- a/lab/src/capacity/hollow_instances.rs
+++ b/lab/src/capacity/simulated_instances.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use super::fit::Law;
-use super::{Fault, Options, Point, Series, lists, membership};
+use super::{CapacityError, Options, Point, Series, lists, membership};
 
 /// The planned number of instances.
 pub const PLANNED: usize = 650;
@@ -39,7 +39,7 @@
 
 /// What is held in a process of its own, where nothing that was freed before hides what it takes.
 #[derive(Clone, Copy, Debug, ValueEnum)]
-pub enum Held {
+pub enum MemorySubject {
     /// The views of so many instances of one another.
     Views,
     /// A list of so many entries, several times.
@@ -48,41 +48,41 @@
     ChangedList,
 }
 
-impl Held {
+impl MemorySubject {
     /// Resident bytes that it adds to this process.
     pub fn resident_bytes(self, size: usize, seed: u64) -> u64 {
         match self {
-            Held::Views => membership::resident_bytes(size, seed),
-            Held::Lists => lists::resident_bytes(size, seed, false),
-            Held::ChangedList => lists::resident_bytes(size, seed, true),
+            MemorySubject::Views => membership::resident_bytes(size, seed),
+            MemorySubject::Lists => lists::resident_bytes(size, seed, false),
+            MemorySubject::ChangedList => lists::resident_bytes(size, seed, true),
         }
     }
 
     /// Begins to hold it in a process of its own, which is this program again.
-    pub fn in_child(self, size: usize, seed: u64) -> Result<Holding, Fault> {
+    pub fn measure_in_child(self, size: usize, seed: u64) -> Result<ChildMeasurement, CapacityError> {
         let name = self.to_possible_value().expect("no variant is skipped");
         let program = std::env::current_exe().map_err(|e| fault(&e.to_string()))?;
         let mut command = Command::new(program);
         command.args(["hold", name.get_name(), &size.to_string(), &seed.to_string()]);
         let child = command.stdout(Stdio::piped()).spawn().map_err(|e| fault(&e.to_string()))?;
-        Ok(Holding(child))
+        Ok(ChildMeasurement(child))
     }
 }
 
 /// A process that holds something.
-pub struct Holding(Child);
+pub struct ChildMeasurement(Child);
 
-impl Holding {
+impl ChildMeasurement {
     /// The resident bytes that it added, once the process has ended.
-    pub fn bytes(self) -> Result<f64, Fault> {
+    pub fn bytes(self) -> Result<f64, CapacityError> {
         let output = self.0.wait_with_output().map_err(|e| fault(&e.to_string()))?;
         let text = String::from_utf8_lossy(&output.stdout);
         text.trim().parse().map_err(|_| fault(&format!("it ended with {} and said {text:?}", output.status)))
     }
 }
 
-fn fault(reason: &str) -> Fault {
-    Fault::Measurement { subject: "what a process holds", reason: reason.to_owned() }
+fn fault(reason: &str) -> CapacityError {
+    CapacityError::Measurement { subject: "what a process holds", reason: reason.to_owned() }
 }
 
 /// Processor time of the calling thread, as the scheduler counts it; zero where the system does not tell.
--- a/lab/src/capacity/site.rs
+++ b/lab/src/capacity/site.rs
@@ -12,7 +12,7 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-use super::{Fault, cpu_time};
+use super::{CapacityError, cpu_time};
 use crate::discovery::Discovery;
 use crate::emulator::Emulator;
 use crate::experiment::{Event, Experiment, RelayTable};
@@ -50,10 +50,11 @@
 /// Runs a measurement that needs real processes.
 pub fn run<T>(
     subject: &'static str,
-    measurement: impl Future<Output = Result<T, Fault>>,
-) -> Result<T, Fault> {
+    measurement: impl Future<Output = Result<T, CapacityError>>,
+) -> Result<T, CapacityError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| Fault::Measurement { subject, reason: format!("no runtime: {e}") })?;
+    let runtime =
+        runtime.map_err(|e| CapacityError::Measurement { subject, reason: format!("no runtime: {e}") })?;
     LocalSet::new().block_on(&runtime, measurement)
 }
 
@@ -73,8 +74,8 @@
         destinations: usize,
         table: RelayTable,
         seed: u64,
-    ) -> Result<Site, Fault> {
-        let fault = |reason: String| Fault::Measurement { subject, reason };
+    ) -> Result<Site, CapacityError> {
+        let fault = |reason: String| CapacityError::Measurement { subject, reason };
         let listener = |e: std::io::Error| fault(format!("a stand-in's listener: {e}"));
         let experiment = experiment(destinations, table).map_err(fault)?;
         let world = Rc::new(RefCell::new(World::new(&experiment, destinations, seed)));
@@ -94,12 +95,12 @@
     }
 
     /// A fault of this measurement.
-    pub fn fault(&self, reason: String) -> Fault {
-        Fault::Measurement { subject: self.subject, reason }
+    pub fn fault(&self, reason: String) -> CapacityError {
+        CapacityError::Measurement { subject: self.subject, reason }
     }
 
     /// Waits until the relay has nothing to do.
-    pub async fn rest(&self) -> Result<(), Fault> {
+    pub async fn rest(&self) -> Result<(), CapacityError> {
         let mut last = cpu_time::of_process(self.relay.id)?;
         let mut quiet = 0;
         for _ in 0..REST_LOOKS {
--- a/lab/src/capacity/stand_ins.rs
+++ b/lab/src/capacity/stand_ins.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use tokio::task::{LocalSet, spawn_local};
 
-use super::Fault;
+use super::CapacityError;
 use crate::emulator::{Got, Reader, wide};
 use crate::{number, world};
 
@@ -91,8 +91,8 @@
 
 impl StandIns {
     /// Starts a list service that lists so many destinations with an endpoint in each zone, and those endpoints.
-    pub fn start(destinations: u32) -> Result<StandIns, Fault> {
-        let fault = |e: io::Error| Fault::Measurement { subject: "stand-ins", reason: e.to_string() };
+    pub fn start(destinations: u32) -> Result<StandIns, CapacityError> {
+        let fault = |e: io::Error| CapacityError::Measurement { subject: "stand-ins", reason: e.to_string() };
         let shared = Arc::<Shared>::default();
         let (stop, stopped) = oneshot::channel();
         let (started, start) = mpsc::channel();
--- a/lab/src/capacity/tests.rs
+++ b/lab/src/capacity/tests.rs
@@ -90,7 +90,7 @@
 #[test]
 fn the_page_states_what_the_file_of_bounds_holds() {
     let page = include_str!("../../../docs/CAPACITY.md");
-    for bound in Bounds::of_the_page().expect("fit").bound {
+    for bound in Bounds::documented().expect("fit").bound {
         let part = match bound.part {
             Part::Slope => "slope",
             Part::Base => "base",
--- a/lab/src/capacity/thin_traffic.rs
+++ b/lab/src/capacity/thin_traffic.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use super::fit::Law;
-use super::hollow_relay::{Behaviour, Memory, Plan, Record, idle_time, play, settings};
-use super::{Fault, Figure, Measured, Options, Point, Series, cpu_time};
+use super::simulated_relay::{Behaviour, Memory, Plan, Record, idle_time, play, settings};
+use super::{CapacityError, Figure, Measured, Options, Point, Series, cpu_time};
 
 /// Mean seconds between two messages of a pair.
 const GAPS: [f64; 6] = [1.0, 4.0, 16.0, 64.0, 100.0, 256.0];
@@ -71,11 +71,11 @@
 };
 
 /// Measures all of it.
-pub fn measure(options: &Options) -> Result<Measured, Fault> {
+pub fn measure(options: &Options) -> Result<Measured, CapacityError> {
     measure_at(if options.quick { &QUICK } else { &FULL }, options.seed)
 }
 
-fn measure_at(sizes: &Sizes, seed: u64) -> Result<Measured, Fault> {
+fn measure_at(sizes: &Sizes, seed: u64) -> Result<Measured, CapacityError> {
     let mut measured = Measured::default();
     connections(sizes, seed, &mut measured);
     memory(sizes, seed, &mut measured);
@@ -278,7 +278,7 @@
 
 /// One relay with all its destinations, 1.5% of them down: connections that it holds open, those that it opens, and
 /// what deciding costs.
-fn whole_relay(sizes: &Sizes, seed: u64, measured: &mut Measured) -> Result<(), Fault> {
+fn whole_relay(sizes: &Sizes, seed: u64, measured: &mut Measured) -> Result<(), CapacityError> {
     let (mut open, mut opened, mut cpu, mut round) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     for destinations in sizes.destinations {
         let plan = Plan {
--- a/lab/src/capacity/traffic.rs
+++ b/lab/src/capacity/traffic.rs
@@ -17,7 +17,7 @@
 use super::fit::Law;
 use super::process::{RelayFolder, thread_times};
 use super::stand_ins::{Observations, StandIns, ZONES};
-use super::{Fault, Figure, Measured, Options, Point, Series};
+use super::{CapacityError, Figure, Measured, Options, Point, Series};
 use crate::arrivals::{Arrival, Load, draw};
 use crate::experiment::RelayTable;
 use crate::load::{Submitter, Submitters};
@@ -80,12 +80,12 @@
 }
 
 /// Measures the rates that the options ask for.
-pub fn measure(options: &Options) -> Result<Measured, Fault> {
+pub fn measure(options: &Options) -> Result<Measured, CapacityError> {
     measure_plan(&Plan::of(options), options.seed)
 }
 
 /// Measures the rates of a plan.
-pub fn measure_plan(plan: &Plan, seed: u64) -> Result<Measured, Fault> {
+pub fn measure_plan(plan: &Plan, seed: u64) -> Result<Measured, CapacityError> {
     let program = relay::program().map_err(failed)?;
     let folder = tempfile::tempdir().map_err(|e| failed(e.to_string()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -159,7 +159,7 @@
 
 impl Setup<'_> {
     /// Plays one rate against a new relay; the zones of the mask fall silent when the counted span begins.
-    async fn play(&self, rate: f64, gone: u32) -> Result<Played, Fault> {
+    async fn play(&self, rate: f64, gone: u32) -> Result<Played, CapacityError> {
         self.runs.set(self.runs.get() + 1);
         let stand_ins = StandIns::start(DESTINATIONS as u32)?;
         let path = self.folder.join(format!("relay{}", self.runs.get()));
@@ -214,7 +214,7 @@
     }
 
     /// Doubles the rate until the relay does not keep up, then halves the interval between.
-    async fn highest(&self, halvings: u32) -> Result<Highest, Fault> {
+    async fn highest(&self, halvings: u32) -> Result<Highest, CapacityError> {
         let known = self.plan.rates.iter().copied().fold(0.0, f64::max);
         let mut highest = Highest { rate: known, beyond: None };
         let mut rate = SEARCH_FROM;
@@ -229,7 +229,7 @@
         Ok(highest)
     }
 
-    async fn try_rate(&self, rate: f64, highest: &mut Highest) -> Result<(), Fault> {
+    async fn try_rate(&self, rate: f64, highest: &mut Highest) -> Result<(), CapacityError> {
         let played = self.play(rate, 0).await?;
         match played.keeps_up() {
             true => highest.rate = rate,
@@ -385,6 +385,6 @@
     Series { name, varied, unit, law: Law::Line, points: readings.iter().map(point).collect() }
 }
 
-fn failed(reason: impl Into<String>) -> Fault {
-    Fault::Measurement { subject: "traffic", reason: reason.into() }
+fn failed(reason: impl Into<String>) -> CapacityError {
+    CapacityError::Measurement { subject: "traffic", reason: reason.into() }
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use tokio::task::LocalSet;
 
-use onyxglade_lab::capacity::hollow_instances::Held;
+use onyxglade_lab::capacity::simulated_instances::MemorySubject;
 use onyxglade_lab::capacity::{self, Subject};
 use onyxglade_lab::experiment::Experiment;
 use onyxglade_lab::report::{Outcome, compare};
@@ -55,7 +55,7 @@
     #[command(hide = true)]
     Hold {
         #[arg(value_enum)]
-        held: Held,
+        held: MemorySubject,
         /// How many
         size: usize,
         seed: u64,
