--- a/lab/src/capacity/backlog_load.rs
+++ b/lab/src/capacity/backlog_load.rs
@@ -1,5 +1,5 @@
-//! What the scale tests of backlogs share: clients that fill a relay, its configuration, and what is told of
-//! sizes.
+//! Shared parts of the backlog measurements: clients that fill a relay, its configuration, and the conversion of
+//! readings to series.
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -18,68 +18,68 @@
 use crate::load::{Response, Submitters};
 use crate::relay;
 
-/// Destinations in the list.
+/// Number of listed destinations.
 pub const DESTINATIONS: u32 = 50;
-/// Bytes of a body.
-const BODY: usize = 200;
-/// Time that a message has which is to stay.
+/// Size of a message body in bytes.
+const BODY_BYTES: usize = 200;
+/// Lifetime of a message that must stay queued.
 pub const HOUR: Duration = Duration::from_secs(3600);
-/// Clients that hand messages in at the same time. A round's cost grows with what is held and is shared by
-/// what comes in for it, so the cost to take a message on depends on this number.
+/// Number of concurrent clients. The cost of a round grows with the number of queued messages and is shared by the
+/// messages that arrive for it, so the cost to accept a message depends on this number.
 const CLIENTS: usize = 128;
-/// A message that was not taken on is handed in again so often.
+/// Maximum number of times that a message is submitted until it is accepted.
 const ATTEMPTS: u32 = 20;
 /// Time between two of these attempts.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Room in the relay's queue for each message: one destination that does not answer may have 35% of it.
-const ROOM: u32 = 4;
-/// Room on disk for each message, in bytes: the journal keeps a reserve for what may follow a message.
-const DISK: f64 = 2800.0;
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Queue capacity per message: one destination that does not answer may use 35% of the queue.
+const QUEUE_CAPACITY_FACTOR: u32 = 4;
+/// Disk capacity per message in bytes: the journal reserves space for the records that may follow a message.
+const DISK_BYTES_PER_MESSAGE: f64 = 2800.0;
 
-/// When messages end.
+/// Expiry of the submitted messages.
 #[derive(Clone, Copy)]
-pub enum End {
-    /// Each so long after it is handed in. Each has to be taken on.
-    EachAfter(Duration),
-    /// All at one time, to the millisecond. Those that are not taken on are left out.
-    AllAt(Instant),
+pub enum Expiry {
+    /// Each message expires this long after it is submitted. All messages must be accepted.
+    After(Duration),
+    /// All messages expire at the same millisecond. Messages that are not accepted are not submitted again.
+    At(Instant),
 }
 
-/// How a fill went.
+/// Outcome of submitting a batch of messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Filled {
-    /// Messages that were taken on.
-    pub taken: u32,
-    /// Times that a message was refused; its client came again.
+pub struct FillOutcome {
+    /// Number of accepted messages.
+    pub accepted: u32,
+    /// Number of refusals. The client submits a refused message again.
     pub refused: u32,
-    /// Times that the answer did not come in time, or the relay failed.
+    /// Number of requests without a response in time, or with an error response.
     pub unanswered: u32,
 }
 
-impl Filled {
-    fn add(&mut self, other: Filled) {
-        self.taken += other.taken;
+impl FillOutcome {
+    fn add(&mut self, other: FillOutcome) {
+        self.accepted += other.accepted;
         self.refused += other.refused;
         self.unanswered += other.unanswered;
     }
 }
 
-/// Hands in the messages with these numbers.
+/// Submits the messages with these numbers from concurrent clients.
 pub async fn fill(
     subject: &'static str,
     process: &RelayProcess,
     numbers: std::ops::Range<u32>,
-    end: End,
-) -> Result<Filled, CapacityError> {
+    expiry: Expiry,
+) -> Result<FillOutcome, CapacityError> {
     let failed = |reason: String| CapacityError::Measurement { subject, reason };
-    let submitters = Submitters::new(process.address, BODY);
-    let (next, filled) = (Rc::new(Cell::new(numbers.start)), Rc::new(Cell::new(Filled::default())));
-    let client = |submitters: Rc<Submitters>, next: Rc<Cell<u32>>, filled: Rc<Cell<Filled>>| async move {
+    let submitters = Submitters::new(process.address, BODY_BYTES);
+    let (next, filled) = (Rc::new(Cell::new(numbers.start)), Rc::new(Cell::new(FillOutcome::default())));
+    let client = |submitters: Rc<Submitters>, next: Rc<Cell<u32>>, filled: Rc<Cell<FillOutcome>>| async move {
         while next.get() < numbers.end {
             let number = next.replace(next.get() + 1);
-            let one = hand_in(&submitters, u64::from(number), end).await;
+            let outcome = submit(&submitters, u64::from(number), expiry).await;
             let mut sum = filled.get();
-            sum.add(one);
+            sum.add(outcome);
             filled.set(sum);
         }
     };
@@ -90,48 +90,48 @@
     for client in clients.collect::<Vec<_>>() {
         client.await.map_err(|e| failed(e.to_string()))?;
     }
-    let (asked, filled) = (numbers.end - numbers.start, filled.get());
-    if matches!(end, End::EachAfter(_)) && filled.taken < asked {
-        return Err(failed(format!("of {asked} messages were taken on: {filled:?}")));
+    let (submitted, filled) = (numbers.end - numbers.start, filled.get());
+    if matches!(expiry, Expiry::After(_)) && filled.accepted < submitted {
+        return Err(failed(format!("not all of {submitted} messages were accepted: {filled:?}")));
     }
     Ok(filled)
 }
 
-/// Hands one message in, a few times if it is not taken on and has to be; what came of that. A client that
-/// was told when to come back does so then. An answer that did not come in time leaves open whether the
-/// message was taken on, and the same message handed in again is the same message.
-async fn hand_in(submitters: &Submitters, number: u64, end: End) -> Filled {
-    let attempts = if matches!(end, End::EachAfter(_)) { ATTEMPTS } else { 1 };
-    let mut filled = Filled::default();
+/// Submits one message and, if it must be accepted, submits it again after a refusal, at the retry-after time of the
+/// response if there is one. Without a response in time it is unknown whether the message was accepted; submitting it
+/// again is safe because the relay recognizes a message by its number.
+async fn submit(submitters: &Submitters, number: u64, expiry: Expiry) -> FillOutcome {
+    let attempts = if matches!(expiry, Expiry::After(_)) { ATTEMPTS } else { 1 };
+    let mut filled = FillOutcome::default();
     for _ in 0..attempts {
         let now = Instant::now();
-        let patience = match end {
-            End::EachAfter(time) => time,
-            End::AllAt(time) => time.saturating_duration_since(now),
+        let patience = match expiry {
+            Expiry::After(time) => time,
+            Expiry::At(time) => time.saturating_duration_since(now),
         };
         let arrival = Arrival { at: Duration::ZERO, dest: 0, order: false, patience };
-        let pause = match submitters.ask(number, &arrival, now).await {
+        let delay = match submitters.ask(number, &arrival, now).await {
             Some(Response::Accepted) => {
-                filled.taken = 1;
+                filled.accepted = 1;
                 break;
             }
             Some(Response::Refused { retry_after }) => {
                 filled.refused += 1;
-                retry_after.unwrap_or(PAUSE)
+                retry_after.unwrap_or(RETRY_DELAY)
             }
             Some(Response::Failed(_)) | None => {
                 filled.unanswered += 1;
-                PAUSE
+                RETRY_DELAY
             }
         };
         if attempts > 1 {
-            sleep(pause).await;
+            sleep(delay).await;
         }
     }
     filled
 }
 
-/// Waits until a relay does no more than its rounds.
+/// Waits until a relay uses little more processor time than its idle rounds need.
 pub async fn settle(process: &RelayProcess) -> Result<(), CapacityError> {
     let mut last = process.usage()?.cpu;
     for _ in 0..40 {
@@ -145,42 +145,50 @@
     Ok(())
 }
 
-/// Room in the relay's queue and in its folder that lasts.
+/// Capacity of the relay's queue and of its state folder.
 #[derive(Clone, Copy)]
-pub struct Room {
-    /// Messages that may be held in memory.
-    pub held: u32,
-    /// Megabytes of disk.
+pub struct QueueCapacity {
+    /// Maximum number of messages in memory.
+    pub messages: u32,
+    /// Disk quota in megabytes.
     pub disk_mb: f64,
 }
 
-impl Room {
-    /// For a backlog that is held in memory, all for one destination.
-    pub fn in_memory(messages: u32) -> Room {
-        Room { held: messages * ROOM + 1000, disk_mb: f64::from(messages) * DISK / 1e6 + 16.0 }
+impl QueueCapacity {
+    /// Capacity for a backlog in memory with all messages for one destination.
+    pub fn in_memory(messages: u32) -> QueueCapacity {
+        QueueCapacity {
+            messages: messages * QUEUE_CAPACITY_FACTOR + 1000,
+            disk_mb: f64::from(messages) * DISK_BYTES_PER_MESSAGE / 1e6 + 16.0,
+        }
     }
 }
 
-/// The platform's settings with this room. Messages of the class `notice` may be tried again.
-pub fn configuration(room: Room, listen: SocketAddr, list_service: SocketAddr, seed: u64) -> Value {
-    let table = RelayTable { held: room.held, disk_mb: room.disk_mb, ..RelayTable::default() };
-    let mut told = relay::configuration(&table, "backlog", listen, list_service, seed);
-    let settings = &mut told["settings"];
+/// The platform's configuration with this capacity. Messages of the class `notice` may be retried.
+pub fn configuration(
+    capacity: QueueCapacity,
+    listen: SocketAddr,
+    list_service: SocketAddr,
+    seed: u64,
+) -> Value {
+    let table = RelayTable { held: capacity.messages, disk_mb: capacity.disk_mb, ..RelayTable::default() };
+    let mut configuration = relay::configuration(&table, "backlog", listen, list_service, seed);
+    let settings = &mut configuration["settings"];
     settings["zones"] = json!(ZONES);
     let hour = HOUR.as_nanos() as u64;
     for class in settings["categories"].as_array_mut().into_iter().flatten() {
         (class["aim"], class["give_up"]) = (json!(hour), json!(hour));
     }
-    told
+    configuration
 }
 
-/// Removes what the relays of one size left in the folder; the rest goes with the folder itself.
+/// Removes the subfolders left by the relays of one size; other files are removed with the folder itself.
 pub fn clear(folder: &Path) {
     let entries = std::fs::read_dir(folder).into_iter().flatten().flatten();
     entries.for_each(|entry| drop(std::fs::remove_dir_all(entry.path())));
 }
 
-/// A quantity over the sizes that were played.
+/// Builds the series of a quantity from the readings at each size.
 pub fn series<T>(
     name: &'static str,
     varied: &'static str,
@@ -192,12 +200,12 @@
     Series { name, varied, unit, law: Law::Line, points: readings.iter().map(point).collect() }
 }
 
-/// Processor time of each of so many messages, in microseconds.
+/// Processor time per message in microseconds.
 pub fn micros(time: Duration, messages: f64) -> f64 {
     time.as_secs_f64() * 1e6 / messages
 }
 
-/// Memory that programs may take without swapping, in bytes.
+/// Memory available to programs without swapping, in bytes.
 pub fn free_memory() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/meminfo").ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("MemAvailable:"))?;
--- a/lab/src/capacity/backlog_on_disk.rs
+++ b/lab/src/capacity/backlog_on_disk.rs
@@ -1,9 +1,9 @@
-//! What a backlog costs a relay that keeps it on disk, and how it drains.
+//! Cost of a backlog stored on disk, and the rate at which it drains.
 //!
-//! As in [`super::backlog`], messages are for one destination whose endpoints never answer, but the relay's
-//! own file has a section `[backlog]`. Each size has a relay process of its own. Where a backlog drains, the
-//! endpoints answer from a moment on and take so many messages a second; the same is played beside it with
-//! all messages in memory.
+//! As in [`super::backlog`], messages are for one destination whose endpoints never answer, but the relay's own
+//! configuration file has a section `[backlog]`. Each size is measured with a relay process of its own. To drain a
+//! backlog, the endpoints start to answer at a limited rate; the same drain is measured with all messages in memory for
+//! comparison.
 use std::net::SocketAddr;
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,8 @@
 use tokio::time::sleep;
 
 use super::backlog_load::{
-    DESTINATIONS, End, Filled, HOUR, Room, clear, configuration, fill, free_memory, micros, series, settle,
+    DESTINATIONS, Expiry, FillOutcome, HOUR, QueueCapacity, clear, configuration, fill, free_memory, micros,
+    series, settle,
 };
 use super::process::{RelayFolder, RelayProcess};
 use super::site::{Probe, Sample, histogram, run};
@@ -20,64 +21,64 @@
 use crate::relay;
 
 const SUBJECT: &str = "backlog-on-disk";
-/// The section of the relay's own file.
+/// Values of the section `[backlog]` of the relay's own configuration file.
 const MEMORY_MB: u32 = 32;
 const DISK_MB: u32 = 8192;
-/// Room in memory of a relay with a backlog on disk: it does not depend on what waits.
-const ROOM: Room = Room { held: 16_384, disk_mb: 64.0 };
-/// Messages a second that the endpoints take while a backlog drains.
+/// Queue capacity of a relay with a backlog on disk. It does not depend on the size of the backlog.
+const CAPACITY: QueueCapacity = QueueCapacity { messages: 16_384, disk_mb: 64.0 };
+/// Rate limit of the endpoints while a backlog drains, in messages per second.
 const DRAIN_RATE: u32 = 2_000;
-/// The worst part of a drain is told of windows of this length, one beginning each second.
+/// The slowest part of a drain is determined over windows of this length that start every `DRAIN_STEP`.
 const DRAIN_WINDOW: Duration = Duration::from_secs(10);
 const DRAIN_STEP: Duration = Duration::from_secs(1);
-/// A drain is waited for until no message has ended for so long.
-const QUIET: Duration = Duration::from_secs(20);
-/// How often it is looked whether all have ended, and how long a message that ends a second time is waited
-/// for then.
-const LOOK: Duration = Duration::from_millis(100);
-const SECOND_END: Duration = Duration::from_millis(500);
-/// Lines of a relay's log that are shown.
+/// Waiting for a drain ends when no message has ended for this long.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval between two checks whether all messages have ended, and the time for which messages that end twice are
+/// waited for afterwards.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+const DUPLICATE_WAIT: Duration = Duration::from_millis(500);
+/// Maximum number of lines of a relay's log that are printed.
 const WARNINGS_SHOWN: usize = 20;
-/// The unit in which the system tells what it has given a file.
+/// Unit of `st_blocks` in bytes.
 const BLOCK: u64 = 512;
-/// Memory that must be free for the largest size, and the time that the size before may take: each takes four
-/// times as long as the one before.
+/// The largest size, the available memory in bytes that it requires, and the time that the size before it may take at
+/// most: each size takes four times as long as the one before.
 const LARGEST: u32 = 640_000;
-const FREE_FOR_LARGEST: u64 = 4 << 30;
+const MEMORY_FOR_LARGEST: u64 = 4 << 30;
 const TIME_BEFORE_LARGEST: Duration = Duration::from_secs(55);
 
 /// Sizes and times of a run.
 pub struct Plan {
-    /// Messages held, a relay each.
-    pub held: Vec<u32>,
-    /// What is held is drained after the relay was killed, up to this size, to count messages lost or
-    /// doubled.
+    /// Numbers of queued messages, each measured with its own relay.
+    pub queued: Vec<u32>,
+    /// Backlogs up to this size are drained after the relay was killed and restarted, to count lost and duplicated
+    /// messages.
     pub drained_after_kill: u32,
-    /// Messages that drain at the endpoints' rate, once through the disk and once from memory. A size that
-    /// stands several times is played as often.
+    /// Numbers of messages that drain at the endpoints' rate, once from disk and once from memory. A size that is listed
+    /// several times is measured as often.
     pub drained: Vec<u32>,
-    /// Messages a second that the endpoints then take.
+    /// Rate limit of the endpoints during a drain, in messages per second.
     pub drain_rate: u32,
-    /// How long a relay that only waits is watched.
-    pub watch: Duration,
+    /// Time for which an idle relay with a backlog is observed.
+    pub observation: Duration,
 }
 
 impl Plan {
     fn of(options: &Options) -> Plan {
-        let (drain_rate, watch) = (DRAIN_RATE, Duration::from_secs(if options.quick { 1 } else { 5 }));
+        let (drain_rate, observation) = (DRAIN_RATE, Duration::from_secs(if options.quick { 1 } else { 5 }));
         if options.quick {
-            let (held, drained) = (vec![2_500, 10_000, 40_000], vec![2_500, 5_000]);
-            return Plan { held, drained_after_kill: 2_500, drained, drain_rate, watch };
+            let (queued, drained) = (vec![2_500, 10_000, 40_000], vec![2_500, 5_000]);
+            return Plan { queued, drained_after_kill: 2_500, drained, drain_rate, observation };
         }
-        let mut held = vec![10_000, 40_000, 160_000];
-        if free_memory().is_some_and(|free| free >= FREE_FOR_LARGEST) {
-            held.push(LARGEST);
+        let mut queued = vec![10_000, 40_000, 160_000];
+        if free_memory().is_some_and(|free| free >= MEMORY_FOR_LARGEST) {
+            queued.push(LARGEST);
         }
-        Plan { held, drained_after_kill: 160_000, drained: vec![40_000, 160_000], drain_rate, watch }
+        Plan { queued, drained_after_kill: 160_000, drained: vec![40_000, 160_000], drain_rate, observation }
     }
 }
 
-/// Measures the sizes that the options ask for.
+/// Measures the sizes selected by the options.
 pub fn measure(options: &Options) -> Result<Measured, CapacityError> {
     measure_plan(&Plan::of(options), options.seed)
 }
@@ -88,99 +89,99 @@
     let folder = tempfile::tempdir().map_err(|e| failed(e.to_string()))?;
     let setup = Setup { program, folder: folder.path().to_owned(), seed };
     run(SUBJECT, async {
-        let mut held = Vec::new();
-        for &messages in &plan.held {
-            let begun = Instant::now();
-            held.push((messages, setup.hold(messages, plan).await?));
-            if plan.held.last() == Some(&LARGEST) && begun.elapsed() > TIME_BEFORE_LARGEST {
+        let mut queued = Vec::new();
+        for &messages in &plan.queued {
+            let start = Instant::now();
+            queued.push((messages, setup.measure_queued(messages, plan).await?));
+            if plan.queued.last() == Some(&LARGEST) && start.elapsed() > TIME_BEFORE_LARGEST {
                 break;
             }
         }
         let mut drained = Vec::new();
         for &messages in &plan.drained {
-            let on_disk = setup.drain(messages, plan.drain_rate, Storage::Disk).await?;
-            let in_memory = setup.drain(messages, plan.drain_rate, Storage::Memory).await?;
-            drained.push((messages, Pair { on_disk, in_memory }));
+            let on_disk = setup.measure_drain(messages, plan.drain_rate, Storage::Disk).await?;
+            let in_memory = setup.measure_drain(messages, plan.drain_rate, Storage::Memory).await?;
+            drained.push((messages, DrainPair { on_disk, in_memory }));
         }
-        Ok(tell(&held, &drained))
+        Ok(results(&queued, &drained))
     })
 }
 
-/// Where a relay keeps what cannot go soon.
+/// Where a relay stores a backlog.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Storage {
     Disk,
     Memory,
 }
 
-/// What one relay that holds a backlog on disk took.
-struct Held {
-    /// Resident memory beyond that of the relay without messages, in bytes, and the most since its start.
+/// Readings of one relay with a backlog on disk.
+struct QueuedReading {
+    /// Resident memory beyond that of the relay without messages, and its peak since the start, in bytes.
     memory: f64,
     peak_memory: f64,
-    /// Length of the files in the backlog's folder beyond that without messages, in bytes.
+    /// Total file length in the backlog's folder beyond that without messages, in bytes.
     disk: f64,
-    /// Bytes that the file system has given them, the same way.
+    /// Space allocated by the file system for these files beyond that without messages, in bytes.
     disk_allocated: f64,
-    /// Bytes of the relay's folder that lasts beyond those without messages.
+    /// Size of the relay's state folder beyond that without messages, in bytes.
     state: f64,
-    /// Processor time to take a message on, over the whole fill, in microseconds.
-    take_on_us: f64,
-    /// Processor time a second while it only waits, in milliseconds.
-    waiting_ms: f64,
-    /// From the start after SIGKILL until it was ready.
+    /// Processor time to accept a message, averaged over the whole fill, in microseconds.
+    accept_us: f64,
+    /// Processor time per second of an idle relay with the backlog, in milliseconds.
+    idle_ms: f64,
+    /// Time from the restart after SIGKILL until the relay was ready.
     ready_s: f64,
-    /// Resident memory right after that, beyond that of the relay without messages, in bytes.
+    /// Resident memory directly after that, beyond that of the relay without messages, in bytes.
     memory_after: f64,
-    /// Longest answer to the probe during the fill.
+    /// Longest response time of the probe during the fill.
     pause_ms: f64,
-    filled: Filled,
-    /// What became of the messages after the kill, where that was looked at.
-    ends: Option<Ends>,
+    filled: FillOutcome,
+    /// Ends of the messages after the kill, if they were counted.
+    ends: Option<EndCounts>,
 }
 
-/// What became of messages that were taken on.
+/// Counts of accepted messages that did not end exactly once.
 #[derive(Clone, Copy, Debug, Default)]
-struct Ends {
-    /// Neither delivered nor told as ended.
+struct EndCounts {
+    /// Messages neither delivered nor reported as ended.
     lost: u64,
-    /// Delivered again, or delivered and told as ended.
+    /// Repeated deliveries, and messages both delivered and reported as ended.
     doubled: u64,
 }
 
-impl Ends {
-    fn of(observations: &Observations, messages: u32) -> Ends {
+impl EndCounts {
+    fn of(observations: &Observations, messages: u32) -> EndCounts {
         let Observations { served, noticed, served_again } = observations;
         let ended = |message: &u64| served.contains_key(message) || noticed.contains_key(message);
         let both = noticed.keys().filter(|message| served.contains_key(message)).count() as u64;
         let lost = (0..u64::from(messages)).filter(|message| !ended(message)).count() as u64;
-        Ends { lost, doubled: both + served_again }
+        EndCounts { lost, doubled: both + served_again }
     }
 }
 
-/// How a backlog drained.
-struct Drained {
-    /// Processor time of a message from the first one handed in to the last one's end, in microseconds.
+/// Readings of the drain of a backlog.
+struct DrainReading {
+    /// Processor time per message from the first submission to the last message's end, in microseconds.
     cpu_us: f64,
-    /// Part of the endpoints' rate that was used, over the whole drain.
+    /// Used share of the endpoints' rate limit, over the whole drain.
     share: f64,
-    /// The same in the worst window.
+    /// Used share in the slowest window.
     worst_share: f64,
-    /// From the endpoints' return until the first delivery.
+    /// Time from the return of the endpoints until the first delivery.
     first_s: f64,
-    /// Longest and 99.9th part of the answers to the probe during the drain.
+    /// Longest response time of the probe during the drain, and the 99.9th percentile.
     pause_ms: f64,
     pause_p999_ms: f64,
-    /// Longest answer during the fill.
+    /// Longest response time of the probe during the fill.
     fill_pause_ms: f64,
-    filled: Filled,
-    ends: Ends,
+    filled: FillOutcome,
+    ends: EndCounts,
 }
 
-/// The same drain through the disk and from memory.
-struct Pair {
-    on_disk: Drained,
-    in_memory: Drained,
+/// Readings of the same drain from disk and from memory.
+struct DrainPair {
+    on_disk: DrainReading,
+    in_memory: DrainReading,
 }
 
 struct Setup {
@@ -200,9 +201,9 @@
         list_service: SocketAddr,
         storage: Storage,
     ) -> Result<RelayFolder, CapacityError> {
-        let room = if storage == Storage::Disk { ROOM } else { Room::in_memory(messages) };
+        let capacity = if storage == Storage::Disk { CAPACITY } else { QueueCapacity::in_memory(messages) };
         let relay = RelayFolder::create(&self.program, &self.folder.join("relay"), |listen| {
-            configuration(room, listen, list_service, self.seed)
+            configuration(capacity, listen, list_service, self.seed)
         })?;
         if storage == Storage::Disk {
             let folder = self.backlog_folder().display().to_string();
@@ -213,28 +214,30 @@
         Ok(relay)
     }
 
-    async fn hold(&self, messages: u32, plan: &Plan) -> Result<Held, CapacityError> {
+    async fn measure_queued(&self, messages: u32, plan: &Plan) -> Result<QueuedReading, CapacityError> {
         let stand_ins = StandIns::start(DESTINATIONS)?;
         stand_ins.silence(ALL_ZONES);
         let relay = self.relay(messages, stand_ins.list_service, Storage::Disk)?;
         let process = relay.start().await?;
         settle(&process).await?;
         let bare = process.usage()?;
-        let (bare_disk, bare_state) = (FolderSize::of(&self.backlog_folder()), relay.disk()?);
+        let (bare_disk, bare_state) = (FolderSize::of(&self.backlog_folder()), relay.state_bytes()?);
 
         let (filled, samples) = probed(&process, fill_all(&process, messages)).await?;
         let full = process.usage()?;
         settle(&process).await?;
-        let (disk, state) = (FolderSize::of(&self.backlog_folder()), relay.disk()?);
-        let waits = process.usage()?;
-        let begun = Instant::now();
-        sleep(plan.watch).await;
-        let waited = process.usage()?;
-        let waiting = waited.cpu.saturating_sub(waits.cpu);
-        let waiting_ms = waiting.as_secs_f64() * 1e3 / begun.elapsed().as_secs_f64();
-        let ended = stand_ins.observations().noticed.len();
-        if ended > 0 {
-            return Err(failed(format!("{ended} of {messages} messages ended while they were to wait")));
+        let (disk, state) = (FolderSize::of(&self.backlog_folder()), relay.state_bytes()?);
+        let idle = process.usage()?;
+        let start = Instant::now();
+        sleep(plan.observation).await;
+        let observed = process.usage()?;
+        let idle_cpu = observed.cpu.saturating_sub(idle.cpu);
+        let idle_ms = idle_cpu.as_secs_f64() * 1e3 / start.elapsed().as_secs_f64();
+        let expired = stand_ins.observations().noticed.len();
+        if expired > 0 {
+            return Err(failed(format!(
+                "{expired} of {messages} messages ended although they should be queued"
+            )));
         }
 
         process.kill().await?;
@@ -244,19 +247,19 @@
         let mut ends = None;
         if messages <= plan.drained_after_kill {
             stand_ins.silence(0);
-            ends = Some(all_ended(&stand_ins, messages).await?);
+            ends = Some(wait_until_ended(&stand_ins, messages).await?);
         }
-        tell_warnings(&relay);
+        print_warnings(&relay);
         process.kill().await?;
         clear(&self.folder);
-        Ok(Held {
-            memory: waits.resident as f64 - bare.resident as f64,
-            peak_memory: waited.peak_resident as f64 - bare.resident as f64,
+        Ok(QueuedReading {
+            memory: idle.resident as f64 - bare.resident as f64,
+            peak_memory: observed.peak_resident as f64 - bare.resident as f64,
             disk: disk.length as f64 - bare_disk.length as f64,
             disk_allocated: disk.allocated as f64 - bare_disk.allocated as f64,
             state: state as f64 - bare_state as f64,
-            take_on_us: micros(full.cpu.saturating_sub(bare.cpu), f64::from(messages)),
-            waiting_ms,
+            accept_us: micros(full.cpu.saturating_sub(bare.cpu), f64::from(messages)),
+            idle_ms,
             ready_s,
             memory_after: after.resident as f64 - bare.resident as f64,
             pause_ms: longest_ms(&samples),
@@ -265,7 +268,12 @@
         })
     }
 
-    async fn drain(&self, messages: u32, rate: u32, storage: Storage) -> Result<Drained, CapacityError> {
+    async fn measure_drain(
+        &self,
+        messages: u32,
+        rate: u32,
+        storage: Storage,
+    ) -> Result<DrainReading, CapacityError> {
         let stand_ins = StandIns::start(DESTINATIONS)?;
         stand_ins.silence(ALL_ZONES);
         let relay = self.relay(messages, stand_ins.list_service, storage)?;
@@ -276,9 +284,9 @@
         stand_ins.limit_rate(rate);
         stand_ins.silence(0);
         let returned = Instant::now();
-        let (ends, samples) = probed(&process, all_ended(&stand_ins, messages)).await?;
+        let (ends, samples) = probed(&process, wait_until_ended(&stand_ins, messages)).await?;
         let after = process.usage()?;
-        tell_warnings(&relay);
+        print_warnings(&relay);
         process.kill().await?;
         clear(&self.folder);
         let observations = stand_ins.observations();
@@ -286,8 +294,8 @@
             observations.served.values().map(|at| at.saturating_duration_since(returned)).collect();
         served.sort();
         let (first, last) = (served.first().copied(), served.last().copied());
-        let last = last.ok_or_else(|| failed("nothing was delivered"))?;
-        Ok(Drained {
+        let last = last.ok_or_else(|| failed("no message was delivered"))?;
+        Ok(DrainReading {
             cpu_us: micros(after.cpu.saturating_sub(before.cpu), f64::from(messages)),
             share: served.len() as f64 / last.as_secs_f64() / f64::from(rate),
             worst_share: worst_rate(&served) / f64::from(rate),
@@ -301,26 +309,26 @@
     }
 }
 
-async fn fill_all(process: &RelayProcess, messages: u32) -> Result<Filled, CapacityError> {
-    fill(SUBJECT, process, 0..messages, End::EachAfter(HOUR)).await
+async fn fill_all(process: &RelayProcess, messages: u32) -> Result<FillOutcome, CapacityError> {
+    fill(SUBJECT, process, 0..messages, Expiry::After(HOUR)).await
 }
 
-/// What comes of something, and how long the relay took to answer meanwhile.
+/// Runs an operation while the probe queries the relay. Returns the operation's result and the probe's samples.
 async fn probed<T>(
     process: &RelayProcess,
-    done: impl Future<Output = Result<T, CapacityError>>,
+    operation: impl Future<Output = Result<T, CapacityError>>,
 ) -> Result<(T, Vec<Sample>), CapacityError> {
     let probe = Probe::start(process.address);
-    let result = done.await;
+    let result = operation.await;
     let samples = probe.finish().map_err(failed)?;
     Ok((result?, samples))
 }
 
-/// Waits until all messages have ended, or no more do.
-async fn all_ended(stand_ins: &StandIns, messages: u32) -> Result<Ends, CapacityError> {
+/// Waits until all messages have ended, or until none has ended for [`DRAIN_TIMEOUT`].
+async fn wait_until_ended(stand_ins: &StandIns, messages: u32) -> Result<EndCounts, CapacityError> {
     let (mut seen, mut changed) = (0, Instant::now());
-    while seen < messages as usize && changed.elapsed() < QUIET {
-        sleep(LOOK).await;
+    while seen < messages as usize && changed.elapsed() < DRAIN_TIMEOUT {
+        sleep(POLL_INTERVAL).await;
         let now = {
             let observations = stand_ins.observations();
             observations.served.len() + observations.noticed.len()
@@ -329,11 +337,11 @@
             (seen, changed) = (now, Instant::now());
         }
     }
-    sleep(SECOND_END).await;
-    Ok(Ends::of(&stand_ins.observations(), messages))
+    sleep(DUPLICATE_WAIT).await;
+    Ok(EndCounts::of(&stand_ins.observations(), messages))
 }
 
-/// Deliveries a second in the worst window from the endpoints' return to the last delivery; `served` is
+/// Deliveries per second in the slowest window between the endpoints' return and the last delivery. `served` must be
 /// sorted.
 fn worst_rate(served: &[Duration]) -> f64 {
     let last = served.last().copied().unwrap_or_default();
@@ -356,13 +364,13 @@
     histogram(samples, first.intended, after_last).value_at_quantile(quantile) as f64 / 1e3
 }
 
-/// What the files below a folder take.
+/// Size of the files in a folder and its subfolders.
 #[derive(Clone, Copy, Debug, Default)]
 struct FolderSize {
-    /// Their lengths, in bytes.
+    /// Total file length in bytes.
     length: u64,
-    /// Bytes that the file system has given them. A file that was made longer ahead of its use takes less
-    /// than its length.
+    /// Space allocated by the file system in bytes. It is less than the length for a file that was extended ahead of its
+    /// use.
     allocated: u64,
 }
 
@@ -381,29 +389,32 @@
     }
 }
 
-/// Shows what the relay warned of, which is part of the result.
-fn tell_warnings(relay: &RelayFolder) {
+/// Prints the relay's warnings, which are part of the result.
+fn print_warnings(relay: &RelayFolder) {
     let log = relay.log();
-    log.lines().take(WARNINGS_SHOWN).for_each(|line| eprintln!("{SUBJECT}: the relay's log: {line}"));
+    log.lines().take(WARNINGS_SHOWN).for_each(|line| eprintln!("{SUBJECT}: relay log: {line}"));
 }
 
-fn tell(held: &[(u32, Held)], drained: &[(u32, Pair)]) -> Measured {
-    let of_held = |name, unit, value: fn(&Held) -> f64| series(name, "messages held", unit, held, value);
+fn results(queued: &[(u32, QueuedReading)], drained: &[(u32, DrainPair)]) -> Measured {
+    let of_queued =
+        |name, unit, value: fn(&QueuedReading) -> f64| series(name, "messages held", unit, queued, value);
     let of_drained =
-        |name, unit, value: fn(&Pair) -> f64| series(name, "messages drained", unit, drained, value);
+        |name, unit, value: fn(&DrainPair) -> f64| series(name, "messages drained", unit, drained, value);
     Measured {
         series: vec![
-            of_held("backlog-on-disk.memory", "B", |held| held.memory),
-            of_held("backlog-on-disk.memory_after_kill", "B", |held| held.memory_after),
-            of_held("backlog-on-disk.disk", "B", |held| held.disk),
-            of_held("backlog-on-disk.disk_allocated", "B", |held| held.disk_allocated),
-            of_held("backlog-on-disk.state", "B", |held| held.state),
-            of_held("backlog-on-disk.cpu_to_take_on", "us a message", |held| held.take_on_us),
-            of_held("backlog-on-disk.cpu_waiting", "ms a second", |held| held.waiting_ms),
-            of_held("backlog-on-disk.ready_after_kill", "s", |held| held.ready_s),
-            of_held("backlog-on-disk.pause_fill", "ms", |held| held.pause_ms),
-            of_held("backlog-on-disk.refused", "refusals", |held| f64::from(held.filled.refused)),
-            of_held("backlog-on-disk.unanswered", "answers", |held| f64::from(held.filled.unanswered)),
+            of_queued("backlog-on-disk.memory", "B", |reading| reading.memory),
+            of_queued("backlog-on-disk.memory_after_kill", "B", |reading| reading.memory_after),
+            of_queued("backlog-on-disk.disk", "B", |reading| reading.disk),
+            of_queued("backlog-on-disk.disk_allocated", "B", |reading| reading.disk_allocated),
+            of_queued("backlog-on-disk.state", "B", |reading| reading.state),
+            of_queued("backlog-on-disk.cpu_to_take_on", "us a message", |reading| reading.accept_us),
+            of_queued("backlog-on-disk.cpu_waiting", "ms a second", |reading| reading.idle_ms),
+            of_queued("backlog-on-disk.ready_after_kill", "s", |reading| reading.ready_s),
+            of_queued("backlog-on-disk.pause_fill", "ms", |reading| reading.pause_ms),
+            of_queued("backlog-on-disk.refused", "refusals", |reading| f64::from(reading.filled.refused)),
+            of_queued("backlog-on-disk.unanswered", "answers", |reading| {
+                f64::from(reading.filled.unanswered)
+            }),
             of_drained("backlog-on-disk.drain_share", "of the endpoints' rate", |pair| pair.on_disk.share),
             of_drained("backlog-on-disk.drain_share_memory", "of the endpoints' rate", |pair| {
                 pair.in_memory.share
@@ -427,34 +438,40 @@
             of_drained("backlog-on-disk.pause_drain_p999_memory", "ms", |pair| pair.in_memory.pause_p999_ms),
             of_drained("backlog-on-disk.pause_fill_memory", "ms", |pair| pair.in_memory.fill_pause_ms),
         ],
-        figures: figures(held, drained),
+        figures: figures(queued, drained),
     }
 }
 
-fn figures(held: &[(u32, Held)], drained: &[(u32, Pair)]) -> Vec<Figure> {
+fn figures(queued: &[(u32, QueuedReading)], drained: &[(u32, DrainPair)]) -> Vec<Figure> {
     let on_disk = || drained.iter().map(|(_, pair)| &pair.on_disk);
     let in_memory = || drained.iter().map(|(_, pair)| &pair.in_memory);
-    let ends = || held.iter().filter_map(|(_, held)| held.ends).chain(on_disk().map(|drained| drained.ends));
-    let fills = || held.iter().map(|(_, held)| held.filled).chain(on_disk().map(|drained| drained.filled));
+    let ends =
+        || queued.iter().filter_map(|(_, reading)| reading.ends).chain(on_disk().map(|drained| drained.ends));
+    let fills =
+        || queued.iter().map(|(_, reading)| reading.filled).chain(on_disk().map(|drained| drained.filled));
     let largest = |values: &mut dyn Iterator<Item = f64>| values.fold(0.0, f64::max);
     let sum = |values: &mut dyn Iterator<Item = u64>| values.sum::<u64>() as f64;
     let pauses = &mut on_disk().flat_map(|drained| [drained.pause_ms, drained.fill_pause_ms]);
-    let pauses = largest(&mut pauses.chain(held.iter().map(|(_, held)| held.pause_ms)));
+    let pauses = largest(&mut pauses.chain(queued.iter().map(|(_, reading)| reading.pause_ms)));
     let memory_ends = || in_memory().map(|drained| drained.ends);
     let figure = |name, unit, value| Figure { name, unit, value };
     vec![
         figure(
             "backlog-on-disk.largest_held",
             "messages",
-            largest(&mut held.iter().map(|(size, _)| (*size).into())),
+            largest(&mut queued.iter().map(|(size, _)| (*size).into())),
         ),
         figure(
             "backlog-on-disk.peak_memory",
             "B beyond the bare relay",
-            largest(&mut held.iter().map(|(_, held)| held.peak_memory)),
+            largest(&mut queued.iter().map(|(_, reading)| reading.peak_memory)),
         ),
         figure("backlog-on-disk.worst_pause", "ms", pauses),
-        figure("backlog-on-disk.accepted", "messages", sum(&mut fills().map(|filled| filled.taken.into()))),
+        figure(
+            "backlog-on-disk.accepted",
+            "messages",
+            sum(&mut fills().map(|filled| filled.accepted.into())),
+        ),
         figure(
             "backlog-on-disk.all_refused",
             "refusals",
--- a/lab/src/capacity/bounds.rs
+++ b/lab/src/capacity/bounds.rs
@@ -1,85 +1,86 @@
-//! The bounds that results are held against. They stand in `docs/capacity.toml`, beside the page that explains them; a
-//! test holds the page's rows against that file.
+//! Bounds of the measured results, read from `docs/capacity.toml`. The page `docs/CAPACITY.md` explains them; a test
+//! checks that the rows of the page match the file.
 use serde::{Deserialize, Serialize};
 
 use super::{CapacityError, Report};
 
-/// The file of bounds, as it was when the laboratory was built.
-const FILE: &str = include_str!("../../../docs/capacity.toml");
+/// Content of the bounds file at build time.
+const BOUNDS_FILE: &str = include_str!("../../../docs/capacity.toml");
 
-/// What a bound is about: the slope of a series or its constant term, or a single figure.
+/// The result that a bound applies to: a parameter of a series' fitted law, or a single figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Part {
-    /// The slope of a line or a logarithm, the exponent of a power.
+    /// The slope of a linear or logarithmic law, or the exponent of a power law.
     Slope,
-    /// The constant term, or the factor of a power.
+    /// The constant term of a linear or logarithmic law, or the factor of a power law.
     Base,
     /// A single figure.
     Value,
 }
 
-/// One bound.
+/// The accepted range of one result.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
     /// Name of the series or figure.
     pub name: String,
-    /// Which number of it.
+    /// The parameter of the series or figure.
     pub part: Part,
-    /// The measured value that the page states.
+    /// The measured value stated in `docs/CAPACITY.md`.
     pub measured: f64,
-    /// Least value that is accepted.
+    /// Smallest accepted value.
     pub least: f64,
-    /// Greatest value that is accepted.
+    /// Largest accepted value.
     pub most: f64,
-    /// Whether the quick run is held to it, too.
+    /// Whether the bound is also checked in a quick run.
     #[serde(default)]
     pub quick: bool,
 }
 
-/// All bounds.
+/// The bounds file.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// In the order of the file.
+    /// All bounds, in the order of the file.
     #[serde(default)]
     pub bound: Vec<Bound>,
 }
 
-/// How one result compares with its bound.
+/// Comparison of one result with its bound.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
     /// The bound.
     pub bound: Bound,
-    /// What this run gave.
+    /// The value measured in this run.
     pub value: f64,
     /// Whether the value lies within the bound.
     pub holds: bool,
 }
 
 impl Bounds {
-    /// The bounds beside `docs/CAPACITY.md`.
+    /// Parses the bounds of `docs/capacity.toml`, which are compiled into the program.
     pub fn documented() -> Result<Bounds, CapacityError> {
-        Bounds::read(FILE)
+        Bounds::read(BOUNDS_FILE)
     }
 
-    /// Reads bounds from TOML. A range that its own measured value lies outside of is refused.
+    /// Parses bounds from TOML. Returns an error if the stated measured value of a bound is outside its range.
     pub fn read(text: &str) -> Result<Bounds, CapacityError> {
         let bounds: Bounds = toml::from_str(text).map_err(|e| CapacityError::Bounds(e.to_string()))?;
-        let contradiction = bounds.bound.iter().find(|b| !(b.least..=b.most).contains(&b.measured));
-        match contradiction {
-            Some(bound) => {
-                Err(CapacityError::Bounds(format!("{}: measured lies outside of its range", bound.name)))
-            }
+        let inconsistent = bounds.bound.iter().find(|b| !(b.least..=b.most).contains(&b.measured));
+        match inconsistent {
+            Some(bound) => Err(CapacityError::Bounds(format!(
+                "{}: `measured` is outside the range from `least` to `most`",
+                bound.name
+            ))),
             None => Ok(bounds),
         }
     }
 
-    /// Compares a report's results with the bounds. Bounds of what was not measured are left out.
-    pub fn judge(&self, report: &Report) -> Vec<Verdict> {
-        let asked = self.bound.iter().filter(|bound| bound.quick || !report.quick);
-        let verdicts = asked.filter_map(|bound| {
+    /// Compares the results of a report with the bounds. Bounds of results that the report does not contain are skipped.
+    pub fn evaluate(&self, report: &Report) -> Vec<Verdict> {
+        let applicable = self.bound.iter().filter(|bound| bound.quick || !report.quick);
+        let verdicts = applicable.filter_map(|bound| {
             let value = value_of(report, bound)?;
             let holds = (bound.least..=bound.most).contains(&value);
             Some(Verdict { bound: bound.clone(), value, holds })
--- a/lab/src/capacity/configuration.rs
+++ b/lab/src/capacity/configuration.rs
@@ -1,7 +1,7 @@
-//! Configuration: what a reload by SIGHUP costs a real relay, by destinations listed and by messages held.
+//! Cost of a configuration reload by SIGHUP in a real relay, by number of listed destinations and of queued messages.
 //!
-//! 670 changes a day are one in 129 s. There is no mechanism that spreads one: each relay reads its own file when it is
-//! told to, so that only the reload itself can be measured.
+//! 670 changes a day are one in 129 s. Changes are not distributed between relays: each relay reads its own file on
+//! SIGHUP, so only the reload itself can be measured.
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1;
 use hyper::{Request, body::Bytes};
@@ -21,37 +21,37 @@
 use crate::experiment::RelayTable;
 
 const SUBJECT: &str = "configuration";
-/// Time after a reload, in which the probe goes on.
+/// Time after a reload for which the probe continues.
 const RELOAD_WINDOW: Duration = Duration::from_millis(120);
-/// A log line that a reload ends with.
+/// Log message at the end of a reload.
 const RELOADED: &str = "SIGHUP: configuration read anew";
-/// How long a reload's log line is waited for.
-const RELOAD_PATIENCE: Duration = Duration::from_secs(10);
-/// Messages held live so long, in milliseconds, and by the class's settings in nanoseconds.
-const LIFE_MS: u64 = 3_600_000;
-const LIFE_NS: u64 = LIFE_MS * 1_000_000;
-/// Connections that messages are handed in on, and bytes of one.
+/// Time within which a reload's log message must appear.
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Lifetime of queued messages, in milliseconds as submitted and in nanoseconds for the class's settings.
+const LIFETIME_MS: u64 = 3_600_000;
+const LIFETIME_NS: u64 = LIFETIME_MS * 1_000_000;
+/// Number of connections that messages are submitted on, and the size of a message body in bytes.
 const CONNECTIONS: usize = 64;
-const BODY: usize = 200;
-/// Destinations listed where held messages are varied.
+const BODY_BYTES: usize = 200;
+/// Number of listed destinations where the number of queued messages is varied.
 const FEW_DESTINATIONS: usize = 50;
-/// The destination that never answers.
+/// Index of the destination that never answers.
 const SILENT: usize = 0;
-/// Share of messages that must have been taken on for a reading to count.
-const LEAST_TAKEN: f64 = 0.99;
+/// Share of the messages that must be accepted for a reading to be valid.
+const MIN_ACCEPTED_SHARE: f64 = 0.99;
 
 struct Sizes {
     destinations: &'static [usize],
-    held: &'static [usize],
-    /// Reloads at each size: as many for the pause, and as many for processor time.
+    queued: &'static [usize],
+    /// Number of reloads at each size to measure the pause, and again to measure processor time.
     reloads: usize,
 }
 
-const QUICK: Sizes = Sizes { destinations: &[145, 578, 2_312], held: &[625, 2_500, 10_000], reloads: 2 };
+const QUICK: Sizes = Sizes { destinations: &[145, 578, 2_312], queued: &[625, 2_500, 10_000], reloads: 2 };
 const FULL: Sizes =
-    Sizes { destinations: &[2_312, 9_250, 37_000], held: &[10_000, 40_000, 160_000], reloads: 21 };
+    Sizes { destinations: &[2_312, 9_250, 37_000], queued: &[10_000, 40_000, 160_000], reloads: 21 };
 
-/// Measures all of it.
+/// Measures all series and figures of this subject.
 pub fn measure(options: &Options) -> Result<Measured, CapacityError> {
     measure_at(if options.quick { &QUICK } else { &FULL }, options.seed)
 }
@@ -63,20 +63,20 @@
         let reading = run(SUBJECT, at_destinations(*size, sizes.reloads, seed))?;
         by_destinations.push((*size as f64, reading));
     }
-    let mut by_held = Vec::new();
-    for size in sizes.held {
-        let reading = run(SUBJECT, at_held(*size, sizes.reloads, seed))?;
-        by_held.push((*size as f64, reading));
+    let mut by_queued = Vec::new();
+    for size in sizes.queued {
+        let reading = run(SUBJECT, at_queued(*size, sizes.reloads, seed))?;
+        by_queued.push((*size as f64, reading));
     }
-    let worst = by_destinations.iter().chain(&by_held).map(|(_, r)| r.worst_pause_ms).fold(0.0, f64::max);
+    let worst = by_destinations.iter().chain(&by_queued).map(|(_, r)| r.worst_pause_ms).fold(0.0, f64::max);
     add(&mut measured, &DESTINATIONS, &by_destinations);
-    add(&mut measured, &HELD, &by_held);
+    add(&mut measured, &QUEUED, &by_queued);
     let name = "configuration.worst-pause";
     measured.figures.push(Figure { name, unit: "ms, longest answer of all reloads", value: worst });
     Ok(measured)
 }
 
-/// Names of what is measured over one variable.
+/// Names of the series over one independent variable.
 struct Names {
     varied: &'static str,
     cpu: &'static str,
@@ -90,7 +90,7 @@
     pause: "configuration.reload-pause-by-destinations",
     no_reload: "configuration.no-reload-pause-by-destinations",
 };
-const HELD: Names = Names {
+const QUEUED: Names = Names {
     varied: "messages held, 50 destinations listed",
     cpu: "configuration.reload-cpu-by-held",
     pause: "configuration.reload-pause-by-held",
@@ -108,7 +108,7 @@
     series(names.no_reload, "ms, longest answer, median over as many windows", |r| r.no_reload_pause_ms);
 }
 
-/// What reloads cost at one size.
+/// Readings of reloads at one size.
 struct Reading {
     cpu_ms: f64,
     pause_ms: f64,
@@ -117,57 +117,58 @@
 }
 
 async fn at_destinations(size: usize, reloads: usize, seed: u64) -> Result<Reading, CapacityError> {
-    let own = "idle = { list_limit_mb = 64 }".parse().expect("a sound table");
+    let own = "idle = { list_limit_mb = 64 }".parse().expect("a valid TOML table");
     let site = Site::start(SUBJECT, size, RelayTable { own, ..RelayTable::default() }, seed).await?;
-    reload_often(&site, reloads).await
+    measure_reloads(&site, reloads).await
 }
 
-async fn at_held(size: usize, reloads: usize, seed: u64) -> Result<Reading, CapacityError> {
-    let held = size as u32 * 4;
-    let table = RelayTable { held, disk_mb: 1024.0, ..RelayTable::default() };
+async fn at_queued(size: usize, reloads: usize, seed: u64) -> Result<Reading, CapacityError> {
+    let queue_capacity = size as u32 * 4;
+    let table = RelayTable { held: queue_capacity, disk_mb: 1024.0, ..RelayTable::default() };
     let site = Site::start(SUBJECT, FEW_DESTINATIONS, table, seed).await?;
     site.hang(SILENT);
-    // The laboratory's classes live for seconds; what is held here lives for an hour.
+    // Messages of the lab's classes live for seconds; the messages queued here must live for an hour.
     change(&site, |settings| {
-        settings["categories"][0]["give_up"] = LIFE_NS.into();
+        settings["categories"][0]["give_up"] = LIFETIME_NS.into();
     })?;
     reload(&site).await?;
-    hand_in(&site, size).await?;
-    // What was taken on last has its first round, and its first attempts are out.
+    submit(&site, size).await?;
+    // Wait for the first round of the messages accepted last, and until their first attempts are in flight.
     sleep(Duration::from_millis(500)).await;
-    reload_often(&site, reloads).await
+    measure_reloads(&site, reloads).await
 }
 
-/// What reloads of a changed configuration cost: processor time without a probe, then pauses with one.
-async fn reload_often(site: &Site, reloads: usize) -> Result<Reading, CapacityError> {
-    let before = reloaded(site)?;
+/// Measures reloads of a changed configuration: first processor time without a probe, then pauses with one.
+async fn measure_reloads(site: &Site, reloads: usize) -> Result<Reading, CapacityError> {
+    let before = reload_count(site)?;
     let cpu_ms = processor_time(site, reloads).await?;
     let pauses = pauses(site, reloads).await?;
-    let taken_up = reloaded(site)? - before;
-    if taken_up != 2 * reloads {
-        return Err(site.fault(format!("{taken_up} of {} reloads were taken up", 2 * reloads)));
+    let completed = reload_count(site)? - before;
+    if completed != 2 * reloads {
+        return Err(site.error(format!("{completed} of {} configuration reloads completed", 2 * reloads)));
     }
     Ok(Reading { cpu_ms, ..pauses })
 }
 
-/// Processor time of a reload in milliseconds, less what the relay uses in the same time without one.
+/// Processor time of a reload in milliseconds, minus the processor time that the relay uses in the same time without one.
 async fn processor_time(site: &Site, reloads: usize) -> Result<f64, CapacityError> {
-    let (begin, begun) = (cpu_time::of_deciding_thread(site.relay.id)?, Instant::now());
+    let (cpu_at_start, start) = (cpu_time::of_deciding_thread(site.relay.id)?, Instant::now());
     for _ in 0..reloads {
         sleep(RELOAD_WINDOW).await;
     }
-    let (between, changed) = (cpu_time::of_deciding_thread(site.relay.id)?, Instant::now());
+    let (cpu_before_reloads, reloads_start) = (cpu_time::of_deciding_thread(site.relay.id)?, Instant::now());
     for number in 0..reloads {
         reload_another(site, number).await?;
         sleep(RELOAD_WINDOW).await;
     }
-    let (end, ended) = (cpu_time::of_deciding_thread(site.relay.id)?, Instant::now());
-    let idle_share = between.saturating_sub(begin).as_secs_f64() / (changed - begun).as_secs_f64();
-    let busy = end.saturating_sub(between).as_secs_f64();
-    Ok((busy - idle_share * (ended - changed).as_secs_f64()) * 1e3 / reloads as f64)
+    let (cpu_at_end, end) = (cpu_time::of_deciding_thread(site.relay.id)?, Instant::now());
+    let idle_share =
+        cpu_before_reloads.saturating_sub(cpu_at_start).as_secs_f64() / (reloads_start - start).as_secs_f64();
+    let busy = cpu_at_end.saturating_sub(cpu_before_reloads).as_secs_f64();
+    Ok((busy - idle_share * (end - reloads_start).as_secs_f64()) * 1e3 / reloads as f64)
 }
 
-/// The longest answers during reloads and without; the processor time is not told.
+/// Measures the longest response times with and without reloads. Processor time is not measured.
 async fn pauses(site: &Site, reloads: usize) -> Result<Reading, CapacityError> {
     let probe = Probe::start(site.relay.address);
     let (mut with, mut without) = (Vec::new(), Vec::new());
@@ -177,7 +178,7 @@
         reload_another(site, reloads + number).await?;
         with.push((begin, window().await.1));
     }
-    let samples = probe.finish().map_err(|reason| site.fault(reason))?;
+    let samples = probe.finish().map_err(|reason| site.error(reason))?;
     let longest = with.iter().map(|(from, to)| histogram(&samples, *from, *to).max() as f64 / 1e3);
     Ok(Reading {
         cpu_ms: 0.0,
@@ -193,7 +194,7 @@
     (begin, Instant::now())
 }
 
-/// Has the relay take up a configuration with another value in it each time.
+/// Reloads the configuration with a value that differs for each `number`.
 async fn reload_another(site: &Site, number: usize) -> Result<(), CapacityError> {
     change(site, |settings| {
         settings["policy_limits"]["max_retry_after"] = (3_000_000_000 + number as u64).into();
@@ -209,12 +210,13 @@
     std::fs::read_to_string(&path).map_err(|source| CapacityError::File { path, source })
 }
 
-/// Changes the settings in the relay's configuration; what it does not read whole it does not take up.
+/// Changes the settings in the relay's configuration file. The relay does not apply a file that it reads incompletely.
 fn change(site: &Site, settings: impl FnOnce(&mut serde_json::Value)) -> Result<(), CapacityError> {
     let path = file(site, "config.json");
     let text = read(path.clone())?;
-    let fault = |e: serde_json::Error| site.fault(format!("the relay's configuration: {e}"));
-    let mut configuration: serde_json::Value = serde_json::from_str(&text).map_err(fault)?;
+    let error =
+        |e: serde_json::Error| site.error(format!("the relay's configuration is not valid JSON: {e}"));
+    let mut configuration: serde_json::Value = serde_json::from_str(&text).map_err(error)?;
     settings(&mut configuration["settings"]);
     std::fs::write(&path, configuration.to_string()).map_err(|source| CapacityError::File { path, source })
 }
@@ -224,57 +226,59 @@
     let sent = Command::new("kill").args(["-HUP", &id]).stdout(Stdio::null()).status();
     match sent {
         Ok(status) if status.success() => Ok(()),
-        Ok(status) => Err(site.fault(format!("SIGHUP: kill ended with {status}"))),
-        Err(e) => Err(site.fault(format!("SIGHUP: {e}"))),
+        Ok(status) => Err(site.error(format!("cannot send SIGHUP: kill ended with {status}"))),
+        Err(e) => Err(site.error(format!("cannot send SIGHUP: {e}"))),
     }
 }
 
-/// How many configurations the relay has taken up since its start.
-fn reloaded(site: &Site) -> Result<usize, CapacityError> {
+/// Number of configuration reloads that the relay has logged since its start.
+fn reload_count(site: &Site) -> Result<usize, CapacityError> {
     Ok(read(file(site, "log"))?.matches(RELOADED).count())
 }
 
-/// Has the relay read its configuration, and waits until it has.
+/// Makes the relay reload its configuration, and waits until it has done so.
 async fn reload(site: &Site) -> Result<(), CapacityError> {
-    let before = reloaded(site)?;
+    let before = reload_count(site)?;
     signal(site)?;
-    let end = Instant::now() + RELOAD_PATIENCE;
-    while reloaded(site)? == before {
+    let end = Instant::now() + RELOAD_TIMEOUT;
+    while reload_count(site)? == before {
         if Instant::now() > end {
-            return Err(site.fault("the relay does not take up its configuration".into()));
+            return Err(
+                site.error(format!("the relay did not reload its configuration within {RELOAD_TIMEOUT:?}"))
+            );
         }
         sleep(Duration::from_millis(5)).await;
     }
     Ok(())
 }
 
-/// Hands in messages for the destination that never answers, as fast as they are taken on.
-async fn hand_in(site: &Site, messages: usize) -> Result<(), CapacityError> {
-    let (next, taken) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
-    let body = Bytes::from(vec![b'x'; BODY]);
+/// Submits messages for the destination that never answers, as fast as they are accepted.
+async fn submit(site: &Site, messages: usize) -> Result<(), CapacityError> {
+    let (next, accepted) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
+    let body = Bytes::from(vec![b'x'; BODY_BYTES]);
     let clients: Vec<_> = (0..CONNECTIONS)
         .map(|_| {
-            let client = client(site.relay.address, body.clone(), messages, next.clone(), taken.clone());
+            let client = client(site.relay.address, body.clone(), messages, next.clone(), accepted.clone());
             spawn_local(client)
         })
         .collect();
     for client in clients {
-        let ended = client.await.map_err(|e| site.fault(format!("a client: {e}")))?;
-        ended.map_err(|e| site.fault(format!("a client: {e}")))?;
+        let result = client.await.map_err(|e| site.error(format!("a client task failed: {e}")))?;
+        result.map_err(|e| site.error(format!("a client failed: {e}")))?;
     }
-    if (taken.get() as f64) < messages as f64 * LEAST_TAKEN {
-        return Err(site.fault(format!("{} of {messages} messages were taken on", taken.get())));
+    if (accepted.get() as f64) < messages as f64 * MIN_ACCEPTED_SHARE {
+        return Err(site.error(format!("only {} of {messages} messages were accepted", accepted.get())));
     }
     Ok(())
 }
 
-/// One client's connection: hands in the next message once the one before was answered.
+/// One client connection: submits the next message after the response to the previous one.
 async fn client(
     relay: std::net::SocketAddr,
     body: Bytes,
     messages: usize,
     next: Rc<Cell<usize>>,
-    taken: Rc<Cell<usize>>,
+    accepted: Rc<Cell<usize>>,
 ) -> Result<(), String> {
     let stream = TcpStream::connect(relay).await.map_err(|e| e.to_string())?;
     let _ = stream.set_nodelay(true);
@@ -286,14 +290,14 @@
             .header("host", "relay")
             .header("x-request-id", format!("m{}", number + 1))
             .header("x-priority-class", "notice")
-            .header("x-timeout-ms", LIFE_MS.to_string())
+            .header("x-timeout-ms", LIFETIME_MS.to_string())
             .header("x-envelope", format!("dest={SILENT}"))
             .body(Full::new(body.clone()))
             .map_err(|e| e.to_string())?;
-        let answer = sender.send_request(request).await.map_err(|e| e.to_string())?;
-        let accepted = answer.status() == hyper::StatusCode::ACCEPTED;
-        answer.into_body().collect().await.map_err(|e| e.to_string())?;
-        taken.set(taken.get() + usize::from(accepted));
+        let response = sender.send_request(request).await.map_err(|e| e.to_string())?;
+        let is_accepted = response.status() == hyper::StatusCode::ACCEPTED;
+        response.into_body().collect().await.map_err(|e| e.to_string())?;
+        accepted.set(accepted.get() + usize::from(is_accepted));
     }
     Ok(())
 }
--- a/lab/src/capacity/destinations.rs
+++ b/lab/src/capacity/destinations.rs
@@ -1,13 +1,13 @@
-//! Destinations: what one listed and one used costs, what a whole list and a change of it cost, and how many calls go to
-//! a destination that other relays know to be down.
+//! Cost of listed destinations and of destinations in use, cost of a whole list and of a change to it, and the share of
+//! calls to a destination that other relays consider down.
 //!
-//! Memory and lists are measured at real relays, rounds at the decision module, the fleet in virtual time.
+//! Memory and lists are measured with real relays, rounds with the decision module alone, and the fleet in virtual time.
 use slatethread::*;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
 use super::fit::Law;
-use super::simulated_relay::{self, Behaviour, Call, Knowledge, Plan};
+use super::simulated_relay::{self, Behaviour, Call, DownPeriod, Plan};
 use super::site::{Probe, Site, median, median_longest, run};
 use super::{CapacityError, Figure, Measured, Options, Point, Series, cpu_time};
 use crate::arrivals::Arrival;
@@ -16,63 +16,66 @@
 use crate::world::Entry;
 
 const SUBJECT: &str = "destinations";
-/// Messages a second while destinations come into use.
-const FIRST_MESSAGES: f64 = 1000.0;
-/// Bytes of a message.
-const BODY: usize = 200;
-/// How long a message may wait.
-const PATIENCE: Duration = Duration::from_secs(6);
-/// Descriptors of a relay whose connections are bounded: at most 582 of them lead to destinations.
+/// Rate, in messages per second, of the first messages for the destinations.
+const FIRST_MESSAGE_RATE: f64 = 1000.0;
+/// Size of a message body in bytes.
+const BODY_BYTES: usize = 200;
+/// Time within which a message must be delivered.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Descriptor limit of a relay with a bounded number of connections: at most 582 of them are to destinations.
 const FEW_SOCKETS: usize = 1024;
-/// ... and of one that keeps a connection to each destination that it used.
+/// Descriptor limit of a relay that keeps a connection to each destination that it has used.
 const MANY_SOCKETS: usize = 16_384;
 const LONG_IDLE_CLOSE_MS: u64 = 120_000;
 /// Time between two changes.
 const CHANGE_GAP: Duration = Duration::from_millis(10);
-/// Without so many delivered a relay is not in the state that is measured, and how often that is looked at.
-const LEAST_DELIVERED: f64 = 0.97;
-const DELIVERY_LOOK: Duration = Duration::from_millis(100);
-/// Messages that a slice of the module's first round holds.
+/// Share of messages that must be delivered for the relay to be in the state to be measured, and the interval of the
+/// check.
+const MIN_DELIVERED_SHARE: f64 = 0.97;
+const DELIVERY_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of messages per round while the module is warmed up.
 const WARM_UP_BATCH: u32 = 1000;
-/// Rounds between two sweeps of the module: half a second of them.
+/// Number of rounds between two sweeps of the module: half a second of virtual time.
 const SWEEP_ROUNDS: usize = 100;
-const STEP: Nanos = 5_000_000;
-/// Virtual time at which the module's plays begin.
-const HOUR: Nanos = 3600 * 1_000_000_000;
-/// The fleet's plays: one of 66 destinations (1.5%) is down from this second on.
+/// Virtual time between two rounds.
+const ROUND_INTERVAL: Nanos = 5_000_000;
+/// Initial value of the module's virtual clock.
+const START: Nanos = 3600 * 1_000_000_000;
+/// Number of destinations in the fleet simulations, and the time from which one of the 66 (1.5%) is down.
 const FLEET_DESTINATIONS: u32 = 66;
 const DOWN_FROM: Duration = Duration::from_secs(60);
-/// Mean time between two messages of a relay for a destination.
+/// Mean time between two messages from one relay to one destination.
 const FLEET_GAP: Duration = Duration::from_secs(100);
-/// Seconds of an outage where it is not varied.
+/// Duration of an outage in seconds where it is not varied.
 const OUTAGE: u64 = 600;
 const IDLE_CLOSE: Duration = Duration::from_secs(10);
 
-/// How much is played.
+/// Sizes and repetitions of a run.
 struct Sizes {
+    /// Numbers of listed destinations.
     listed: &'static [usize],
-    /// At each size the list is told whole so often, and one entry of it so often.
-    lists_told: u32,
-    changes_told: u32,
-    /// A list is given so long before it is waited for that the relay rests.
+    /// Number of whole lists and of single changes sent to the relay at each size.
+    lists_sent: u32,
+    changes_sent: u32,
+    /// Time after a list is sent before waiting for the relay to become idle.
     list_window: Duration,
-    /// Listed where the used ones are varied.
+    /// Number of listed destinations where the number of used ones is varied.
     most_listed: usize,
     used: &'static [usize],
     connected: &'static [usize],
-    /// Used destinations in the module's plays.
+    /// Numbers of used destinations in the measurements of the module alone.
     module_used: &'static [u32],
     rounds: usize,
     relays: &'static [usize],
     outages: &'static [u64],
-    /// Relays where the length of an outage is varied.
+    /// Number of relays where the duration of an outage is varied.
     fleet: usize,
 }
 
 const QUICK: Sizes = Sizes {
     listed: &[145, 578, 2_312],
-    lists_told: 1,
-    changes_told: 25,
+    lists_sent: 1,
+    changes_sent: 25,
     list_window: Duration::from_millis(150),
     most_listed: 2_312,
     used: &[36, 145, 578],
@@ -86,8 +89,8 @@
 
 const FULL: Sizes = Sizes {
     listed: &[2_312, 9_250, 37_000],
-    lists_told: 5,
-    changes_told: 200,
+    lists_sent: 5,
+    changes_sent: 200,
     list_window: Duration::from_millis(600),
     most_listed: 37_000,
     used: &[50, 578, 2_312, 9_250, 37_000],
@@ -99,7 +102,7 @@
     fleet: 40,
 };
 
-/// Measures all of it.
+/// Measures all series and figures of this subject.
 pub fn measure(options: &Options) -> Result<Measured, CapacityError> {
     measure_at(if options.quick { &QUICK } else { &FULL }, options.seed)
 }
@@ -117,13 +120,13 @@
     Series { name, varied, unit, law: Law::Line, points }
 }
 
-/// The relay's table of the plays with real processes.
+/// The relay table of the measurements with real processes.
 fn table(sockets: usize, idle_close_ms: u64) -> RelayTable {
-    let own = "idle = { list_limit_mb = 64 }".parse().expect("a sound table");
+    let own = "idle = { list_limit_mb = 64 }".parse().expect("a valid TOML table");
     RelayTable { slots: 512, held: 4096, sockets, idle_close_ms, disk_mb: 64.0, own, ..RelayTable::default() }
 }
 
-/// What lists cost a real relay at one size.
+/// Readings of lists in a real relay at one size.
 struct ListReading {
     resident: f64,
     whole_cpu_ms: f64,
@@ -156,55 +159,55 @@
     let site = Site::start(SUBJECT, size, table(FEW_SOCKETS, 10_000), seed).await?;
     let whole_bytes = site.discovery.known(None).await.len() as f64;
     let before = cpu_time::of_process(site.relay.id)?;
-    for _ in 0..sizes.lists_told {
+    for _ in 0..sizes.lists_sent {
         site.discovery.tell_all();
         sleep(sizes.list_window).await;
-        site.rest().await?;
+        site.wait_until_idle().await?;
     }
     let used = cpu_time::of_process(site.relay.id)?.saturating_sub(before);
     let resident = site.resident();
-    let change_cpu_us = change(&site, size, sizes.changes_told).await?;
+    let change_cpu_us = measure_change(&site, size, sizes.changes_sent).await?;
     let (pause_ms, pause_before_ms) = pause_of_list(&site, sizes).await?;
-    let whole_cpu_ms = used.as_secs_f64() * 1e3 / f64::from(sizes.lists_told);
+    let whole_cpu_ms = used.as_secs_f64() * 1e3 / f64::from(sizes.lists_sent);
     Ok(ListReading { resident, whole_cpu_ms, whole_bytes, change_cpu_us, pause_ms, pause_before_ms })
 }
 
-/// Processor time for one change of an entry, each told by itself.
-async fn change(site: &Site, size: usize, told: u32) -> Result<f64, CapacityError> {
+/// Processor time per change of an entry in microseconds, with each change sent separately.
+async fn measure_change(site: &Site, size: usize, changes: u32) -> Result<f64, CapacityError> {
     let place = (size - 1) as u32;
-    let plain = site.world.borrow().entry(size - 1, place);
+    let original = site.world.borrow().entry(size - 1, place);
     let before = cpu_time::of_deciding_thread(site.relay.id)?;
-    for number in 0..told {
-        site.discovery.tell(Entry { weight: Some(f64::from(number + 2)), ..plain.clone() });
+    for number in 0..changes {
+        site.discovery.tell(Entry { weight: Some(f64::from(number + 2)), ..original.clone() });
         sleep(CHANGE_GAP).await;
     }
-    site.rest().await?;
+    site.wait_until_idle().await?;
     let used = cpu_time::of_deciding_thread(site.relay.id)?.saturating_sub(before);
-    Ok(used.as_secs_f64() * 1e6 / f64::from(told))
+    Ok(used.as_secs_f64() * 1e6 / f64::from(changes))
 }
 
-/// The longest answer while a list with every entry changed is taken in, and in the same time without one: medians over
-/// lists, in milliseconds.
+/// The longest response time while the relay applies a list with every entry changed, and in a window without a list.
+/// Medians over the lists, in milliseconds.
 async fn pause_of_list(site: &Site, sizes: &Sizes) -> Result<(f64, f64), CapacityError> {
     let probe = Probe::start(site.relay.address);
     let (mut with, mut without) = (Vec::new(), Vec::new());
-    for _ in 0..sizes.lists_told {
+    for _ in 0..sizes.lists_sent {
         let begin = Instant::now();
         sleep(sizes.list_window).await;
         without.push((begin, Instant::now()));
         let begin = Instant::now();
         site.discovery.tell_all_anew();
-        // The probe keeps the relay from resting, so that the time is given.
+        // The relay never becomes idle while the probe runs, so the window has a fixed length.
         sleep(sizes.list_window * 3).await;
         with.push((begin, Instant::now()));
     }
-    let samples = probe.finish().map_err(|reason| site.fault(reason))?;
+    let samples = probe.finish().map_err(|reason| site.error(reason))?;
     Ok((median_longest(&samples, &with), median_longest(&samples, &without)))
 }
 
-/// What came of messages for so many destinations, one each.
+/// Readings of messages to a number of destinations, one message each.
 struct UseReading {
-    /// Resident memory above what it was before.
+    /// Growth of resident memory in bytes.
     memory: f64,
     cpu_us_a_message: f64,
     descriptors: f64,
@@ -233,7 +236,7 @@
     Ok(())
 }
 
-/// Sends a message to each of the first so many destinations of a relay's.
+/// Sends one message to each of the first `used` of a relay's destinations.
 async fn use_once(
     listed: usize,
     used: usize,
@@ -244,12 +247,12 @@
     (0..used).filter(|destination| destination % 200 < 3 && used > 200).for_each(|d| site.hang(d));
     let (resident, cpu) = (site.resident(), cpu_time::of_deciding_thread(site.relay.id)?);
     let arrivals = (0..used).map(|dest| {
-        let at = Duration::from_secs_f64(dest as f64 / FIRST_MESSAGES);
-        (dest as u64 + 1, Arrival { at, dest, order: false, patience: PATIENCE })
+        let at = Duration::from_secs_f64(dest as f64 / FIRST_MESSAGE_RATE);
+        (dest as u64 + 1, Arrival { at, dest, order: false, patience: MESSAGE_TIMEOUT })
     });
-    let submitters = Submitters::new(site.relay.address, BODY);
+    let submitters = Submitters::new(site.relay.address, BODY_BYTES);
     load::play(submitters, site.world.clone(), site.began, arrivals.collect(), Instant::now()).await;
-    delivered(&site, used).await?;
+    wait_until_delivered(&site, used).await?;
     let usage = site.relay.usage();
     let used_cpu = cpu_time::of_deciding_thread(site.relay.id)?.saturating_sub(cpu);
     Ok(UseReading {
@@ -259,25 +262,25 @@
     })
 }
 
-/// Waits until nearly all messages were delivered; 1.5% of them go to destinations that hang.
-async fn delivered(site: &Site, messages: usize) -> Result<(), CapacityError> {
-    let wanted = messages as f64 * LEAST_DELIVERED;
-    let end = Instant::now() + PATIENCE;
+/// Waits until nearly all messages are delivered; 1.5% of them are for destinations that hang.
+async fn wait_until_delivered(site: &Site, messages: usize) -> Result<(), CapacityError> {
+    let required = messages as f64 * MIN_DELIVERED_SHARE;
+    let end = Instant::now() + MESSAGE_TIMEOUT;
     loop {
-        sleep(DELIVERY_LOOK).await;
+        sleep(DELIVERY_POLL_INTERVAL).await;
         let figures = site.world.borrow().record.figures();
-        if figures["delivered"] >= wanted {
+        if figures["delivered"] >= required {
             return Ok(());
         }
         if Instant::now() > end {
             let reason = format!("too few of {messages} messages were delivered: {figures:?}");
-            return Err(site.fault(reason));
+            return Err(site.error(reason));
         }
     }
 }
 
-/// Rounds of the decision module itself: processor time of one in which a message comes and one in which its answer
-/// comes, and of the round that sweeps.
+/// Measures rounds of the decision module alone: the processor time of rounds in which a message or its response arrives,
+/// and the duration of the round that sweeps.
 fn rounds(sizes: &Sizes, measured: &mut Measured) -> Result<(), CapacityError> {
     let mut cpu = Vec::new();
     for listed in sizes.listed {
@@ -303,14 +306,14 @@
     sweep_us: f64,
 }
 
-/// Plays rounds with one message or one answer each at a module that lists and has used so many destinations.
+/// Runs rounds with one message or one response each in a module with `listed` destinations, `used` of which were used.
 fn round(listed: u32, used: u32, rounds: usize) -> Result<RoundReading, CapacityError> {
     let mut module = Module::new(listed, used);
     let before = cpu_time::of_this_thread()?;
     let mut longest = vec![Duration::ZERO; rounds.div_ceil(SWEEP_ROUNDS)];
     for number in 0..rounds {
         let began = Instant::now();
-        module.round();
+        module.next_round();
         let slot = &mut longest[number / SWEEP_ROUNDS];
         *slot = began.elapsed().max(*slot);
     }
@@ -319,30 +322,35 @@
     Ok(RoundReading { cpu_us: used.as_secs_f64() * 1e6 / rounds as f64, sweep_us: median(sweeps) })
 }
 
-/// The decision module with a clock of its own.
+/// The decision module with a virtual clock.
 struct Module {
-    courier: Dispatcher,
+    dispatcher: Dispatcher,
     now: Nanos,
     used: u32,
     message: u32,
-    /// The call that is out.
-    out: Option<(MsgId, EndpointId)>,
+    /// The call in flight.
+    in_flight: Option<(MsgId, EndpointId)>,
 }
 
 impl Module {
     fn new(listed: u32, used: u32) -> Module {
         let mut settings = simulated_relay::settings(1, IDLE_CLOSE);
         settings.slots = Some(WARM_UP_BATCH * 2);
-        let mut module =
-            Module { courier: Dispatcher::new(settings, 1), now: HOUR, used, message: 0, out: None };
+        let mut module = Module {
+            dispatcher: Dispatcher::new(settings, 1),
+            now: START,
+            used,
+            message: 0,
+            in_flight: None,
+        };
         let entries = (0..listed).map(simulated_relay::entry).collect();
-        module.play(&[Event::List { scope: ListScope::Whole, entries }]);
+        module.run_round(&[Event::List { scope: ListScope::Whole, entries }]);
         let destinations: Vec<_> = (0..used).collect();
         for batch in destinations.chunks(WARM_UP_BATCH as usize) {
             let requests: Vec<_> = batch.iter().map(|destination| module.request(*destination)).collect();
-            let sent = sends(&module.play(&requests));
+            let sent = sends(&module.run_round(&requests));
             let answers: Vec<_> = sent.into_iter().map(answer).collect();
-            module.play(&answers);
+            module.run_round(&answers);
         }
         module
     }
@@ -352,23 +360,23 @@
         Event::Request(simulated_relay::request(self.message, destination))
     }
 
-    fn play(&mut self, events: &[Event]) -> Vec<Action> {
-        self.now += STEP;
+    fn run_round(&mut self, events: &[Event]) -> Vec<Action> {
+        self.now += ROUND_INTERVAL;
         let mut actions = Vec::new();
-        self.courier.on_round(self.now, events, &mut actions);
+        self.dispatcher.on_round(self.now, events, &mut actions);
         actions
     }
 
-    /// The answer to the call that is out, else a message for the next destination.
-    fn round(&mut self) {
-        let event = match self.out.take() {
+    /// Runs a round with the response to the call in flight or, if there is none, with a message for the next destination.
+    fn next_round(&mut self) {
+        let event = match self.in_flight.take() {
             Some(call) => answer(call),
             None => {
                 let destination = self.message % self.used;
                 self.request(destination)
             }
         };
-        self.out = sends(&self.play(&[event])).pop();
+        self.in_flight = sends(&self.run_round(&[event])).pop();
     }
 }
 
@@ -386,18 +394,20 @@
         attempt: 0,
         endpoint,
         outcome: Outcome::Ok,
-        latency: STEP,
+        latency: ROUND_INTERVAL,
         message_done: true,
         report: Report::default(),
     }
 }
 
-/// What relays that share nothing made of an outage.
+/// Calls of a fleet of relays without shared state during an outage.
 #[derive(Clone, Copy, Debug, Default)]
 struct Shares {
-    /// Share of calls to the destination that is down, by relays that do not know it while another one does.
+    /// Share of calls that go to the destination that is down, from relays that have not detected this while another relay
+    /// has.
     uninformed: f64,
-    /// ... and by relays that know it: they test whether it is back.
+    /// Share of calls that go to the destination that is down from relays that have detected it: probes of whether it is
+    /// back.
     tests: f64,
 }
 
@@ -424,7 +434,7 @@
     measured.figures.push(Figure { name, unit: "share of calls", value: planned });
 }
 
-/// The mean of an outage that refuses connections and of one that hangs.
+/// Mean of an outage with refused connections and one with hanging calls.
 fn mean_outage(relays: usize, seconds: u64, seed: u64) -> Shares {
     let refused = outage(relays, seconds, Behaviour::Refuses, seed);
     let hung = outage(relays, seconds, Behaviour::Hangs, seed);
@@ -438,23 +448,25 @@
     let plan = Plan {
         destinations: FLEET_DESTINATIONS,
         mean_gap: FLEET_GAP,
-        time: DOWN_FROM + Duration::from_secs(seconds),
+        duration: DOWN_FROM + Duration::from_secs(seconds),
         settings: simulated_relay::settings(relays, IDLE_CLOSE),
-        look_every: 0,
-        until_known: None,
+        memory_check_interval: 0,
+        until_down: None,
     };
     let records: Vec<_> = (0..relays)
         .map(|relay| {
-            simulated_relay::play(&plan, seed ^ ((relay as u64 + 1) << 24), |destination, at| {
+            simulated_relay::simulate(&plan, seed ^ ((relay as u64 + 1) << 24), |destination, at| {
                 if destination == 0 && at >= DOWN_FROM { down } else { Behaviour::Serves }
             })
         })
         .collect();
-    let known: Vec<Vec<&Knowledge>> =
-        records.iter().map(|record| record.known.iter().filter(|k| k.destination == 0).collect()).collect();
+    let down_periods: Vec<Vec<&DownPeriod>> = records
+        .iter()
+        .map(|record| record.down_periods.iter().filter(|period| period.destination == 0).collect())
+        .collect();
     let others_know = |relay: usize, call: &Call| {
-        let covers = |k: &&Knowledge| k.from <= call.at && call.at <= k.until;
-        known.iter().enumerate().any(|(other, known)| other != relay && known.iter().any(covers))
+        let covers = |period: &&DownPeriod| period.from <= call.at && call.at <= period.until;
+        down_periods.iter().enumerate().any(|(other, periods)| other != relay && periods.iter().any(covers))
     };
     let (mut all, mut uninformed, mut tests) = (0_usize, 0_usize, 0_usize);
     for (relay, record) in records.iter().enumerate() {
--- a/lab/src/capacity/destinations/tests.rs
+++ b/lab/src/capacity/destinations/tests.rs
@@ -2,8 +2,8 @@
 
 const TINY: Sizes = Sizes {
     listed: &[4, 16, 64],
-    lists_told: 1,
-    changes_told: 4,
+    lists_sent: 1,
+    changes_sent: 4,
     list_window: Duration::from_millis(50),
     most_listed: 64,
     used: &[4, 16, 64],
@@ -16,8 +16,8 @@
 };
 
 #[test]
-fn each_series_has_its_sizes() {
-    let measured = measure_at(&TINY, 1).expect("measured");
+fn each_series_has_a_point_per_size() {
+    let measured = measure_at(&TINY, 1).expect("the measurement succeeds");
     assert_eq!(measured.series.len(), 16);
     assert!(measured.series.iter().all(|series| series.points.len() == 3));
     let descriptors =
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn relays_that_share_nothing_learn_each_for_itself_and_the_same_for_a_seed() {
-    let play = || {
+fn relays_detect_an_outage_independently_and_reproducibly_for_a_seed() {
+    let simulate = || {
         let mut measured = Measured::default();
         fleet(&TINY, 1, &mut measured);
         measured.series.into_iter().map(|series| series.points).collect::<Vec<_>>()
     };
-    let shares = play();
-    assert_eq!(shares, play());
+    let shares = simulate();
+    assert_eq!(shares, simulate());
     let by_others: Vec<_> = shares[0].iter().map(|point| point.value).collect();
     assert_eq!(by_others[0], 0.0, "there is no other relay");
     assert!(by_others[2] > 0.0 && by_others[2] < 0.05, "{by_others:?}");
--- a/lab/src/capacity/fit.rs
+++ b/lab/src/capacity/fit.rs
@@ -1,36 +1,36 @@
-//! The law that a series follows: least squares over its readings, with the residual.
+//! Least-squares fit of a scaling law to the data points of a series.
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
 use super::Point;
 
-/// The forms that a series may take.
+/// Functional form of a scaling law.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Law {
     /// `value = base + slope * size`.
     Line,
-    /// `value = base * size ^ slope`; sizes and values are above zero.
+    /// `value = base * size ^ slope`; sizes and values must be positive.
     Power,
-    /// `value = base + slope * ln(size)`; sizes are above zero.
+    /// `value = base + slope * ln(size)`; sizes must be positive.
     Logarithm,
 }
 
-/// A law with its two numbers.
+/// A law with its two fitted parameters.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
-    /// The form.
+    /// Functional form.
     pub law: Law,
-    /// The constant term (a line, a logarithm) or the factor (a power).
+    /// The constant term of a linear or logarithmic law, or the factor of a power law.
     pub base: f64,
-    /// The slope (a line, a logarithm) or the exponent (a power).
+    /// The slope of a linear or logarithmic law, or the exponent of a power law.
     pub slope: f64,
-    /// Root mean square of the deviations, as a part of the mean value. 0 is a perfect fit.
+    /// Root mean square of the deviations, relative to the mean value. 0 is a perfect fit.
     pub residual: f64,
 }
 
 impl Fit {
-    /// Fits a law by least squares; a line through fewer than two different sizes has the slope 0.
+    /// Fits a law by least squares. With fewer than two distinct sizes the slope is 0.
     pub fn of(law: Law, points: &[Point]) -> Fit {
         let transformed = points.iter().map(|point| match law {
             Law::Line => (point.size, point.value),
@@ -43,7 +43,7 @@
         Fit { residual: fit.relative_deviation(points), ..fit }
     }
 
-    /// What the law gives at a size.
+    /// Value of the law at a size.
     pub fn at(&self, size: f64) -> f64 {
         match self.law {
             Law::Line => self.base + self.slope * size,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Intercept and slope of the straight line with the least squared deviations.
+/// Intercept and slope of the least-squares line.
 fn least_squares(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len().max(1) as f64;
     let mean_x = points.iter().map(|p| p.0).sum::<f64>() / count;
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -1,8 +1,8 @@
-//! Scale tests: each measures a quantity at several sizes, a factor of four apart, and states the law that it follows.
+//! Scale tests: each measures quantities at several sizes, a factor of four apart, and fits the scaling law of each.
 //!
-//! A measurement is one file of this module with a function `measure(&Options) -> Result<Measured, CapacityError>`. This module
-//! runs the selected ones, fits their series, holds the results against the bounds of [`bounds::Bounds`], and writes
-//! `result.json` and one plot a series.
+//! Each measurement is a submodule with a function `measure(&Options) -> Result<Measured, CapacityError>`. This module
+//! runs the selected measurements, fits their series, checks the results against [`bounds::Bounds`], and writes
+//! `result.json` and one plot per series.
 use clap::ValueEnum;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
@@ -30,154 +30,154 @@
 use bounds::{Bounds, Verdict};
 use fit::{Fit, Law};
 
-/// What can be measured; `--only` takes these names.
+/// A measurement that can be selected with `--only`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Subject {
-    /// A relay that holds many messages for a destination that does not answer.
+    /// Cost of many messages queued in memory for a destination that does not answer.
     Backlog,
-    /// The same with what cannot go soon on disk, and how it drains.
+    /// The same with the backlog stored on disk, and the rate at which it drains.
     BacklogOnDisk,
-    /// A relay that takes more and more messages a second, and one with a part of the endpoints gone.
+    /// Cost of traffic at increasing message rates, and with some of the endpoints unavailable.
     Traffic,
-    /// What instances send to know of one another.
+    /// Traffic, processor time and convergence of the membership protocol between instances.
     Membership,
-    /// What passing the list on between instances costs.
+    /// Cost of distributing the endpoint list between instances.
     Lists,
-    /// What a reload of the configuration costs.
+    /// Cost of a configuration reload.
     Configuration,
-    /// Destinations listed and used.
+    /// Cost of listed destinations and of destinations in use.
     Destinations,
-    /// A message in 100 s for each pair of relay and destination.
+    /// Behaviour with one message per 100 s for each pair of relay and destination.
     ThinTraffic,
 }
 
-/// How a run of the scale tests was asked for.
+/// Options of a run of the scale tests.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The smaller sizes only, so that the whole run takes about a minute.
+    /// Measures the smaller sizes only, so that the whole run takes about a minute.
     pub quick: bool,
-    /// Folder for `result.json` and the plots.
+    /// Output folder for `result.json` and the plots.
     pub out: PathBuf,
-    /// Seed of everything that is drawn.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
-/// Why a measurement could not be made.
+/// Error of a measurement or of its evaluation.
 #[derive(Debug, Error)]
 pub enum CapacityError {
     /// A file or folder could not be read or written.
-    #[error("{path}: {source}")]
+    #[error("cannot access {path}: {source}")]
     File {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file of bounds is not as it should be.
-    #[error("bounds: {0}")]
+    /// The bounds file is not valid.
+    #[error("invalid bounds: {0}")]
     Bounds(String),
     /// A plot could not be drawn.
-    #[error("plot of {series}: {reason}")]
+    #[error("cannot plot series {series}: {reason}")]
     Plot {
-        /// The series' name.
+        /// Name of the series.
         series: String,
-        /// What the plotting library said.
+        /// The plotting library's error message.
         reason: String,
     },
-    /// A process or stand-in of the measurement failed.
-    #[error("{subject}: {reason}")]
+    /// The relay process, a simulated peer or the measurement itself failed.
+    #[error("measurement {subject} failed: {reason}")]
     Measurement {
-        /// Which measurement.
+        /// The measurement, or the part of it, that failed.
         subject: &'static str,
-        /// What went wrong, in words.
+        /// Description of the failure.
         reason: String,
     },
 }
 
-/// One reading: a size and what was measured there.
+/// One data point: a size and the value measured at that size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
     /// The size, in the unit of [`Series::varied`].
     pub size: f64,
-    /// What was measured, in the unit of [`Series::unit`].
+    /// The measured value, in the unit of [`Series::unit`].
     pub value: f64,
 }
 
-/// One quantity over several sizes.
+/// One quantity measured at several sizes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Series {
-    /// `subject.quantity`, as the bounds and `docs/CAPACITY.md` name it.
+    /// `subject.quantity`, the name used in the bounds and in `docs/CAPACITY.md`.
     pub name: &'static str,
-    /// What was varied, with its unit.
+    /// The independent variable, with its unit.
     pub varied: &'static str,
     /// Unit of the values.
     pub unit: &'static str,
     /// The law that the quantity is expected to follow.
     pub law: Law,
-    /// Readings, in the order of size. Several at one size are repetitions.
+    /// Data points in order of size. Several points at one size are repetitions.
     pub points: Vec<Point>,
 }
 
-/// One number that is not a slope, such as a worst pause.
+/// A single value that does not depend on a size, such as a longest pause.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figure {
-    /// `subject.quantity`, as the bounds and `docs/CAPACITY.md` name it.
+    /// `subject.quantity`, the name used in the bounds and in `docs/CAPACITY.md`.
     pub name: &'static str,
     /// Unit of the value.
     pub unit: &'static str,
-    /// The value.
+    /// The measured value.
     pub value: f64,
 }
 
-/// What one measurement gave.
+/// Results of one measurement.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Measured {
-    /// Quantities over sizes.
+    /// Quantities measured over sizes.
     pub series: Vec<Series>,
-    /// Single numbers.
+    /// Single values.
     pub figures: Vec<Figure>,
 }
 
 /// A series with its fitted law.
 #[derive(Clone, Debug, Serialize)]
 pub struct Fitted {
-    /// The readings.
+    /// The data points.
     pub series: Series,
-    /// The law through them.
+    /// The law fitted to them.
     pub fit: Fit,
 }
 
-/// All that a run gave.
+/// Results of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// Version of the laboratory's package.
+    /// Version of the `onyxglade-lab` package.
     pub version: &'static str,
-    /// Whether it was the quick run.
+    /// Whether the run was a quick one.
     pub quick: bool,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Every series, fitted.
+    /// All series with their fitted laws.
     pub series: Vec<Fitted>,
-    /// Every single number.
+    /// All single values.
     pub figures: Vec<Figure>,
-    /// How the results compare with the bounds.
+    /// Comparison of the results with the bounds.
     pub verdicts: Vec<Verdict>,
 }
 
 impl Report {
-    /// Whether every bound holds.
+    /// Whether all results are within their bounds.
     pub fn holds(&self) -> bool {
         self.verdicts.iter().all(|verdict| verdict.holds)
     }
 
-    /// The last line of a run: each slope and figure.
+    /// Summary line printed at the end of a run: every fit, every figure, and the number of bounds met.
     pub fn line(&self) -> String {
         let slopes = self.series.iter().map(|fitted| format!("{} {}", fitted.series.name, fitted.fit));
         let figures = self.figures.iter().map(|f| format!("{} {:.4} {}", f.name, f.value, f.unit));
         let failed = self.verdicts.iter().filter(|verdict| !verdict.holds).count();
-        let held = format!("{} of {} bounds hold", self.verdicts.len() - failed, self.verdicts.len());
-        slopes.chain(figures).chain([held]).collect::<Vec<_>>().join("; ")
+        let bounds_met = format!("{} of {} bounds hold", self.verdicts.len() - failed, self.verdicts.len());
+        slopes.chain(figures).chain([bounds_met]).collect::<Vec<_>>().join("; ")
     }
 
     fn add(&mut self, measured: Measured) {
@@ -190,8 +190,8 @@
     }
 }
 
-/// Measures the named subjects, all if none is named, and writes the result. The bounds are those that stand beside
-/// `docs/CAPACITY.md`.
+/// Runs the measurements in `only`, or all of them if it is empty, and writes the result after each one. The bounds are
+/// those of `docs/capacity.toml`.
 pub fn run(only: &[Subject], options: &Options) -> Result<Report, CapacityError> {
     let bounds = Bounds::documented()?;
     create_folder(&options.out)?;
@@ -204,7 +204,7 @@
     };
     for subject in subjects {
         report.add(measure(*subject, options)?);
-        report.verdicts = bounds.judge(&report);
+        report.verdicts = bounds.evaluate(&report);
         write(&report, &options.out)?;
     }
     Ok(report)
@@ -225,7 +225,7 @@
 
 fn write(report: &Report, out: &Path) -> Result<(), CapacityError> {
     let path = out.join("result.json");
-    let text = serde_json::to_vec_pretty(report).expect("a report has only plain values");
+    let text = serde_json::to_vec_pretty(report).expect("a report serializes to JSON");
     std::fs::write(&path, text).map_err(|source| CapacityError::File { path, source })?;
     report.series.iter().try_for_each(|fitted| plot::draw(fitted, out))
 }
--- a/lab/src/capacity/process.rs
+++ b/lab/src/capacity/process.rs
@@ -1,4 +1,4 @@
-//! One relay process of a scale test: its start, its end by SIGKILL, and what `/proc` says of it.
+//! A relay process of a scale test: start, termination by SIGKILL, and resource usage read from `/proc`.
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -10,21 +10,21 @@
 
 use super::CapacityError;
 
-/// How long a relay may take to be ready.
-const READY: Duration = Duration::from_secs(60);
-/// How often a relay that starts is asked whether it is ready.
-const POLL: Duration = Duration::from_millis(5);
+/// Time within which a started relay must become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval between two readiness checks of a starting relay.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the system says of a process.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
-    /// Processor time of all threads that live, as the scheduler counts it.
+    /// Processor time of all running threads according to the scheduler.
     pub cpu: Duration,
-    /// Time that these threads were ready to run and waited for a core.
+    /// Time for which these threads were runnable and waited for a core.
     pub without_core: Duration,
     /// Resident memory, in bytes.
     pub resident: u64,
-    /// The most that it was since the process began.
+    /// Peak resident memory since the process started, in bytes.
     pub peak_resident: u64,
 }
 
@@ -32,13 +32,13 @@
 pub struct RelayProcess {
     child: Child,
     id: u32,
-    /// Where it takes messages.
+    /// Address on which it accepts messages.
     pub address: SocketAddr,
-    /// From its start until it said that it was ready.
+    /// Time from the start of the process until it reported that it was ready.
     pub ready_after: Duration,
 }
 
-/// Where a relay keeps its files, and how it is started.
+/// A relay's program, configuration files and state folder.
 pub struct RelayFolder {
     program: PathBuf,
     folder: PathBuf,
@@ -46,7 +46,7 @@
 }
 
 impl RelayFolder {
-    /// Writes a relay's configuration, which `configure` makes from the address to listen on.
+    /// Writes the configuration of a relay, which `configure` builds from the address to listen on.
     pub fn create(
         program: &Path,
         folder: &Path,
@@ -54,7 +54,7 @@
     ) -> Result<RelayFolder, CapacityError> {
         let fault = |source| CapacityError::File { path: folder.to_owned(), source };
         std::fs::create_dir_all(folder.join("state")).map_err(fault)?;
-        // A port of its own: told by the system, then given up for the relay to take.
+        // The system picks a free port; the listener is closed so that the relay can bind it.
         let port = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|l| l.local_addr());
         let address = port.map_err(fault)?;
         let configuration = configure(address).to_string();
@@ -63,13 +63,13 @@
         Ok(RelayFolder { program: program.to_owned(), folder: folder.to_owned(), address })
     }
 
-    /// Puts this into the relay's own file.
+    /// Writes the relay's own configuration file.
     pub fn write_own_file(&self, text: &str) -> Result<(), CapacityError> {
         let path = self.folder.join("own.toml");
         std::fs::write(&path, text).map_err(|source| CapacityError::File { path, source })
     }
 
-    /// What the relay has logged since its last start.
+    /// The relay's log since its last start.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
@@ -78,7 +78,7 @@
     pub async fn start(&self) -> Result<RelayProcess, CapacityError> {
         let fault = |source| CapacityError::File { path: self.folder.clone(), source };
         let log = std::fs::File::create(self.folder.join("log")).map_err(fault)?;
-        let begun = Instant::now();
+        let started = Instant::now();
         let child = Command::new(&self.program)
             .env_clear()
             .env("ONYXGLADE_LOG", "warn")
@@ -90,24 +90,24 @@
             .kill_on_drop(true)
             .spawn()
             .map_err(fault)?;
-        let id = child.id().ok_or_else(|| failed("it ended at once"))?;
+        let id = child.id().ok_or_else(|| failed("the process ended immediately after its start"))?;
         let mut relay = RelayProcess { child, id, address: self.address, ready_after: Duration::ZERO };
         while !is_ready(self.address).await {
             if let Ok(Some(status)) = relay.child.try_wait() {
                 let log = std::fs::read_to_string(self.folder.join("log")).unwrap_or_default();
-                return Err(failed(&format!("it ended with {status}: {log}")));
+                return Err(failed(&format!("the process ended with {status} before it was ready: {log}")));
             }
-            if begun.elapsed() > READY {
-                return Err(failed("it is not ready in time"));
+            if started.elapsed() > READY_TIMEOUT {
+                return Err(failed(&format!("the relay was not ready within {READY_TIMEOUT:?}")));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
-        relay.ready_after = begun.elapsed();
+        relay.ready_after = started.elapsed();
         Ok(relay)
     }
 
-    /// Bytes of the files in the folder that lasts.
-    pub fn disk(&self) -> Result<u64, CapacityError> {
+    /// Total size of the files in the state folder, in bytes.
+    pub fn state_bytes(&self) -> Result<u64, CapacityError> {
         let state = self.folder.join("state");
         let fault = |source| CapacityError::File { path: state.clone(), source };
         let entries = std::fs::read_dir(&state).map_err(fault)?;
@@ -117,34 +117,38 @@
 }
 
 impl RelayProcess {
-    /// What the system says of the process now.
+    /// Current resource usage of the process.
     pub fn usage(&self) -> Result<Usage, CapacityError> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.id));
-        let status = status.map_err(|e| failed(&format!("it is gone: {e}")))?;
-        let bytes = |field| bytes_of(&status, field).ok_or_else(|| failed("its memory is not told"));
+        let status = status.map_err(|e| failed(&format!("cannot read the status of the process: {e}")))?;
+        let bytes = |field| {
+            bytes_of(&status, field)
+                .ok_or_else(|| failed(&format!("the status of the process has no field {field}")))
+        };
         let (resident, peak_resident) = (bytes("VmRSS:")?, bytes("VmHWM:")?);
         let without_core = schedule(self.id, 1).values().sum();
         Ok(Usage { cpu: thread_times(self.id).values().sum(), without_core, resident, peak_resident })
     }
 
-    /// Ends the process by SIGKILL and waits for its end.
+    /// Kills the process with SIGKILL and waits until it has ended.
     pub async fn kill(mut self) -> Result<(), CapacityError> {
-        self.child.kill().await.map_err(|e| failed(&format!("it cannot be ended: {e}")))
+        self.child.kill().await.map_err(|e| failed(&format!("cannot kill the process: {e}")))
     }
 }
 
-/// A field of `/proc/PID/status` that is told in kilobytes.
+/// Value in bytes of a field of `/proc/PID/status` that is given in kilobytes.
 fn bytes_of(status: &str, field: &str) -> Option<u64> {
     let text = status.lines().find_map(|line| line.strip_prefix(field))?;
     Some(text.trim().trim_end_matches("kB").trim().parse::<u64>().ok()? * 1024)
 }
 
-/// Processor time of each thread of a process that lives.
+/// Processor time of each running thread of a process.
 pub fn thread_times(process: u32) -> HashMap<u32, Duration> {
     schedule(process, 0)
 }
 
-/// One column of the scheduler's statistics of each thread: 0 is the time on a core, 1 that spent waiting for one.
+/// One column of the scheduler statistics of each thread: 0 is the time spent on a core, 1 the time spent waiting for
+/// a core.
 fn schedule(process: u32, column: usize) -> HashMap<u32, Duration> {
     let Ok(tasks) = std::fs::read_dir(format!("/proc/{process}/task")) else { return HashMap::new() };
     let time = |task: std::fs::DirEntry| {
@@ -160,12 +164,12 @@
 }
 
 async fn is_ready(address: SocketAddr) -> bool {
-    let call = async {
+    let response_is_ok = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream.write_all(b"GET /ready HTTP/1.1\r\nhost: r\r\nconnection: close\r\n\r\n").await.ok()?;
         let mut text = Vec::new();
         stream.read_buf(&mut text).await.ok()?;
         Some(text.starts_with(b"HTTP/1.1 200"))
     };
-    tokio::time::timeout(Duration::from_secs(30), call).await.ok().flatten().unwrap_or(false)
+    tokio::time::timeout(Duration::from_secs(30), response_is_ok).await.ok().flatten().unwrap_or(false)
 }
--- a/lab/src/capacity/simulated_relay.rs
+++ b/lab/src/capacity/simulated_relay.rs
@@ -1,8 +1,8 @@
-//! One relay in virtual time, without sockets: the production decision module, the relay's rules for idle connections,
-//! and destinations that serve, refuse, hang or turn calls away.
+//! Simulation of one relay in virtual time, without sockets: the production decision module, the relay's rules for idle
+//! connections, and destinations that serve, refuse, hang or signal overload.
 //!
-//! Relays share nothing today, so that a fleet is many of these, one after another, whose records are merged by whoever
-//! measures. Owns no sizes and no measurement.
+//! Relays share no state, so a fleet is simulated as one relay after another, and the measurement merges their records.
+//! Sizes and measurements are defined by the callers.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
@@ -15,113 +15,115 @@
 use crate::model::At;
 use crate::virtual_time;
 
-/// The module's clock starts at an hour, as the relay's does.
+/// Initial value of the decision module's clock: one hour, as in the relay.
 const START: Duration = Duration::from_secs(3600);
-/// Time between rounds.
-const STEP: Duration = Duration::from_millis(5);
-/// A refused connection is heard of after so long.
-const REFUSED_AFTER: Duration = Duration::from_micros(400);
-/// A call that is served takes so long.
-const SERVED_AFTER: Duration = Duration::from_millis(5);
-/// How long a message may wait for its delivery, as notices in the laboratory's settings.
-const PATIENCE: Duration = Duration::from_secs(6);
-/// The class of message in those settings whose repeats are harmless.
+/// Minimum time between two rounds.
+const ROUND_INTERVAL: Duration = Duration::from_millis(5);
+/// Latency of a refused connection.
+const REFUSAL_LATENCY: Duration = Duration::from_micros(400);
+/// Latency of a call that is answered.
+const ANSWER_LATENCY: Duration = Duration::from_millis(5);
+/// Time within which a message must be delivered: that of notices in the lab's settings.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(6);
+/// The message class in those settings whose messages may be delivered more than once.
 const NOTICE: ClassId = ClassId(0);
-/// How often the relay looks at idle connections (`relay/src/platform/carrier.rs`, `IDLE_LOOK`).
-const IDLE_LOOK: Duration = Duration::from_millis(250);
+/// Interval between the relay's checks for idle connections (`IDLE_CHECK_INTERVAL` in `relay/src/platform/carrier.rs`).
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a destination makes of a call.
+/// How a destination reacts to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Answers it.
+    /// Answers the call.
     Serves,
     /// Refuses the connection.
     Refuses,
-    /// Takes it and never answers.
+    /// Accepts the call and never answers.
     Hangs,
-    /// Turns it away and tells to come back after so long.
-    TurnsAway(Duration),
+    /// Rejects the call as overloaded, with a retry-after time.
+    Overloaded(Duration),
 }
 
-/// What a relay is to do.
+/// Parameters of a simulation.
 pub struct Plan {
-    /// Destinations, with an endpoint each.
+    /// Number of destinations, each with one endpoint.
     pub destinations: u32,
-    /// Mean time between two messages for the same destination; they come at random times (Poisson).
+    /// Mean time between two messages for the same destination; arrivals are a Poisson process.
     pub mean_gap: Duration,
-    /// How long messages come.
-    pub time: Duration,
-    /// What the relay is told.
+    /// Simulated duration.
+    pub duration: Duration,
+    /// Settings of the relay.
     pub settings: Settings,
-    /// Every so many messages the module's memory of the destination is looked at; 0 for never.
-    pub look_every: u32,
-    /// Ends the play once the relay knows this destination to be down.
-    pub until_known: Option<u32>,
+    /// Number of messages between two checks of what the module remembers of a message's destination; 0 for no checks.
+    pub memory_check_interval: u32,
+    /// Ends the simulation once the relay considers this destination down.
+    pub until_down: Option<u32>,
 }
 
-/// What the module still has of a destination when the next message for it comes.
+/// What the module still remembers of a destination when the next message for it arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Memory {
     /// The full record: latency, demand, window, health.
     Full,
-    /// A compact record: a limit, a wait, or when it was used.
+    /// A compact record: a limit, a wait, or the time of the last use.
     Compact,
-    /// Only that it was down.
+    /// Only that the destination is down.
     Down,
-    /// Nothing but its entry in the list.
+    /// Nothing but the entry in the endpoint list.
     Nothing,
 }
 
-/// A call to a destination.
+/// One call to a destination.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
-    /// When.
+    /// Time of the call.
     pub at: At,
-    /// Which destination.
+    /// Destination of the call.
     pub destination: u32,
     /// Whether it needed a new connection.
     pub connects: bool,
-    /// Whether the relay knew the destination to be down.
+    /// Whether the relay considered the destination down.
     pub known_down: bool,
 }
 
-/// A time in which the relay knew a destination to be down.
+/// A period in which the relay considered a destination down.
 #[derive(Clone, Copy, Debug)]
-pub struct Knowledge {
-    /// Which destination.
+pub struct DownPeriod {
+    /// The destination.
     pub destination: u32,
-    /// Since when.
+    /// Start of the period.
     pub from: At,
-    /// Until when; the end of the play if it had not changed.
+    /// End of the period, or the end of the simulation if the destination was still considered down.
     pub until: At,
 }
 
-/// What a relay did.
+/// Record of a simulation.
 #[derive(Debug, Default)]
 pub struct Record {
-    /// Every call, in the order of time.
+    /// All calls in order of time.
     pub calls: Vec<Call>,
-    /// What it knew to be down.
-    pub known: Vec<Knowledge>,
-    /// What was remembered at a message, over those that were looked at; a destination's first message does not count.
+    /// Periods in which destinations were considered down.
+    pub down_periods: Vec<DownPeriod>,
+    /// Number of checked messages by what the module remembered of their destinations. The first message for a destination
+    /// is not counted.
     pub memory: BTreeMap<Memory, usize>,
-    /// Connections open at each second, idle ones counted.
+    /// Number of open connections at each second, including idle ones.
     pub open: Vec<usize>,
-    /// Rounds that were played.
+    /// Number of rounds.
     pub rounds: usize,
 }
 
-enum Next {
+/// An event of the simulation.
+enum SimulationEvent {
     Message,
     Answer { message: u32, attempt: u32, outcome: Outcome },
-    LimitOver { message: u32, attempt: u32 },
+    Timeout { message: u32, attempt: u32 },
     Timer(u64),
     Round,
     Second,
 }
 
-/// A call that is out.
-struct Out {
+/// A call in flight.
+struct CallInFlight {
     attempt: u32,
     destination: u32,
     sent: At,
@@ -130,28 +132,28 @@
 struct Relay<'a, B> {
     plan: &'a Plan,
     behaviour: B,
-    courier: Dispatcher,
+    dispatcher: Dispatcher,
     random: StdRng,
     inbox: Vec<Event>,
     round_due: bool,
     last_round: At,
     queue: BinaryHeap<Reverse<(At, u64)>>,
-    events: HashMap<u64, Next>,
+    events: HashMap<u64, SimulationEvent>,
     scheduled: u64,
     now: At,
     last_message: u32,
-    out: HashMap<u32, Out>,
+    in_flight: HashMap<u32, CallInFlight>,
     attempts: HashMap<u32, u32>,
-    /// When each idle connection became idle, by destination.
+    /// Times at which the idle connections became idle, by destination.
     idle: HashMap<u32, Vec<At>>,
-    /// How long a connection may stand idle.
-    kept: Duration,
+    /// Time after which an idle connection is closed.
+    idle_timeout: Duration,
     used: HashSet<u32>,
     down: HashMap<u32, At>,
     record: Record,
 }
 
-/// The settings of the laboratory's relays, for so many of them.
+/// Settings of the lab's relays for a fleet of `relays`.
 pub fn settings(relays: usize, idle_close: Duration) -> Settings {
     let idle_close_ms = idle_close.as_millis() as u64;
     virtual_time::settings(&RelayTable {
@@ -163,18 +165,18 @@
     })
 }
 
-/// How long the relay keeps an idle connection: a little less than the settings' `idle_close`
-/// (`relay/src/platform/carrier.rs`, `idle`).
-pub fn idle_time(idle_close: Duration) -> Duration {
+/// Time for which the relay keeps an idle connection: a little less than the settings' `idle_close` (`idle_timeout` in
+/// `relay/src/platform/carrier.rs`).
+pub fn idle_timeout(idle_close: Duration) -> Duration {
     idle_close.saturating_sub((idle_close / 20).max(Duration::from_millis(400)))
 }
 
-/// Plays a relay. `behaviour` is asked for each call: which destination, and when.
-pub fn play(plan: &Plan, seed: u64, behaviour: impl FnMut(u32, At) -> Behaviour) -> Record {
+/// Simulates a relay. `behaviour` is called for each call with the destination and the time.
+pub fn simulate(plan: &Plan, seed: u64, behaviour: impl FnMut(u32, At) -> Behaviour) -> Record {
     let mut relay = Relay {
         plan,
         behaviour,
-        courier: Dispatcher::new(plan.settings.clone(), seed),
+        dispatcher: Dispatcher::new(plan.settings.clone(), seed),
         random: StdRng::seed_from_u64(seed),
         inbox: Vec::new(),
         round_due: false,
@@ -184,101 +186,109 @@
         scheduled: 0,
         now: At::ZERO,
         last_message: 0,
-        out: HashMap::new(),
+        in_flight: HashMap::new(),
         attempts: HashMap::new(),
         idle: HashMap::new(),
-        kept: idle_time(Duration::from_nanos(plan.settings.idle_close.unwrap_or(0))),
+        idle_timeout: idle_timeout(Duration::from_nanos(plan.settings.idle_close.unwrap_or(0))),
         used: HashSet::new(),
         down: HashMap::new(),
         record: Record::default(),
     };
-    relay.play();
+    relay.run();
     relay.record
 }
 
 impl<B: FnMut(u32, At) -> Behaviour> Relay<'_, B> {
-    fn play(&mut self) {
+    fn run(&mut self) {
         let entries = (0..self.plan.destinations).map(entry).collect();
-        self.tell(Event::List { scope: ListScope::Whole, entries });
-        self.draw_next_message();
-        self.schedule(Duration::from_secs(1), Next::Second);
+        self.push_event(Event::List { scope: ListScope::Whole, entries });
+        self.schedule_next_message();
+        self.schedule(Duration::from_secs(1), SimulationEvent::Second);
         while let Some(Reverse((at, number))) = self.queue.pop() {
-            let found = self.plan.until_known.is_some_and(|destination| self.down.contains_key(&destination));
-            if at > self.plan.time || found {
+            let is_detected =
+                self.plan.until_down.is_some_and(|destination| self.down.contains_key(&destination));
+            if at > self.plan.duration || is_detected {
                 break;
             }
             self.now = at;
-            let next = self.events.remove(&number).expect("scheduled once");
-            self.happen(next);
+            let next = self.events.remove(&number).expect("each event is scheduled once");
+            self.handle(next);
         }
         let end = self.now;
-        let known = self.down.drain().map(|(destination, from)| Knowledge { destination, from, until: end });
-        self.record.known.extend(known);
-        self.record.known.sort_by_key(|known| (known.from, known.destination));
+        let ongoing =
+            self.down.drain().map(|(destination, from)| DownPeriod { destination, from, until: end });
+        self.record.down_periods.extend(ongoing);
+        self.record.down_periods.sort_by_key(|period| (period.from, period.destination));
     }
 
-    fn schedule(&mut self, at: At, next: Next) {
+    fn schedule(&mut self, at: At, next: SimulationEvent) {
         self.scheduled += 1;
         self.queue.push(Reverse((at, self.scheduled)));
         self.events.insert(self.scheduled, next);
     }
 
-    fn tell(&mut self, event: Event) {
+    /// Queues an event for the decision module and schedules a round if none is due.
+    fn push_event(&mut self, event: Event) {
         self.inbox.push(event);
         if !self.round_due {
             self.round_due = true;
-            self.schedule((self.last_round + STEP).max(self.now), Next::Round);
+            self.schedule((self.last_round + ROUND_INTERVAL).max(self.now), SimulationEvent::Round);
         }
     }
 
-    fn draw_next_message(&mut self) {
+    /// Schedules the next message after an exponentially distributed time.
+    fn schedule_next_message(&mut self) {
         let rate = f64::from(self.plan.destinations) / self.plan.mean_gap.as_secs_f64();
-        let gap = Exp::new(rate).expect("a rate above zero").sample(&mut self.random);
-        self.schedule(self.now + Duration::from_secs_f64(gap), Next::Message);
+        let gap = Exp::new(rate).expect("the rate is positive").sample(&mut self.random);
+        self.schedule(self.now + Duration::from_secs_f64(gap), SimulationEvent::Message);
     }
 
-    fn happen(&mut self, next: Next) {
+    fn handle(&mut self, next: SimulationEvent) {
         match next {
-            Next::Message => self.message(),
-            Next::Answer { message, attempt, outcome } => self.closed(message, attempt, outcome),
-            Next::LimitOver { message, attempt } => self.closed(message, attempt, Outcome::Timeout),
-            Next::Timer(nonce) => self.tell(Event::Timer { nonce }),
-            Next::Round => {
+            SimulationEvent::Message => self.accept_message(),
+            SimulationEvent::Answer { message, attempt, outcome } => self.end_call(message, attempt, outcome),
+            SimulationEvent::Timeout { message, attempt } => {
+                self.end_call(message, attempt, Outcome::Timeout)
+            }
+            SimulationEvent::Timer(nonce) => self.push_event(Event::Timer { nonce }),
+            SimulationEvent::Round => {
                 self.round_due = false;
                 self.round();
             }
-            Next::Second => {
+            SimulationEvent::Second => {
                 self.close_idle();
                 let idle: usize = self.idle.values().map(Vec::len).sum();
-                self.record.open.push(idle + self.out.len());
-                self.schedule(self.now + Duration::from_secs(1), Next::Second);
+                self.record.open.push(idle + self.in_flight.len());
+                self.schedule(self.now + Duration::from_secs(1), SimulationEvent::Second);
             }
         }
     }
 
-    fn message(&mut self) {
+    /// A message for a random destination arrives.
+    fn accept_message(&mut self) {
         self.last_message += 1;
         let message = self.last_message;
         let destination = self.random.random_range(0..self.plan.destinations);
-        self.draw_next_message();
+        self.schedule_next_message();
         let used = !self.used.insert(destination);
-        let looks = self.plan.look_every > 0 && message.is_multiple_of(self.plan.look_every);
+        let checks_memory =
+            self.plan.memory_check_interval > 0 && message.is_multiple_of(self.plan.memory_check_interval);
         let request = Event::Request(request(message, destination));
-        if used && looks {
-            self.look(destination, request);
+        if used && checks_memory {
+            self.check_memory(destination, request);
         } else {
-            self.tell(request);
+            self.push_event(request);
         }
     }
 
-    /// Plays the message in a round of its own, right after one that leaves nothing else to be done in it, and compares
-    /// what the module keeps before and after.
-    fn look(&mut self, destination: u32, request: Event) {
+    /// Passes the message to the module in a round of its own, directly after a round that handles all other events, and
+    /// compares the module's records before and after it.
+    fn check_memory(&mut self, destination: u32, request: Event) {
         self.round();
-        let before = self.courier.record_counts();
+        let before = self.dispatcher.record_counts();
         self.inbox.push(request);
         self.round();
-        let after = self.courier.record_counts();
+        let after = self.dispatcher.record_counts();
         let memory = if after.full == before.full {
             Memory::Full
         } else if after.idle < before.idle {
@@ -296,30 +306,30 @@
         self.record.rounds += 1;
         let events = std::mem::take(&mut self.inbox);
         let mut actions = Vec::new();
-        self.courier.on_round((START + self.now).as_nanos() as u64, &events, &mut actions);
-        actions.into_iter().for_each(|action| self.act(action));
+        self.dispatcher.on_round((START + self.now).as_nanos() as u64, &events, &mut actions);
+        actions.into_iter().for_each(|action| self.execute(action));
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { msg, endpoint, timeout: limit } => {
                 self.send(msg.0, endpoint.0 - 1, Duration::from_nanos(limit))
             }
             Action::Refuse { msg, .. } | Action::Fail { msg } => drop(self.attempts.remove(&msg.0)),
-            Action::Cancel { msg, attempt } => self.closed(msg.0, attempt, Outcome::Cancelled),
+            Action::Cancel { msg, attempt } => self.end_call(msg.0, attempt, Outcome::Cancelled),
             Action::SetTimer { nonce, after } => {
-                self.schedule(self.now + Duration::from_nanos(after), Next::Timer(nonce));
+                self.schedule(self.now + Duration::from_nanos(after), SimulationEvent::Timer(nonce));
             }
             Action::CloseIdle { endpoint } => drop(self.idle.remove(&(endpoint.0 - 1))),
-            Action::Log { line } => self.hear(&line),
+            Action::Log { line } => self.observe_log(&line),
             _ => {}
         }
     }
 
-    /// The module says in its log when it takes an endpoint to be down.
-    fn hear(&mut self, line: &str) {
-        let told = line.strip_prefix("endpoint ").and_then(|rest| rest.split_once(" down"));
-        if let Some(endpoint) = told.and_then(|(number, _)| number.parse::<u32>().ok()) {
+    /// Detects from a log line of the module that it considers an endpoint down.
+    fn observe_log(&mut self, line: &str) {
+        let down = line.strip_prefix("endpoint ").and_then(|rest| rest.split_once(" down"));
+        if let Some(endpoint) = down.and_then(|(number, _)| number.parse::<u32>().ok()) {
             self.down.entry(endpoint - 1).or_insert(self.now);
         }
     }
@@ -332,73 +342,75 @@
         let connects = !self.take_idle(destination);
         let known_down = self.down.contains_key(&destination);
         self.record.calls.push(Call { at: self.now, destination, connects, known_down });
-        self.out.insert(message, Out { attempt, destination, sent: self.now });
+        self.in_flight.insert(message, CallInFlight { attempt, destination, sent: self.now });
         let answer = match behaviour {
-            Behaviour::Serves => Some((SERVED_AFTER, Outcome::Ok)),
-            Behaviour::Refuses => Some((REFUSED_AFTER, Outcome::ConnectFailed)),
-            Behaviour::TurnsAway(wait) => {
-                Some((SERVED_AFTER, Outcome::Overloaded { retry_after: Some(wait.as_nanos() as u64) }))
+            Behaviour::Serves => Some((ANSWER_LATENCY, Outcome::Ok)),
+            Behaviour::Refuses => Some((REFUSAL_LATENCY, Outcome::ConnectFailed)),
+            Behaviour::Overloaded(wait) => {
+                Some((ANSWER_LATENCY, Outcome::Overloaded { retry_after: Some(wait.as_nanos() as u64) }))
             }
             Behaviour::Hangs => None,
         };
         if let Some((after, outcome)) = answer {
-            self.schedule(self.now + after, Next::Answer { message, attempt, outcome });
+            self.schedule(self.now + after, SimulationEvent::Answer { message, attempt, outcome });
         }
-        self.schedule(self.now + limit, Next::LimitOver { message, attempt });
+        self.schedule(self.now + limit, SimulationEvent::Timeout { message, attempt });
     }
 
-    /// A call is over, unless it was over before.
-    fn closed(&mut self, message: u32, attempt: u32, outcome: Outcome) {
-        if self.out.get(&message).is_none_or(|out| out.attempt != attempt) {
+    /// Ends a call. Does nothing if the call has already ended.
+    fn end_call(&mut self, message: u32, attempt: u32, outcome: Outcome) {
+        if self.in_flight.get(&message).is_none_or(|call| call.attempt != attempt) {
             return;
         }
-        let out = self.out.remove(&message).expect("just seen");
+        let call = self.in_flight.remove(&message).expect("the call is in flight");
         let answered = matches!(outcome, Outcome::Ok | Outcome::Overloaded { .. });
         if answered {
-            self.idle.entry(out.destination).or_default().push(self.now);
+            self.idle.entry(call.destination).or_default().push(self.now);
         }
         if outcome == Outcome::Ok {
             self.attempts.remove(&message);
-            if let Some(from) = self.down.remove(&out.destination) {
-                let known = Knowledge { destination: out.destination, from, until: self.now };
-                self.record.known.push(known);
+            if let Some(from) = self.down.remove(&call.destination) {
+                let period = DownPeriod { destination: call.destination, from, until: self.now };
+                self.record.down_periods.push(period);
             }
         }
-        self.tell(Event::AttemptEnded {
+        self.push_event(Event::AttemptEnded {
             msg: MsgId(message),
             attempt,
-            endpoint: EndpointId(out.destination + 1),
+            endpoint: EndpointId(call.destination + 1),
             outcome,
-            latency: (self.now - out.sent).as_nanos() as u64,
+            latency: (self.now - call.sent).as_nanos() as u64,
             message_done: outcome == Outcome::Ok,
             report: Report::default(),
         });
     }
 
-    /// Takes the connection that became idle last, if one is still open.
+    /// Removes the connection that became idle last, if one is still open. Returns whether there was one.
     fn take_idle(&mut self, destination: u32) -> bool {
-        let (now, kept) = (self.now, self.kept);
+        let (now, idle_timeout) = (self.now, self.idle_timeout);
         let Some(connections) = self.idle.get_mut(&destination) else { return false };
-        connections.retain(|since| is_open(*since, kept, now));
+        connections.retain(|since| is_open(*since, idle_timeout, now));
         connections.pop().is_some()
     }
 
+    /// Closes the connections whose idle time has expired.
     fn close_idle(&mut self) {
-        let (now, kept) = (self.now, self.kept);
+        let (now, idle_timeout) = (self.now, self.idle_timeout);
         self.idle.retain(|_, connections| {
-            connections.retain(|since| is_open(*since, kept, now));
+            connections.retain(|since| is_open(*since, idle_timeout, now));
             !connections.is_empty()
         });
     }
 }
 
-/// Whether a connection is still open that became idle at `since`: it is closed when the relay looks next after its time.
-fn is_open(since: At, kept: Duration, now: At) -> bool {
-    let looks = (since + kept).as_nanos().div_ceil(IDLE_LOOK.as_nanos());
-    now.as_nanos() < looks * IDLE_LOOK.as_nanos()
+/// Whether a connection that became idle at `since` is still open. It is closed at the relay's first check after its idle
+/// timeout.
+fn is_open(since: At, idle_timeout: Duration, now: At) -> bool {
+    let checks = (since + idle_timeout).as_nanos().div_ceil(IDLE_CHECK_INTERVAL.as_nanos());
+    now.as_nanos() < checks * IDLE_CHECK_INTERVAL.as_nanos()
 }
 
-/// A destination's endpoint as the list has it.
+/// The list entry of a destination's endpoint.
 pub fn entry(destination: u32) -> Endpoint {
     Endpoint {
         id: EndpointId(destination + 1),
@@ -411,7 +423,7 @@
     }
 }
 
-/// A message for a destination.
+/// A request to deliver a message to a destination.
 pub fn request(message: u32, destination: u32) -> Request {
     Request {
         msg: MsgId(message),
@@ -419,7 +431,7 @@
         class: NOTICE,
         tenant: None,
         key: None,
-        time_left: PATIENCE.as_nanos() as u64,
+        time_left: MESSAGE_TIMEOUT.as_nanos() as u64,
         retry: false,
         reconnect: false,
         previous_attempts: 0,
--- a/lab/src/capacity/site.rs
+++ b/lab/src/capacity/site.rs
@@ -1,5 +1,5 @@
-//! A real relay with its surroundings on loopback, at a size: the list service, the partners, and a probe that asks it
-//! for its readiness at fixed times from a thread of its own.
+//! A real relay process on loopback with simulated peers: the list service, the partners, and a probe that queries the
+//! relay's readiness at a fixed rate from a thread of its own.
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
 use std::io::{Read, Write};
@@ -20,29 +20,29 @@
 use crate::relay::{self, Around, Relay};
 use crate::world::World;
 
-/// Time between two questions of the probe.
+/// Time between two requests of the probe.
 const PROBE_INTERVAL: Duration = Duration::from_millis(2);
-/// The probe waits so long for an answer.
-const PROBE_PATIENCE: Duration = Duration::from_secs(10);
-/// A relay is at rest when it uses no more than a tick of processor time in so long, twice in a row.
-const REST_LOOK: Duration = Duration::from_millis(100);
+/// Time for which the probe waits for a response.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(10);
+/// A relay is idle when it uses no more than one tick of processor time in this interval, twice in a row.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const TICK: Duration = Duration::from_millis(10);
-/// It is waited for no longer than this.
-const REST_LOOKS: usize = 300;
-/// An outage that outlasts every play.
+/// Number of intervals after which waiting for an idle relay fails.
+const MAX_IDLE_CHECKS: usize = 300;
+/// Duration of an outage that outlasts every measurement.
 const DAY_S: f64 = 86_400.0;
 
-/// A relay and what stands round it.
+/// A relay process and its simulated peers.
 pub struct Site {
-    /// Partners and what came of calls.
+    /// State of the partners and the outcome of calls.
     pub world: Rc<RefCell<World>>,
     /// The list service.
     pub discovery: Rc<Discovery>,
     /// The relay under test.
     pub relay: Relay,
-    /// The relay's files.
+    /// Folder with the relay's files.
     pub folder: tempfile::TempDir,
-    /// When the world's clock began.
+    /// Start of the simulated world's clock.
     pub began: Instant,
     subject: &'static str,
 }
@@ -53,12 +53,14 @@
     measurement: impl Future<Output = Result<T, CapacityError>>,
 ) -> Result<T, CapacityError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime =
-        runtime.map_err(|e| CapacityError::Measurement { subject, reason: format!("no runtime: {e}") })?;
+    let runtime = runtime.map_err(|e| CapacityError::Measurement {
+        subject,
+        reason: format!("cannot create an async runtime: {e}"),
+    })?;
     LocalSet::new().block_on(&runtime, measurement)
 }
 
-/// What is wrong for one of the plays that stand here: only the relays' tables and the numbers differ.
+/// The experiment that a relay of these measurements runs in. Only the relay's table and the number of destinations vary.
 fn experiment(destinations: usize, relay: RelayTable) -> Result<Experiment, String> {
     let text = format!(
         "name = 'capacity'\nseconds = 1.0\n[[partners]]\ncount = {destinations}\n\
@@ -68,59 +70,61 @@
 }
 
 impl Site {
-    /// Starts a relay to which so many destinations are listed, and waits until it is at rest.
+    /// Starts a relay with a list of `destinations` destinations, and waits until it is idle.
     pub async fn start(
         subject: &'static str,
         destinations: usize,
         table: RelayTable,
         seed: u64,
     ) -> Result<Site, CapacityError> {
-        let fault = |reason: String| CapacityError::Measurement { subject, reason };
-        let listener = |e: std::io::Error| fault(format!("a stand-in's listener: {e}"));
-        let experiment = experiment(destinations, table).map_err(fault)?;
+        let error = |reason: String| CapacityError::Measurement { subject, reason };
+        let listener =
+            |e: std::io::Error| error(format!("cannot start a listener of the simulated peers: {e}"));
+        let experiment = experiment(destinations, table).map_err(error)?;
         let world = Rc::new(RefCell::new(World::new(&experiment, destinations, seed)));
         let began = Instant::now();
         let emulator = Emulator::start(world.clone(), began, false).map_err(listener)?;
         let costs = experiment.list.service.clone();
         let discovery = Discovery::start(world.clone(), emulator.clone(), began, Vec::new(), costs);
         let discovery = discovery.await.map_err(listener)?;
-        let folder = tempfile::tempdir().map_err(|e| fault(format!("a folder: {e}")))?;
+        let folder =
+            tempfile::tempdir().map_err(|e| error(format!("cannot create a temporary folder: {e}")))?;
         let around = Around { told: discovery.address, port: emulator.port, dests: destinations };
-        let program = relay::program().map_err(fault)?;
+        let program = relay::program().map_err(error)?;
         let relay =
-            Relay::start(&program, folder.path(), &experiment, 0, around, seed).await.map_err(fault)?;
+            Relay::start(&program, folder.path(), &experiment, 0, around, seed).await.map_err(error)?;
         let site = Site { world, discovery, relay, folder, began, subject };
-        site.rest().await?;
+        site.wait_until_idle().await?;
         Ok(site)
     }
 
-    /// A fault of this measurement.
-    pub fn fault(&self, reason: String) -> CapacityError {
+    /// An error of this measurement.
+    pub fn error(&self, reason: String) -> CapacityError {
         CapacityError::Measurement { subject: self.subject, reason }
     }
 
-    /// Waits until the relay has nothing to do.
-    pub async fn rest(&self) -> Result<(), CapacityError> {
+    /// Waits until the relay is idle.
+    pub async fn wait_until_idle(&self) -> Result<(), CapacityError> {
         let mut last = cpu_time::of_process(self.relay.id)?;
-        let mut quiet = 0;
-        for _ in 0..REST_LOOKS {
-            sleep(REST_LOOK).await;
+        let mut idle_checks = 0;
+        for _ in 0..MAX_IDLE_CHECKS {
+            sleep(IDLE_CHECK_INTERVAL).await;
             let now = cpu_time::of_process(self.relay.id)?;
-            quiet = if now.saturating_sub(last) <= TICK { quiet + 1 } else { 0 };
-            if quiet == 2 {
+            idle_checks = if now.saturating_sub(last) <= TICK { idle_checks + 1 } else { 0 };
+            if idle_checks == 2 {
                 return Ok(());
             }
             last = now;
         }
-        Err(self.fault("the relay does not come to rest".into()))
+        Err(self.error("the relay does not become idle".into()))
     }
 
-    /// Resident memory in bytes.
+    /// Resident memory of the relay in bytes.
     pub fn resident(&self) -> f64 {
         self.relay.usage().resident_kb as f64 * 1024.0
     }
 
-    /// The destination takes calls and never answers, from now on.
+    /// From now on, the destination accepts calls and never answers.
     pub fn hang(&self, destination: usize) {
         let now = self.began.elapsed();
         let trouble = Event::Trouble(Trouble::Hang);
@@ -128,43 +132,43 @@
     }
 }
 
-/// One answer to the probe.
+/// One response to the probe.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// When it was to be asked for.
+    /// Time at which the request was due.
     pub intended: Instant,
-    /// From then until the answer.
+    /// Time from then until the response.
     pub latency: Duration,
 }
 
-/// Asks a relay for its readiness every 2 ms. An answer that is late delays no count: latencies are from the time at
-/// which each question was due (an open loop), so that a pause shows in every question that it held up.
+/// Queries a relay's readiness every 2 ms in an open loop: latencies count from the time at which each request was due,
+/// so that a pause of the relay shows in every request that it delayed.
 pub struct Probe {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<std::io::Result<Vec<Sample>>>,
 }
 
 impl Probe {
-    /// Begins to ask.
+    /// Starts the probe.
     pub fn start(address: SocketAddr) -> Probe {
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
-        let thread = std::thread::spawn(move || ask(address, &stopped));
+        let thread = std::thread::spawn(move || send_requests(address, &stopped));
         Probe { stop, thread }
     }
 
-    /// Stops, and gives every answer in the order of time.
+    /// Stops the probe and returns all samples in order of time.
     pub fn finish(self) -> Result<Vec<Sample>, String> {
         self.stop.store(true, Ordering::Relaxed);
-        let asked = self.thread.join().map_err(|_| "the probe panicked".to_owned())?;
-        asked.map_err(|e| format!("the probe: {e}"))
+        let samples = self.thread.join().map_err(|_| "the probe panicked".to_owned())?;
+        samples.map_err(|e| format!("the probe failed: {e}"))
     }
 }
 
-fn ask(address: SocketAddr, stopped: &AtomicBool) -> std::io::Result<Vec<Sample>> {
+fn send_requests(address: SocketAddr, stopped: &AtomicBool) -> std::io::Result<Vec<Sample>> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(PROBE_PATIENCE))?;
+    stream.set_read_timeout(Some(PROBE_TIMEOUT))?;
     let mut samples = Vec::new();
     let mut intended = Instant::now();
     let mut answer = [0; 1024];
@@ -177,7 +181,7 @@
             length += match stream.read(&mut answer[length..]) {
                 Ok(0) => return Err(std::io::ErrorKind::UnexpectedEof.into()),
                 Ok(read) => read,
-                // A child of this process ended: with a time-out set, the system does not go on by itself.
+                // SIGCHLD of a child process interrupted the read: with a timeout set, the system does not restart it.
                 Err(e) if e.kind() == std::io::ErrorKind::Interrupted => 0,
                 Err(e) => return Err(e),
             };
@@ -187,22 +191,22 @@
     Ok(samples)
 }
 
-/// The latencies of questions due from one time to another, in microseconds.
+/// Histogram of the latencies, in microseconds, of requests due from `from` up to `to`.
 pub fn histogram(samples: &[Sample], from: Instant, to: Instant) -> Histogram<u64> {
-    let longest = PROBE_PATIENCE.as_micros() as u64;
-    let mut histogram = Histogram::new_with_max(longest, 3).expect("three digits are allowed");
+    let longest = PROBE_TIMEOUT.as_micros() as u64;
+    let mut histogram = Histogram::new_with_max(longest, 3).expect("three significant digits are supported");
     let within = samples.iter().filter(|sample| sample.intended >= from && sample.intended < to);
     within.for_each(|sample| histogram.saturating_record(sample.latency.as_micros() as u64));
     histogram
 }
 
-/// The longest latency of each window in milliseconds, and their median.
+/// Median over the windows of the longest latency in each, in milliseconds.
 pub fn median_longest(samples: &[Sample], windows: &[(Instant, Instant)]) -> f64 {
     let longest = windows.iter().map(|(from, to)| histogram(samples, *from, *to).max() as f64 / 1e3);
     median(longest.collect())
 }
 
-/// The middle value; 0 of none.
+/// The median; 0 if there are no values.
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(0.0)
--- a/lab/src/capacity/stand_ins.rs
+++ b/lab/src/capacity/stand_ins.rs
@@ -1,6 +1,6 @@
-//! The stand-ins round a relay process: endpoints that answer at once or never, and the list service.
+//! Simulated peers of a relay process: endpoints that answer immediately or never, and the list service.
 //!
-//! They run on a thread of their own, so that they do not share a core with the clients, and end when dropped.
+//! They run on a thread of their own so that they do not share a core with the clients, and stop when dropped.
 use serde_json::json;
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -18,28 +18,28 @@
 use crate::emulator::{Got, Reader, wide};
 use crate::{number, world};
 
-/// Names of the zones.
+/// Zone names.
 pub const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 /// All zones as a mask for [`StandIns::silence`].
 pub const ALL_ZONES: u32 = 0b1111;
-/// How often a connection that hangs looks whether its zone answers again.
-const LOOK: Duration = Duration::from_millis(50);
-/// A watch is answered after so long at most.
+/// Interval at which a hanging connection checks whether its zone answers again.
+const HANG_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest time after which a watch request is answered.
 const LONGEST_WATCH: Duration = Duration::from_secs(60);
 
-/// What the stand-ins saw of the messages.
+/// Messages and notices received by the simulated peers.
 #[derive(Debug, Default)]
 pub struct Observations {
-    /// When each message was first served.
+    /// Time at which each message was first delivered.
     pub served: HashMap<u64, Instant>,
-    /// How often a message was served that had been before.
+    /// Number of repeated deliveries.
     pub served_again: u64,
-    /// When the notice of each message's end came first.
+    /// Time at which the first notice of each message's end was received.
     pub noticed: HashMap<u64, Instant>,
 }
 
 impl Observations {
-    fn serve(&mut self, message: u64) {
+    fn record_delivery(&mut self, message: u64) {
         match self.served.entry(message) {
             Entry::Vacant(entry) => drop(entry.insert(Instant::now())),
             Entry::Occupied(_) => self.served_again += 1,
@@ -49,11 +49,11 @@
 
 #[derive(Default)]
 struct Shared {
-    /// A bit for each zone whose endpoints never answer.
+    /// Mask of the zones whose endpoints never answer.
     silent: AtomicU32,
-    /// Messages a second that all endpoints take together; 0 is without a limit.
+    /// Rate limit of all endpoints together, in messages per second; 0 for no limit.
     rate: AtomicU32,
-    /// When the next message is due that the rate allows.
+    /// Earliest time at which the rate limit admits the next message.
     next_due: Mutex<Option<Instant>>,
     observations: Mutex<Observations>,
 }
@@ -63,8 +63,8 @@
         self.observations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a message's turn at the rate that the endpoints take.
-    async fn take_turn(&self) {
+    /// Delays a message as the endpoints' rate limit requires.
+    async fn wait_for_rate_limit(&self) {
         let rate = self.rate.load(Ordering::Relaxed);
         if rate == 0 {
             return;
@@ -80,9 +80,9 @@
     }
 }
 
-/// The stand-ins, which run until this is dropped.
+/// The simulated peers, which run until this is dropped.
 pub struct StandIns {
-    /// Where the list service listens.
+    /// Address of the list service.
     pub list_service: SocketAddr,
     shared: Arc<Shared>,
     stop: Option<oneshot::Sender<()>>,
@@ -90,35 +90,35 @@
 }
 
 impl StandIns {
-    /// Starts a list service that lists so many destinations with an endpoint in each zone, and those endpoints.
+    /// Starts the list service, with `destinations` destinations that have an endpoint in each zone, and the endpoints.
     pub fn start(destinations: u32) -> Result<StandIns, CapacityError> {
-        let fault = |e: io::Error| CapacityError::Measurement { subject: "stand-ins", reason: e.to_string() };
+        let error = |e: io::Error| CapacityError::Measurement { subject: "stand-ins", reason: e.to_string() };
         let shared = Arc::<Shared>::default();
         let (stop, stopped) = oneshot::channel();
-        let (started, start) = mpsc::channel();
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
+        let (address_sender, address_receiver) = mpsc::channel();
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(error)?;
         let for_thread = shared.clone();
         let thread = std::thread::spawn(move || {
             LocalSet::new().block_on(&runtime, async {
-                let _ = started.send(listen(for_thread, destinations).await);
+                let _ = address_sender.send(listen(for_thread, destinations).await);
                 let _ = stopped.await;
             });
         });
-        let address = start.recv().map_err(|e| fault(io::Error::other(e)))?;
-        Ok(StandIns { list_service: address.map_err(fault)?, shared, stop: Some(stop), thread: Some(thread) })
+        let address = address_receiver.recv().map_err(|e| error(io::Error::other(e)))?;
+        Ok(StandIns { list_service: address.map_err(error)?, shared, stop: Some(stop), thread: Some(thread) })
     }
 
-    /// From now on the endpoints in the zones of this mask never answer, and all others do.
+    /// From now on, the endpoints in the zones of this mask never answer, and all others do.
     pub fn silence(&self, zones: u32) {
         self.shared.silent.store(zones, Ordering::Relaxed);
     }
 
-    /// From now on all endpoints together take so many messages a second, each in its turn; 0 is without a limit.
+    /// Limits the rate of all endpoints together to `rate` messages per second; 0 for no limit.
     pub fn limit_rate(&self, rate: u32) {
         self.shared.rate.store(rate, Ordering::Relaxed);
     }
 
-    /// What was seen so far.
+    /// Observations so far.
     pub fn observations(&self) -> MutexGuard<'_, Observations> {
         self.shared.observations()
     }
@@ -152,13 +152,13 @@
                 let _ = stream.set_nodelay(true);
                 spawn_local(serve(stream));
             }
-            // Out of descriptors: what comes next may find some again.
+            // Accepting failed, for example for lack of file descriptors: retry when some may have been freed.
             Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
         }
     }
 }
 
-/// The whole list, as the list service tells it. The endpoint at place `p` is in zone `p % 4`.
+/// The list service's response with the whole list. The endpoint with index `p` is in zone `p % 4`.
 fn list(destinations: u32, port: u16) -> Vec<u8> {
     let zones = ZONES.len() as u32;
     let instance = |place: u32| {
@@ -181,9 +181,9 @@
         if shared.silent.load(Ordering::Relaxed) & zone != 0 {
             return hang(&mut reader, &shared, zone).await;
         }
-        shared.take_turn().await;
+        shared.wait_for_rate_limit().await;
         if let Some(message) = request.header("x-request-id").and_then(number) {
-            shared.observations().serve(message);
+            shared.observations().record_delivery(message);
         }
         if reader.answer(200, &[], b"ok").await.is_err() {
             return;
@@ -191,11 +191,12 @@
     }
 }
 
-/// Does not answer until the other side ends the connection, or the zone answers again and ends it itself.
+/// Leaves a request unanswered until the client closes the connection or the zone answers again. In the latter case the
+/// endpoint closes the connection.
 async fn hang(reader: &mut Reader, shared: &Shared, zone: u32) {
     let answers_again = async {
         while shared.silent.load(Ordering::Relaxed) & zone != 0 {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(HANG_POLL_INTERVAL).await;
         }
     };
     tokio::select! {
@@ -209,8 +210,8 @@
     while let Ok(Some(request)) = reader.next().await {
         let answered = match query(&request) {
             Query::Notices => {
-                let read = take_notices(&request.body, &mut shared.observations());
-                reader.answer(if read { 204 } else { 400 }, &[], b"").await
+                let parsed = record_notices(&request.body, &mut shared.observations());
+                reader.answer(if parsed { 204 } else { 400 }, &[], b"").await
             }
             Query::Whole => reader.answer(200, &[], &list).await,
             Query::Watch(wait) => {
@@ -224,13 +225,13 @@
     }
 }
 
-/// What a relay asks of the list service.
+/// A request to the list service.
 enum Query {
-    /// It tells how messages ended.
+    /// Delivery of notices about ended messages.
     Notices,
-    /// The whole list.
+    /// Request for the whole list.
     Whole,
-    /// What changes within a time; nothing ever does here.
+    /// Long poll for changes within a time. The list of the simulated service never changes.
     Watch(Duration),
 }
 
@@ -246,8 +247,8 @@
     }
 }
 
-/// Takes notices, a JSON object on a line; false if one cannot be read.
-fn take_notices(body: &[u8], observations: &mut Observations) -> bool {
+/// Records notices, one JSON object per line. Returns false if one cannot be parsed.
+fn record_notices(body: &[u8], observations: &mut Observations) -> bool {
     let now = Instant::now();
     let text = String::from_utf8_lossy(body);
     text.lines().filter(|line| !line.trim().is_empty()).all(|line| {
--- a/lab/src/capacity/tests.rs
+++ b/lab/src/capacity/tests.rs
@@ -32,16 +32,16 @@
 ";
 
 #[test]
-fn a_line_is_found_with_its_residual() {
+fn a_linear_fit_recovers_its_parameters_and_residual() {
     let exact = Fit::of(Law::Line, &points(&[(1.0, 5.0), (4.0, 11.0), (16.0, 35.0)]));
     assert!((exact.base - 3.0).abs() < 1e-9 && (exact.slope - 2.0).abs() < 1e-9, "{exact}");
     assert!(exact.residual < 1e-9);
-    let bent = Fit::of(Law::Line, &points(&[(1.0, 1.0), (4.0, 16.0), (16.0, 256.0)]));
-    assert!(bent.residual > 0.1, "{bent}");
+    let quadratic = Fit::of(Law::Line, &points(&[(1.0, 1.0), (4.0, 16.0), (16.0, 256.0)]));
+    assert!(quadratic.residual > 0.1, "{quadratic}");
 }
 
 #[test]
-fn a_power_and_a_logarithm_are_found() {
+fn power_and_logarithmic_fits_recover_their_parameters() {
     let square = Fit::of(Law::Power, &points(&[(1.0, 3.0), (4.0, 48.0), (16.0, 768.0)]));
     assert!((square.base - 3.0).abs() < 1e-9 && (square.slope - 2.0).abs() < 1e-9, "{square}");
     assert!((square.at(2.0) - 12.0).abs() < 1e-9);
@@ -51,62 +51,63 @@
 }
 
 #[test]
-fn repetitions_at_one_size_have_no_slope() {
+fn repeated_points_at_one_size_have_slope_zero() {
     let fit = Fit::of(Law::Line, &points(&[(4.0, 1.0), (4.0, 3.0)]));
     assert_eq!((fit.base, fit.slope), (2.0, 0.0));
 }
 
 #[test]
-fn a_slope_outside_of_its_bound_fails_the_run() {
-    let bounds = Bounds::read(BOUNDS).expect("fit");
-    let holds = |slope| {
+fn a_slope_outside_its_bound_fails_the_run() {
+    let bounds = Bounds::read(BOUNDS).expect("valid bounds");
+    let within_bounds = |slope| {
         let mut report = report(slope, true);
-        report.verdicts = bounds.judge(&report);
-        assert_eq!(report.verdicts.len(), 1, "the quick run is held to what is marked so");
+        report.verdicts = bounds.evaluate(&report);
+        assert_eq!(report.verdicts.len(), 1, "a quick run checks only the bounds marked `quick`");
         report.holds()
     };
-    assert!(holds(5.5));
-    assert!(!holds(6.5));
-    assert!(!holds(3.5));
+    assert!(within_bounds(5.5));
+    assert!(!within_bounds(6.5));
+    assert!(!within_bounds(3.5));
 }
 
 #[test]
-fn the_full_run_is_held_to_every_bound() {
+fn a_full_run_checks_every_bound() {
     let mut report = report(5.0, false);
-    report.verdicts = Bounds::read(BOUNDS).expect("fit").judge(&report);
+    report.verdicts = Bounds::read(BOUNDS).expect("valid bounds").evaluate(&report);
     assert_eq!(report.verdicts.iter().filter(|verdict| verdict.holds).count(), 1);
-    assert!(!report.holds(), "the pause is over its bound");
+    assert!(!report.holds(), "the pause exceeds its bound");
     assert!(report.line().ends_with("1 of 2 bounds hold"));
 }
 
 #[test]
-fn bounds_that_contradict_themselves_are_refused() {
-    let fault = Bounds::read(&BOUNDS.replace("measured = 5.0", "measured = 7.0")).expect_err("outside");
-    assert!(fault.to_string().contains("backlog.memory"));
+fn bounds_with_a_measured_value_out_of_range_are_rejected() {
+    let error = Bounds::read(&BOUNDS.replace("measured = 5.0", "measured = 7.0")).expect_err("out of range");
+    assert!(error.to_string().contains("backlog.memory"));
     assert!(Bounds::read(&BOUNDS.replace("most", "greatest")).is_err());
 }
 
-/// Each bound has one row on the page, `| `name` part | ... | measured | ...`, with the same measured value.
+/// Each bound has one table row in `docs/CAPACITY.md`, `| `name` part | ... | measured | ...`, with the same measured
+/// value.
 #[test]
-fn the_page_states_what_the_file_of_bounds_holds() {
+fn the_capacity_page_states_the_measured_value_of_every_bound() {
     let page = include_str!("../../../docs/CAPACITY.md");
-    for bound in Bounds::documented().expect("fit").bound {
+    for bound in Bounds::documented().expect("valid bounds").bound {
         let part = match bound.part {
             Part::Slope => "slope",
             Part::Base => "base",
             Part::Value => "value",
         };
-        let first = format!("| `{}` {part} |", bound.name);
-        let rows: Vec<_> = page.lines().filter(|line| line.starts_with(&first)).collect();
-        assert_eq!(rows.len(), 1, "rows that begin with {first}");
+        let row_start = format!("| `{}` {part} |", bound.name);
+        let rows: Vec<_> = page.lines().filter(|line| line.starts_with(&row_start)).collect();
+        assert_eq!(rows.len(), 1, "rows that begin with {row_start}");
         let stated = rows[0].split('|').any(|cell| cell.trim().parse() == Ok(bound.measured));
-        assert!(stated, "{first} does not state {}", bound.measured);
+        assert!(stated, "{row_start} does not state {}", bound.measured);
     }
 }
 
 #[test]
-fn each_series_gets_a_plot_and_the_result_is_written() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn a_plot_per_series_and_the_result_file_are_written() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
     write(&report(5.0, true), folder.path()).expect("written");
     let plot = std::fs::read_to_string(folder.path().join("backlog.memory.svg")).expect("a plot");
     assert_eq!(plot.matches("<circle").count(), 3);
