--- a/lab/src/capacity/backlog.rs
+++ b/lab/src/capacity/backlog.rs
@@ -13,7 +13,7 @@
     settle,
 };
 use super::process::RelayFolder;
-use super::stand_ins::{ALL_ZONES, StandIns};
+use super::simulated_peers::{ALL_ZONES, SimulatedPeers};
 use super::{CapacityError, Figure, Measured, Options};
 use crate::relay;
 
@@ -138,9 +138,9 @@
         messages: u32,
         observation: Duration,
     ) -> Result<QueuedReading, CapacityError> {
-        let stand_ins = StandIns::start(DESTINATIONS)?;
-        stand_ins.silence(ALL_ZONES);
-        let folder = self.folder("held", messages, stand_ins.list_service)?;
+        let peers = SimulatedPeers::start(DESTINATIONS)?;
+        peers.silence(ALL_ZONES);
+        let folder = self.folder("held", messages, peers.list_service)?;
         let process = folder.start().await?;
         settle(&process).await?;
         let (bare, bare_disk) = (process.usage()?, folder.state_bytes()?);
@@ -157,7 +157,7 @@
         sleep(observation).await;
         let idle_cpu = process.usage()?.cpu.saturating_sub(idle.cpu);
         let idle_ms = idle_cpu.as_secs_f64() * 1e3 / start.elapsed().as_secs_f64();
-        let expired = stand_ins.observations().noticed.len();
+        let expired = peers.observations().noticed.len();
         if expired > 0 {
             return Err(failed(format!(
                 "{expired} of {messages} messages ended although they should be queued"
@@ -181,9 +181,9 @@
     }
 
     async fn measure_expiry(&self, messages: u32) -> Result<ExpiryReading, CapacityError> {
-        let stand_ins = StandIns::start(DESTINATIONS)?;
-        stand_ins.silence(ALL_ZONES);
-        let folder = self.folder("expired", messages, stand_ins.list_service)?;
+        let peers = SimulatedPeers::start(DESTINATIONS)?;
+        peers.silence(ALL_ZONES);
+        let folder = self.folder("expired", messages, peers.list_service)?;
         let process = folder.start().await?;
         let deadline = Instant::now() + EXPIRY_BASE + EXPIRY_PER_MESSAGE * messages;
         let last = (f64::from(messages) * LAST_PART) as u32;
@@ -196,7 +196,7 @@
         let (mut seen, mut changed) = (0, deadline);
         while seen < accepted as usize && changed.max(deadline).elapsed() < NOTICE_TIMEOUT {
             sleep(POLL_INTERVAL).await;
-            let now = stand_ins.observations().noticed.len();
+            let now = peers.observations().noticed.len();
             if now != seen {
                 (seen, changed) = (now, Instant::now());
             }
@@ -204,7 +204,7 @@
         let after = process.usage()?;
         process.kill().await?;
         clear(&self.folder);
-        let observations = stand_ins.observations();
+        let observations = peers.observations();
         let first = observations.noticed.values().min().copied().unwrap_or(deadline);
         let latest = observations.noticed.values().max().copied().unwrap_or(deadline);
         Ok(ExpiryReading {
--- a/lab/src/capacity/backlog_load.rs
+++ b/lab/src/capacity/backlog_load.rs
@@ -11,7 +11,7 @@
 
 use super::fit::Law;
 use super::process::RelayProcess;
-use super::stand_ins::ZONES;
+use super::simulated_peers::ZONES;
 use super::{CapacityError, Point, Series};
 use crate::arrivals::Arrival;
 use crate::experiment::RelayTable;
--- a/lab/src/capacity/backlog_on_disk.rs
+++ b/lab/src/capacity/backlog_on_disk.rs
@@ -15,8 +15,8 @@
     series, settle,
 };
 use super::process::{RelayFolder, RelayProcess};
+use super::simulated_peers::{ALL_ZONES, Observations, SimulatedPeers};
 use super::site::{Probe, Sample, histogram, run};
-use super::stand_ins::{ALL_ZONES, Observations, StandIns};
 use super::{CapacityError, Figure, Measured, Options};
 use crate::relay;
 
@@ -215,9 +215,9 @@
     }
 
     async fn measure_queued(&self, messages: u32, plan: &Plan) -> Result<QueuedReading, CapacityError> {
-        let stand_ins = StandIns::start(DESTINATIONS)?;
-        stand_ins.silence(ALL_ZONES);
-        let relay = self.relay(messages, stand_ins.list_service, Storage::Disk)?;
+        let peers = SimulatedPeers::start(DESTINATIONS)?;
+        peers.silence(ALL_ZONES);
+        let relay = self.relay(messages, peers.list_service, Storage::Disk)?;
         let process = relay.start().await?;
         settle(&process).await?;
         let bare = process.usage()?;
@@ -233,7 +233,7 @@
         let observed = process.usage()?;
         let idle_cpu = observed.cpu.saturating_sub(idle.cpu);
         let idle_ms = idle_cpu.as_secs_f64() * 1e3 / start.elapsed().as_secs_f64();
-        let expired = stand_ins.observations().noticed.len();
+        let expired = peers.observations().noticed.len();
         if expired > 0 {
             return Err(failed(format!(
                 "{expired} of {messages} messages ended although they should be queued"
@@ -246,8 +246,8 @@
         let ready_s = process.ready_after.as_secs_f64();
         let mut ends = None;
         if messages <= plan.drained_after_kill {
-            stand_ins.silence(0);
-            ends = Some(wait_until_ended(&stand_ins, messages).await?);
+            peers.silence(0);
+            ends = Some(wait_until_ended(&peers, messages).await?);
         }
         print_warnings(&relay);
         process.kill().await?;
@@ -274,22 +274,22 @@
         rate: u32,
         storage: Storage,
     ) -> Result<DrainReading, CapacityError> {
-        let stand_ins = StandIns::start(DESTINATIONS)?;
-        stand_ins.silence(ALL_ZONES);
-        let relay = self.relay(messages, stand_ins.list_service, storage)?;
+        let peers = SimulatedPeers::start(DESTINATIONS)?;
+        peers.silence(ALL_ZONES);
+        let relay = self.relay(messages, peers.list_service, storage)?;
         let process = relay.start().await?;
         settle(&process).await?;
         let before = process.usage()?;
         let (filled, fill_samples) = probed(&process, fill_all(&process, messages)).await?;
-        stand_ins.limit_rate(rate);
-        stand_ins.silence(0);
+        peers.limit_rate(rate);
+        peers.silence(0);
         let returned = Instant::now();
-        let (ends, samples) = probed(&process, wait_until_ended(&stand_ins, messages)).await?;
+        let (ends, samples) = probed(&process, wait_until_ended(&peers, messages)).await?;
         let after = process.usage()?;
         print_warnings(&relay);
         process.kill().await?;
         clear(&self.folder);
-        let observations = stand_ins.observations();
+        let observations = peers.observations();
         let mut served: Vec<_> =
             observations.served.values().map(|at| at.saturating_duration_since(returned)).collect();
         served.sort();
@@ -325,12 +325,12 @@
 }
 
 /// Waits until all messages have ended, or until none has ended for [`DRAIN_TIMEOUT`].
-async fn wait_until_ended(stand_ins: &StandIns, messages: u32) -> Result<EndCounts, CapacityError> {
+async fn wait_until_ended(peers: &SimulatedPeers, messages: u32) -> Result<EndCounts, CapacityError> {
     let (mut seen, mut changed) = (0, Instant::now());
     while seen < messages as usize && changed.elapsed() < DRAIN_TIMEOUT {
         sleep(POLL_INTERVAL).await;
         let now = {
-            let observations = stand_ins.observations();
+            let observations = peers.observations();
             observations.served.len() + observations.noticed.len()
         };
         if now != seen {
@@ -338,7 +338,7 @@
         }
     }
     sleep(DUPLICATE_WAIT).await;
-    Ok(EndCounts::of(&stand_ins.observations(), messages))
+    Ok(EndCounts::of(&peers.observations(), messages))
 }
 
 /// Deliveries per second in the slowest window between the endpoints' return and the last delivery. `served` must be
--- a/lab/src/capacity/configuration.rs
+++ b/lab/src/capacity/configuration.rs
@@ -243,9 +243,7 @@
     let end = Instant::now() + RELOAD_TIMEOUT;
     while reload_count(site)? == before {
         if Instant::now() > end {
-            return Err(
-                site.error(format!("the relay did not reload its configuration within {RELOAD_TIMEOUT:?}"))
-            );
+            return Err(site.error("the relay did not reload its configuration in time".into()));
         }
         sleep(Duration::from_millis(5)).await;
     }
--- a/lab/src/capacity/destinations.rs
+++ b/lab/src/capacity/destinations.rs
@@ -251,7 +251,7 @@
         (dest as u64 + 1, Arrival { at, dest, order: false, patience: MESSAGE_TIMEOUT })
     });
     let submitters = Submitters::new(site.relay.address, BODY_BYTES);
-    load::play(submitters, site.world.clone(), site.began, arrivals.collect(), Instant::now()).await;
+    load::play(submitters, site.world.clone(), site.clock_start, arrivals.collect(), Instant::now()).await;
     wait_until_delivered(&site, used).await?;
     let usage = site.relay.usage();
     let used_cpu = cpu_time::of_deciding_thread(site.relay.id)?.saturating_sub(cpu);
@@ -312,10 +312,10 @@
     let before = cpu_time::of_this_thread()?;
     let mut longest = vec![Duration::ZERO; rounds.div_ceil(SWEEP_ROUNDS)];
     for number in 0..rounds {
-        let began = Instant::now();
+        let start = Instant::now();
         module.next_round();
         let slot = &mut longest[number / SWEEP_ROUNDS];
-        *slot = began.elapsed().max(*slot);
+        *slot = start.elapsed().max(*slot);
     }
     let used = cpu_time::of_this_thread()?.saturating_sub(before);
     let sweeps = longest.iter().map(|time| time.as_secs_f64() * 1e6).collect();
--- a/lab/src/capacity/membership.rs
+++ b/lab/src/capacity/membership.rs
@@ -1,10 +1,10 @@
-//! Membership: what instances send and compute to know of one another, and how long it takes until they agree, at rest and
-//! through the failures of the planned size. The instances are hollow: the relay's own state machine
-//! ([`onyxglade_instances::Swim`]), many in this process, in virtual time.
+//! Cost of the membership protocol between instances: traffic, processor time, and the time until all views agree, in
+//! steady state and after failures of the planned size. The instances are simulated: many of the relay's state machines
+//! ([`onyxglade_instances::Swim`]) run in this process in virtual time.
 //!
-//! Bytes are those of datagrams and of frames on links, without the headers of IP, UDP and TCP. Processor time is the
-//! state machines' alone, without the system calls of a real socket. Instances disagree as long as one of those that run
-//! does not see the present process of another that runs, or sees one that does not.
+//! Bytes are those of datagrams and of frames on links, without the headers of IP, UDP and TCP. Processor time is that of
+//! the state machines alone, without the system calls of real sockets. Views disagree as long as a running instance does
+//! not see the current process of another running instance, or sees an instance that is not running.
 use onyxglade_instances::simulation::membership::Network;
 use onyxglade_instances::simulation::{address, secs};
 use onyxglade_instances::{At, Change, Input, Member};
@@ -16,146 +16,148 @@
 
 const ZONES: usize = 4;
 const REGIONS: usize = 2;
-/// A rack holds this part of all instances: 20 of 650.
+/// Number of racks: a rack has 20 of 650 instances.
 const RACKS: usize = 32;
-/// Seconds of the first moments after an event, over which bytes are counted.
-const FIRST_MOMENTS: f64 = 20.0;
-/// Seconds at rest over which bytes are counted: four of the longest period, that of whole views.
-const REST: f64 = 40.0;
-/// Seconds after an event until traffic counts as that at rest.
-const SETTLING: f64 = 20.0;
-/// Restarts in an ordinary day.
+/// Seconds after an event over which its traffic is measured.
+const EVENT_WINDOW: f64 = 20.0;
+/// Seconds in steady state over which traffic is measured: four times the longest period of the protocol, that of the
+/// exchange of whole views.
+const STEADY_STATE: f64 = 40.0;
+/// Seconds after an event until traffic counts as steady state.
+const SETTLE_TIME: f64 = 20.0;
+/// Number of restarts on an ordinary day.
 const RESTARTS_A_DAY: usize = 100;
-/// Single restarts that are played apart from one another, and seconds from one to the next.
+/// Number of single restarts, and seconds from one to the next, which is long enough for them not to overlap.
 const SINGLE_RESTARTS: usize = 3;
 const SINGLE_RESTART_PERIOD: f64 = 20.0;
-/// Seconds from one restart to the next in a rolling restart, and from the end of a process to the next.
+/// Seconds from one restart to the next in a rolling restart, and from the end of a process to the start of its
+/// successor.
 const ROLLING_PERIOD: f64 = 1.0;
-const RESTART_TAKES: f64 = 2.0;
-/// Seconds for which the regions are parted. In the quick run it is a shorter while, in which the regions take each other for
-/// gone as well; nobody is forgotten in either.
-const PARTED: f64 = 300.0;
-const PARTED_QUICK: f64 = 60.0;
-/// Seconds between two looks at whether all agree, and after which it is given up.
-const LOOK: f64 = 0.25;
-const GIVEN_UP: f64 = 600.0;
+const RESTART_DURATION: f64 = 2.0;
+/// Duration in seconds of the network partition between the regions. In both the full and the quick run it is long enough
+/// for the regions to consider each other down, but too short for instances to be forgotten.
+const PARTITION: f64 = 300.0;
+const PARTITION_QUICK: f64 = 60.0;
+/// Seconds between two checks whether all views agree, and seconds after which the check fails.
+const POLL_INTERVAL: f64 = 0.25;
+const AGREEMENT_TIMEOUT: f64 = 600.0;
 const SECONDS_A_DAY: f64 = 86_400.0;
 
-/// What instances sent and computed in a span.
+/// Traffic and processor time of instances in an interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Traffic {
-    /// Bytes a second of an instance, on average.
+    /// Mean bytes per second and instance.
     mean: f64,
-    /// Bytes a second of the one that sent the most.
+    /// Bytes per second of the instance that sent the most.
     worst: f64,
-    /// Those of the mean that went over links.
+    /// The part of `mean` that was sent over links.
     links: f64,
-    /// Datagrams a second of an instance, on average.
+    /// Mean datagrams per second and instance.
     datagrams: f64,
-    /// Processor time a second of an instance, in seconds, on average.
+    /// Mean processor time per second and instance, in seconds.
     cpu: f64,
 }
 
-/// An event, and what it led to.
+/// Consequences of an event.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Event {
-    /// In the first moments after it.
+    /// Traffic in the [`EVENT_WINDOW`] after the event.
     traffic: Traffic,
-    /// Seconds until all agreed.
+    /// Seconds until all views agreed.
     agreed: f64,
 }
 
-/// All that is read at one size.
+/// All readings at one number of instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Reading {
     start: Event,
-    rest: Traffic,
-    /// Resident bytes that an instance added.
+    steady_state: Traffic,
+    /// Resident memory per instance in bytes.
     memory: f64,
     single_restarts: Event,
     rolling: Event,
-    rack_gone: Event,
-    rack_back: Event,
-    zone_gone: Event,
-    zone_back: Event,
-    parted: Traffic,
-    joined: Event,
+    rack_failed: Event,
+    rack_recovered: Event,
+    zone_failed: Event,
+    zone_recovered: Event,
+    partitioned: Traffic,
+    healed: Event,
 }
 
-/// Measures at each number of instances.
+/// Measures each number of instances.
 pub fn measure(options: &Options) -> Result<Measured, CapacityError> {
     let counts = simulated_instances::instances(options);
-    // Each in a thread of its own, of which the processor time is told by itself.
+    // Each number has a thread of its own, because processor time is measured per thread.
     let read: Result<Vec<_>, CapacityError> = thread::scope(|scope| {
-        let begun: Vec<_> = counts.iter().map(|count| scope.spawn(|| read(*count, options))).collect();
-        begun.into_iter().map(|thread| thread.join().expect("a play does not panic")).collect()
+        let threads: Vec<_> = counts.iter().map(|count| scope.spawn(|| read(*count, options))).collect();
+        threads.into_iter().map(|thread| thread.join().expect("the measurement does not panic")).collect()
     });
     let read: Vec<_> = counts.iter().copied().zip(read?).collect();
     Ok(Measured { series: simulated_instances::series("instances", &QUANTITIES, &read), figures: Vec::new() })
 }
 
 fn read(count: usize, options: &Options) -> Result<Reading, CapacityError> {
-    let mut reading = play(count, options)?;
+    let mut reading = simulate(count, options)?;
     reading.memory = f64::NAN;
-    // Beyond that the views of all take more memory than this run may.
+    // Above the planned number, all views together need more memory than this run may use.
     if count <= PLANNED {
         reading.memory = MemorySubject::Views.measure_in_child(count, options.seed)?.bytes()? / count as f64;
     }
     Ok(reading)
 }
 
-/// Resident bytes that instances and their views of one another add, once they have started and are at rest.
+/// Growth of resident memory in bytes from instances and their views, once they have started and are in steady state.
 pub(super) fn resident_bytes(count: usize, seed: u64) -> u64 {
     simulated_instances::resident_bytes_of(|| {
         let mut network = Network::new(count, seed);
-        network.described = described;
+        network.described = member_description;
         (0..count).for_each(|n| network.start(n));
-        network.run(FIRST_MOMENTS + SETTLING);
+        network.run(EVENT_WINDOW + SETTLE_TIME);
         network.changes = Vec::new();
         network
     })
 }
 
-fn play(count: usize, options: &Options) -> Result<Reading, CapacityError> {
+fn simulate(count: usize, options: &Options) -> Result<Reading, CapacityError> {
     let mut fleet = Fleet::new(count, options.seed);
     let all: Vec<_> = (0..count).collect();
     let rack: Vec<_> = all[count - (count / RACKS).max(1)..].to_vec();
     let zone: Vec<_> = all.iter().copied().filter(|n| zone_of(*n) == ZONES - 1).collect();
-    let start = fleet.event(|fleet| fleet.start(&all))?;
-    fleet.run(SETTLING);
-    let rest = fleet.during(|fleet| fleet.run(REST));
+    let start = fleet.measure_event(|fleet| fleet.start(&all))?;
+    fleet.run(SETTLE_TIME);
+    let steady_state = fleet.measure_traffic(|fleet| fleet.run(STEADY_STATE));
     if count > PLANNED {
         fleet.check()?;
-        return Ok(Reading { start, rest, ..Reading::NOT_PLAYED });
+        return Ok(Reading { start, steady_state, ..Reading::NOT_MEASURED });
     }
     let single_restarts = fleet.single_restarts()?;
     let rolling = fleet.rolling_restart()?;
-    let mut gone_and_back = |who: &[usize]| {
-        fleet.run(SETTLING);
-        let gone = fleet.event(|fleet| fleet.kill(who))?;
-        fleet.run(SETTLING);
-        Ok::<_, CapacityError>((gone, fleet.event(|fleet| fleet.start(who))?))
+    let mut fail_and_recover = |instances: &[usize]| {
+        fleet.run(SETTLE_TIME);
+        let failed = fleet.measure_event(|fleet| fleet.kill(instances))?;
+        fleet.run(SETTLE_TIME);
+        Ok::<_, CapacityError>((failed, fleet.measure_event(|fleet| fleet.start(instances))?))
     };
-    let (rack_gone, rack_back) = gone_and_back(&rack)?;
-    let (zone_gone, zone_back) = gone_and_back(&zone)?;
-    fleet.run(SETTLING);
-    fleet.part(true);
-    let parted_for = if options.quick { PARTED_QUICK } else { PARTED };
-    let parted = fleet.during(|fleet| fleet.run(parted_for));
-    let joined = fleet.event(|fleet| fleet.part(false))?;
+    let (rack_failed, rack_recovered) = fail_and_recover(&rack)?;
+    let (zone_failed, zone_recovered) = fail_and_recover(&zone)?;
+    fleet.run(SETTLE_TIME);
+    fleet.set_partition(true);
+    let partition_duration = if options.quick { PARTITION_QUICK } else { PARTITION };
+    let partitioned = fleet.measure_traffic(|fleet| fleet.run(partition_duration));
+    let healed = fleet.measure_event(|fleet| fleet.set_partition(false))?;
     fleet.check()?;
     Ok(Reading {
         start,
-        rest,
+        steady_state,
         memory: 0.0,
         single_restarts,
         rolling,
-        rack_gone,
-        rack_back,
-        zone_gone,
-        zone_back,
-        parted,
-        joined,
+        rack_failed,
+        rack_recovered,
+        zone_failed,
+        zone_recovered,
+        partitioned,
+        healed,
     })
 }
 
@@ -163,13 +165,13 @@
     n % REGIONS
 }
 
-/// Zones 0 and 2 are one region's, 1 and 3 the other's.
+/// Zones 0 and 2 belong to one region, zones 1 and 3 to the other.
 fn zone_of(n: usize) -> usize {
     n % ZONES
 }
 
-/// Texts as long as an operator's are.
-fn described(n: usize) -> Member {
+/// A member description with texts of realistic length.
+fn member_description(n: usize) -> Member {
     Member {
         name: format!("relay-{n:04}"),
         zone: format!("region-{}-zone-{}", region_of(n), zone_of(n)),
@@ -180,84 +182,90 @@
     }
 }
 
-/// A network of instances, and who of them sees whom.
+/// A network of instances with a record of which instance sees which.
 struct Fleet {
     network: Network,
-    /// The life in which an instance is seen by another, by viewer and viewed; none where it is not.
+    /// The incarnation ([`Member::life`]) in which an instance is seen, by viewer and viewed instance; `None` if it is not
+    /// seen.
     seen: Vec<Vec<Option<u64>>>,
-    /// The life of each present process.
-    lives: Vec<Option<u64>>,
-    /// Pairs of which the first sees the second as it is not.
-    wrong: usize,
+    /// The incarnation of each instance's current process; `None` if it does not run.
+    incarnations: Vec<Option<u64>>,
+    /// Number of pairs of instances whose first one has an incorrect view of the second one.
+    incorrect_views: usize,
 }
 
 impl Fleet {
     fn new(count: usize, seed: u64) -> Fleet {
         let mut network = Network::new(count, seed);
-        network.described = described;
-        Fleet { network, seen: vec![vec![None; count]; count], lives: vec![None; count], wrong: 0 }
+        network.described = member_description;
+        Fleet {
+            network,
+            seen: vec![vec![None; count]; count],
+            incarnations: vec![None; count],
+            incorrect_views: 0,
+        }
     }
 
-    fn is_wrong(&self, viewer: usize, viewed: usize) -> bool {
-        let right = match (self.lives[viewed], self.seen[viewer][viewed]) {
-            // A process that refuted its end has a later life than that which it started with.
+    fn is_incorrect(&self, viewer: usize, viewed: usize) -> bool {
+        let is_correct = match (self.incarnations[viewed], self.seen[viewer][viewed]) {
+            // A process that refuted a report of its end has a later incarnation than at its start.
             (Some(life), Some(seen)) => seen >= life,
             (None, None) => true,
             _ => false,
         };
-        viewer != viewed && self.lives[viewer].is_some() && !right
+        viewer != viewed && self.incarnations[viewer].is_some() && !is_correct
     }
 
-    /// How many pairs with an instance are wrong.
-    fn wrong_with(&self, n: usize) -> usize {
-        let others = 0..self.lives.len();
-        others.map(|m| usize::from(self.is_wrong(n, m)) + usize::from(self.is_wrong(m, n))).sum()
+    /// Number of incorrect views that involve instance `n`.
+    fn incorrect_views_of(&self, n: usize) -> usize {
+        let others = 0..self.incarnations.len();
+        others.map(|m| usize::from(self.is_incorrect(n, m)) + usize::from(self.is_incorrect(m, n))).sum()
     }
 
-    /// Another process of an instance runs, or none.
-    fn live(&mut self, n: usize, life: Option<u64>) {
-        self.wrong -= self.wrong_with(n);
-        self.lives[n] = life;
+    /// Records that an instance now runs in a process of incarnation `life`, or that it does not run.
+    fn set_incarnation(&mut self, n: usize, life: Option<u64>) {
+        self.incorrect_views -= self.incorrect_views_of(n);
+        self.incarnations[n] = life;
         self.seen[n].fill(None);
-        self.wrong += self.wrong_with(n);
+        self.incorrect_views += self.incorrect_views_of(n);
     }
 
-    fn start(&mut self, who: &[usize]) {
-        for &n in who {
+    fn start(&mut self, instances: &[usize]) {
+        for &n in instances {
             self.network.start(n);
             let life = self.network.swims[n].as_ref().expect("started").me().life;
-            self.live(n, Some(life));
+            self.set_incarnation(n, Some(life));
         }
     }
 
-    /// Processes end without a word.
-    fn kill(&mut self, who: &[usize]) {
-        for &n in who {
+    /// Ends processes without a notification, as SIGKILL does.
+    fn kill(&mut self, instances: &[usize]) {
+        for &n in instances {
             self.network.swims[n] = None;
-            self.live(n, None);
+            self.set_incarnation(n, None);
         }
     }
 
-    /// A process ends as on SIGTERM.
-    fn leave(&mut self, n: usize) {
+    /// Ends a process as SIGTERM does: it announces its end first.
+    fn shut_down(&mut self, n: usize) {
         self.network.give(n, Input::Leave);
         self.kill(&[n]);
     }
 
-    /// Parts the regions, or joins them.
-    fn part(&mut self, parted: bool) {
+    /// Starts or ends a network partition between the regions.
+    fn set_partition(&mut self, partitioned: bool) {
         for (n, side) in self.network.side.iter_mut().enumerate() {
-            *side = if parted { region_of(n) as u32 } else { 0 };
+            *side = if partitioned { region_of(n) as u32 } else { 0 };
         }
     }
 
     fn run(&mut self, seconds: f64) {
         self.network.run(seconds);
-        self.look();
+        self.apply_changes();
     }
 
-    /// Takes up what changed in the views.
-    fn look(&mut self) {
+    /// Applies the changes of the instances' views to the record.
+    fn apply_changes(&mut self) {
         for (_, viewer, change) in std::mem::take(&mut self.network.changes) {
             let (viewed, seen) = match change {
                 Change::Up(member) | Change::Again(member) => (member.address, Some(member.life)),
@@ -266,19 +274,19 @@
             };
             let viewed =
                 onyxglade_instances::simulation::number(viewed).expect("an address of the simulation");
-            self.wrong -= usize::from(self.is_wrong(viewer, viewed));
+            self.incorrect_views -= usize::from(self.is_incorrect(viewer, viewed));
             self.seen[viewer][viewed] = seen;
-            self.wrong += usize::from(self.is_wrong(viewer, viewed));
+            self.incorrect_views += usize::from(self.is_incorrect(viewer, viewed));
         }
     }
 
-    /// Plays something and counts what was sent and computed meanwhile.
-    fn during(&mut self, play: impl FnOnce(&mut Fleet)) -> Traffic {
+    /// Runs a simulation step and measures the traffic and processor time during it.
+    fn measure_traffic(&mut self, step: impl FnOnce(&mut Fleet)) -> Traffic {
         let (from, before, meter) = (self.network.now, self.sent(), CpuMeter::start());
-        play(self);
+        step(self);
         let after = self.sent();
         let seconds = (self.network.now - from).as_secs_f64();
-        let running = self.lives.iter().flatten().count().max(1) as f64;
+        let running = self.incarnations.iter().flatten().count().max(1) as f64;
         let total = |of: fn(&Sent) -> u64| {
             let sum: u64 = after.iter().zip(&before).map(|(after, before)| of(after) - of(before)).sum();
             sum as f64 / running / seconds
@@ -302,101 +310,102 @@
             datagram_bytes: network.datagram_bytes[n],
             handling: network.handling[n],
         };
-        (0..self.lives.len()).map(of).collect()
+        (0..self.incarnations.len()).map(of).collect()
     }
 
-    /// Plays an event, its first moments, and until all agree.
-    fn event(&mut self, happens: impl FnOnce(&mut Fleet)) -> Result<Event, CapacityError> {
+    /// Runs an event, and measures the traffic after it and the time until all views agree.
+    fn measure_event(&mut self, trigger: impl FnOnce(&mut Fleet)) -> Result<Event, CapacityError> {
         let from = self.network.now;
         let mut agreed = None;
-        let traffic = self.during(|fleet| {
-            happens(fleet);
-            agreed = fleet.look_until_agreed(from, FIRST_MOMENTS);
-            let left = (from + secs(FIRST_MOMENTS)).saturating_sub(fleet.network.now);
-            fleet.run(left.as_secs_f64());
+        let traffic = self.measure_traffic(|fleet| {
+            trigger(fleet);
+            agreed = fleet.run_until_agreed(from, EVENT_WINDOW);
+            let remaining = (from + secs(EVENT_WINDOW)).saturating_sub(fleet.network.now);
+            fleet.run(remaining.as_secs_f64());
         });
         let agreed = match agreed {
             Some(agreed) => agreed,
-            None => self.until_agreed(from)?,
+            None => self.wait_until_agreed(from)?,
         };
         Ok(Event { traffic, agreed })
     }
 
-    /// Seconds since a time until all agree, if they do within so many.
-    fn look_until_agreed(&mut self, from: At, within: f64) -> Option<f64> {
+    /// Runs until all views agree, and returns the seconds since `from`; `None` if they do not agree within `within` seconds.
+    fn run_until_agreed(&mut self, from: At, within: f64) -> Option<f64> {
         loop {
-            self.run(LOOK);
+            self.run(POLL_INTERVAL);
             let passed = (self.network.now - from).as_secs_f64();
-            if self.wrong == 0 || passed >= within {
-                return (self.wrong == 0).then_some(passed);
+            if self.incorrect_views == 0 || passed >= within {
+                return (self.incorrect_views == 0).then_some(passed);
             }
         }
     }
 
-    fn until_agreed(&mut self, from: At) -> Result<f64, CapacityError> {
-        self.look_until_agreed(from, GIVEN_UP).ok_or_else(|| {
-            let reason = format!("{} pairs of views are wrong after {GIVEN_UP} s", self.wrong);
+    fn wait_until_agreed(&mut self, from: At) -> Result<f64, CapacityError> {
+        self.run_until_agreed(from, AGREEMENT_TIMEOUT).ok_or_else(|| {
+            let reason = format!("{} views are incorrect after {AGREEMENT_TIMEOUT} s", self.incorrect_views);
             CapacityError::Measurement { subject: "membership", reason }
         })
     }
 
-    /// Restarts one by one, each once the one before is long over.
+    /// Restarts single instances, each long after the previous restart has completed.
     fn single_restarts(&mut self) -> Result<Event, CapacityError> {
         let mut slowest = 0.0_f64;
-        let last = self.lives.len() - 1;
-        let traffic = self.during(|fleet| {
-            for n in (0..SINGLE_RESTARTS).map(|turn| last - turn) {
-                fleet.leave(n);
-                fleet.run(RESTART_TAKES);
+        let last = self.incarnations.len() - 1;
+        let traffic = self.measure_traffic(|fleet| {
+            for n in (0..SINGLE_RESTARTS).map(|index| last - index) {
+                fleet.shut_down(n);
+                fleet.run(RESTART_DURATION);
                 let from = fleet.network.now;
                 fleet.start(&[n]);
-                let agreed = fleet.look_until_agreed(from, SINGLE_RESTART_PERIOD - RESTART_TAKES);
-                let end = from + secs(SINGLE_RESTART_PERIOD - RESTART_TAKES);
+                let agreed = fleet.run_until_agreed(from, SINGLE_RESTART_PERIOD - RESTART_DURATION);
+                let end = from + secs(SINGLE_RESTART_PERIOD - RESTART_DURATION);
                 fleet.run(end.saturating_sub(fleet.network.now).as_secs_f64());
                 slowest = slowest.max(agreed.unwrap_or(SINGLE_RESTART_PERIOD));
             }
         });
-        let agreed = match self.wrong {
+        let agreed = match self.incorrect_views {
             0 => slowest,
-            _ => SINGLE_RESTART_PERIOD + self.until_agreed(self.network.now)?,
+            _ => SINGLE_RESTART_PERIOD + self.wait_until_agreed(self.network.now)?,
         };
         Ok(Event { traffic, agreed })
     }
 
-    /// A day's restarts one after another, in the shortest order: each begins before the one before is back.
+    /// Runs all restarts of a day in quick succession: each one begins before the previous instance is back.
     fn rolling_restart(&mut self) -> Result<Event, CapacityError> {
-        let count = self.lives.len();
-        let traffic = self.during(|fleet| {
-            let mut away = std::collections::VecDeque::new();
-            for turn in 0..RESTARTS_A_DAY {
-                let n = turn % count;
-                fleet.leave(n);
-                away.push_back(n);
+        let count = self.incarnations.len();
+        let traffic = self.measure_traffic(|fleet| {
+            let mut stopped = std::collections::VecDeque::new();
+            for index in 0..RESTARTS_A_DAY {
+                let n = index % count;
+                fleet.shut_down(n);
+                stopped.push_back(n);
                 fleet.run(ROLLING_PERIOD);
-                if away.len() as f64 * ROLLING_PERIOD >= RESTART_TAKES {
-                    let back = away.pop_front().expect("one is away");
+                if stopped.len() as f64 * ROLLING_PERIOD >= RESTART_DURATION {
+                    let back = stopped.pop_front().expect("an instance is stopped");
                     fleet.start(&[back]);
                 }
             }
-            fleet.start(&Vec::from(away));
+            fleet.start(&Vec::from(stopped));
         });
         let from = self.network.now;
-        Ok(Event { traffic, agreed: self.until_agreed(from)? })
+        Ok(Event { traffic, agreed: self.wait_until_agreed(from)? })
     }
 
-    /// The views as the instances themselves give them agree, too.
+    /// Checks that the views reported by the instances themselves agree as well.
     fn check(&self) -> Result<(), CapacityError> {
         match self.network.wrong().len() {
             0 => Ok(()),
             wrong => {
-                let reason = format!("{wrong} pairs of views are wrong though all changes were told");
+                let reason =
+                    format!("{wrong} views are incorrect although all reported changes were applied");
                 Err(CapacityError::Measurement { subject: "membership", reason })
             }
         }
     }
 }
 
-/// What one instance has sent and computed so far.
+/// Totals of what one instance has sent, and the time spent in its state machine.
 struct Sent {
     linked: u64,
     datagrams: u64,
@@ -411,35 +420,36 @@
 }
 
 impl Traffic {
-    const NOT_PLAYED: Traffic =
+    const NOT_MEASURED: Traffic =
         Traffic { mean: f64::NAN, worst: f64::NAN, links: f64::NAN, datagrams: f64::NAN, cpu: f64::NAN };
 }
 
 impl Event {
-    const NOT_PLAYED: Event = Event { traffic: Traffic::NOT_PLAYED, agreed: f64::NAN };
+    const NOT_MEASURED: Event = Event { traffic: Traffic::NOT_MEASURED, agreed: f64::NAN };
 }
 
 impl Reading {
-    /// Beyond the planned size only the start and rest are played, so that the run ends in time.
-    const NOT_PLAYED: Reading = Reading {
-        start: Event::NOT_PLAYED,
-        rest: Traffic::NOT_PLAYED,
+    /// Above the planned number, only the start and the steady state are measured, to limit the duration of the run.
+    const NOT_MEASURED: Reading = Reading {
+        start: Event::NOT_MEASURED,
+        steady_state: Traffic::NOT_MEASURED,
         memory: f64::NAN,
-        single_restarts: Event::NOT_PLAYED,
-        rolling: Event::NOT_PLAYED,
-        rack_gone: Event::NOT_PLAYED,
-        rack_back: Event::NOT_PLAYED,
-        zone_gone: Event::NOT_PLAYED,
-        zone_back: Event::NOT_PLAYED,
-        parted: Traffic::NOT_PLAYED,
-        joined: Event::NOT_PLAYED,
+        single_restarts: Event::NOT_MEASURED,
+        rolling: Event::NOT_MEASURED,
+        rack_failed: Event::NOT_MEASURED,
+        rack_recovered: Event::NOT_MEASURED,
+        zone_failed: Event::NOT_MEASURED,
+        zone_recovered: Event::NOT_MEASURED,
+        partitioned: Traffic::NOT_MEASURED,
+        healed: Event::NOT_MEASURED,
     };
 
-    /// Bytes a second of an instance over an ordinary day: rest, and what each restart adds.
+    /// Bytes per second and instance over an ordinary day: steady state plus the additional traffic of each restart.
     fn ordinary_day(&self) -> f64 {
-        let played = SINGLE_RESTARTS as f64 / (SINGLE_RESTARTS as f64 * SINGLE_RESTART_PERIOD);
-        let ordinary = RESTARTS_A_DAY as f64 / SECONDS_A_DAY;
-        self.rest.mean + (self.single_restarts.traffic.mean - self.rest.mean) * ordinary / played
+        let measured_rate = SINGLE_RESTARTS as f64 / (SINGLE_RESTARTS as f64 * SINGLE_RESTART_PERIOD);
+        let ordinary_rate = RESTARTS_A_DAY as f64 / SECONDS_A_DAY;
+        self.steady_state.mean
+            + (self.single_restarts.traffic.mean - self.steady_state.mean) * ordinary_rate / measured_rate
     }
 }
 
@@ -456,16 +466,16 @@
 }
 
 const QUANTITIES: [Quantity<Reading>; 34] = [
-    bytes("membership.rest_bytes", |r| r.rest.mean),
-    bytes("membership.rest_bytes_worst", |r| r.rest.worst),
-    bytes("membership.rest_link_bytes", |r| r.rest.links),
+    bytes("membership.rest_bytes", |r| r.steady_state.mean),
+    bytes("membership.rest_bytes_worst", |r| r.steady_state.worst),
+    bytes("membership.rest_link_bytes", |r| r.steady_state.links),
     Quantity {
         name: "membership.rest_datagrams",
         unit: "datagrams/s an instance",
         law: Law::Line,
-        of: |r| r.rest.datagrams,
+        of: |r| r.steady_state.datagrams,
     },
-    cpu("membership.rest_cpu", |r| 100.0 * r.rest.cpu),
+    cpu("membership.rest_cpu", |r| 100.0 * r.steady_state.cpu),
     Quantity { name: "membership.memory", unit: "B an instance", law: Law::Line, of: |r| r.memory },
     bytes("membership.start_bytes", |r| r.start.traffic.mean),
     bytes("membership.start_bytes_worst", |r| r.start.traffic.worst),
@@ -484,22 +494,22 @@
     bytes("membership.rolling_bytes_worst", |r| r.rolling.traffic.worst),
     cpu("membership.rolling_cpu", |r| 100.0 * r.rolling.traffic.cpu),
     seconds("membership.rolling_agreed", |r| r.rolling.agreed),
-    bytes("membership.rack_gone_bytes", |r| r.rack_gone.traffic.mean),
-    seconds("membership.rack_gone_agreed", |r| r.rack_gone.agreed),
-    bytes("membership.rack_back_bytes", |r| r.rack_back.traffic.mean),
-    seconds("membership.rack_back_agreed", |r| r.rack_back.agreed),
-    bytes("membership.zone_gone_bytes", |r| r.zone_gone.traffic.mean),
-    bytes("membership.zone_gone_bytes_worst", |r| r.zone_gone.traffic.worst),
-    cpu("membership.zone_gone_cpu", |r| 100.0 * r.zone_gone.traffic.cpu),
-    seconds("membership.zone_gone_agreed", |r| r.zone_gone.agreed),
-    bytes("membership.zone_back_bytes", |r| r.zone_back.traffic.mean),
-    seconds("membership.zone_back_agreed", |r| r.zone_back.agreed),
-    bytes("membership.parted_bytes", |r| r.parted.mean),
-    cpu("membership.parted_cpu", |r| 100.0 * r.parted.cpu),
-    bytes("membership.joined_bytes", |r| r.joined.traffic.mean),
-    bytes("membership.joined_bytes_worst", |r| r.joined.traffic.worst),
-    cpu("membership.joined_cpu", |r| 100.0 * r.joined.traffic.cpu),
-    seconds("membership.joined_agreed", |r| r.joined.agreed),
+    bytes("membership.rack_gone_bytes", |r| r.rack_failed.traffic.mean),
+    seconds("membership.rack_gone_agreed", |r| r.rack_failed.agreed),
+    bytes("membership.rack_back_bytes", |r| r.rack_recovered.traffic.mean),
+    seconds("membership.rack_back_agreed", |r| r.rack_recovered.agreed),
+    bytes("membership.zone_gone_bytes", |r| r.zone_failed.traffic.mean),
+    bytes("membership.zone_gone_bytes_worst", |r| r.zone_failed.traffic.worst),
+    cpu("membership.zone_gone_cpu", |r| 100.0 * r.zone_failed.traffic.cpu),
+    seconds("membership.zone_gone_agreed", |r| r.zone_failed.agreed),
+    bytes("membership.zone_back_bytes", |r| r.zone_recovered.traffic.mean),
+    seconds("membership.zone_back_agreed", |r| r.zone_recovered.agreed),
+    bytes("membership.parted_bytes", |r| r.partitioned.mean),
+    cpu("membership.parted_cpu", |r| 100.0 * r.partitioned.cpu),
+    bytes("membership.joined_bytes", |r| r.healed.traffic.mean),
+    bytes("membership.joined_bytes_worst", |r| r.healed.traffic.worst),
+    cpu("membership.joined_cpu", |r| 100.0 * r.healed.traffic.cpu),
+    seconds("membership.joined_agreed", |r| r.healed.agreed),
 ];
 
 #[cfg(test)]
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -21,9 +21,9 @@
 mod plot;
 mod process;
 pub mod simulated_instances;
+mod simulated_peers;
 mod simulated_relay;
 mod site;
-mod stand_ins;
 mod thin_traffic;
 pub mod traffic;
 
@@ -86,7 +86,7 @@
         reason: String,
     },
     /// The relay process, a simulated peer or the measurement itself failed.
-    #[error("measurement {subject} failed: {reason}")]
+    #[error("{subject}: {reason}")]
     Measurement {
         /// The measurement, or the part of it, that failed.
         subject: &'static str,
--- a/lab/src/capacity/process.rs
+++ b/lab/src/capacity/process.rs
@@ -52,14 +52,14 @@
         folder: &Path,
         configure: impl FnOnce(SocketAddr) -> serde_json::Value,
     ) -> Result<RelayFolder, CapacityError> {
-        let fault = |source| CapacityError::File { path: folder.to_owned(), source };
-        std::fs::create_dir_all(folder.join("state")).map_err(fault)?;
+        let error = |source| CapacityError::File { path: folder.to_owned(), source };
+        std::fs::create_dir_all(folder.join("state")).map_err(error)?;
         // The system picks a free port; the listener is closed so that the relay can bind it.
         let port = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|l| l.local_addr());
-        let address = port.map_err(fault)?;
+        let address = port.map_err(error)?;
         let configuration = configure(address).to_string();
-        std::fs::write(folder.join("config.json"), configuration).map_err(fault)?;
-        std::fs::write(folder.join("own.toml"), "").map_err(fault)?;
+        std::fs::write(folder.join("config.json"), configuration).map_err(error)?;
+        std::fs::write(folder.join("own.toml"), "").map_err(error)?;
         Ok(RelayFolder { program: program.to_owned(), folder: folder.to_owned(), address })
     }
 
@@ -76,8 +76,8 @@
 
     /// Starts the relay and waits until it is ready.
     pub async fn start(&self) -> Result<RelayProcess, CapacityError> {
-        let fault = |source| CapacityError::File { path: self.folder.clone(), source };
-        let log = std::fs::File::create(self.folder.join("log")).map_err(fault)?;
+        let error = |source| CapacityError::File { path: self.folder.clone(), source };
+        let log = std::fs::File::create(self.folder.join("log")).map_err(error)?;
         let started = Instant::now();
         let child = Command::new(&self.program)
             .env_clear()
@@ -89,7 +89,7 @@
             .stdout(Stdio::from(log))
             .kill_on_drop(true)
             .spawn()
-            .map_err(fault)?;
+            .map_err(error)?;
         let id = child.id().ok_or_else(|| failed("the process ended immediately after its start"))?;
         let mut relay = RelayProcess { child, id, address: self.address, ready_after: Duration::ZERO };
         while !is_ready(self.address).await {
@@ -98,7 +98,7 @@
                 return Err(failed(&format!("the process ended with {status} before it was ready: {log}")));
             }
             if started.elapsed() > READY_TIMEOUT {
-                return Err(failed(&format!("the relay was not ready within {READY_TIMEOUT:?}")));
+                return Err(failed("the relay was not ready in time"));
             }
             tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
@@ -109,8 +109,8 @@
     /// Total size of the files in the state folder, in bytes.
     pub fn state_bytes(&self) -> Result<u64, CapacityError> {
         let state = self.folder.join("state");
-        let fault = |source| CapacityError::File { path: state.clone(), source };
-        let entries = std::fs::read_dir(&state).map_err(fault)?;
+        let error = |source| CapacityError::File { path: state.clone(), source };
+        let entries = std::fs::read_dir(&state).map_err(error)?;
         let sizes = entries.filter_map(|entry| entry.ok()?.metadata().ok()).map(|file| file.len());
         Ok(sizes.sum())
     }
@@ -121,10 +121,8 @@
     pub fn usage(&self) -> Result<Usage, CapacityError> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.id));
         let status = status.map_err(|e| failed(&format!("cannot read the status of the process: {e}")))?;
-        let bytes = |field| {
-            bytes_of(&status, field)
-                .ok_or_else(|| failed(&format!("the status of the process has no field {field}")))
-        };
+        let bytes =
+            |field| bytes_of(&status, field).ok_or_else(|| failed("the process status has no memory usage"));
         let (resident, peak_resident) = (bytes("VmRSS:")?, bytes("VmHWM:")?);
         let without_core = schedule(self.id, 1).values().sum();
         Ok(Usage { cpu: thread_times(self.id).values().sum(), without_core, resident, peak_resident })
--- a/lab/src/capacity/simulated_instances.rs
+++ b/lab/src/capacity/simulated_instances.rs
@@ -62,10 +62,10 @@
     /// Starts a child process of this program that builds the data and prints the growth of its resident memory.
     pub fn measure_in_child(self, size: usize, seed: u64) -> Result<ChildMeasurement, CapacityError> {
         let name = self.to_possible_value().expect("no variant is skipped");
-        let program = std::env::current_exe().map_err(|e| fault(&e.to_string()))?;
+        let program = std::env::current_exe().map_err(|e| error(&e.to_string()))?;
         let mut command = Command::new(program);
         command.args(["hold", name.get_name(), &size.to_string(), &seed.to_string()]);
-        let child = command.stdout(Stdio::piped()).spawn().map_err(|e| fault(&e.to_string()))?;
+        let child = command.stdout(Stdio::piped()).spawn().map_err(|e| error(&e.to_string()))?;
         Ok(ChildMeasurement(child))
     }
 }
@@ -76,15 +76,15 @@
 impl ChildMeasurement {
     /// Waits for the process to end and returns the growth of resident memory that it printed, in bytes.
     pub fn bytes(self) -> Result<f64, CapacityError> {
-        let output = self.0.wait_with_output().map_err(|e| fault(&e.to_string()))?;
+        let output = self.0.wait_with_output().map_err(|e| error(&e.to_string()))?;
         let text = String::from_utf8_lossy(&output.stdout);
         text.trim().parse().map_err(|_| {
-            fault(&format!("the child process ended with {} and printed {text:?}", output.status))
+            error(&format!("the child process ended with {} and printed {text:?}", output.status))
         })
     }
 }
 
-fn fault(reason: &str) -> CapacityError {
+fn error(reason: &str) -> CapacityError {
     CapacityError::Measurement { subject: "resident memory", reason: reason.to_owned() }
 }
 
--- a/lab/src/capacity/stand_ins.rs
+++ b/lab/src/capacity/simulated_peers.rs
@@ -20,7 +20,7 @@
 
 /// Zone names.
 pub const ZONES: [&str; 4] = ["a", "b", "c", "d"];
-/// All zones as a mask for [`StandIns::silence`].
+/// All zones as a mask for [`SimulatedPeers::silence`].
 pub const ALL_ZONES: u32 = 0b1111;
 /// Interval at which a hanging connection checks whether its zone answers again.
 const HANG_POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -81,7 +81,7 @@
 }
 
 /// The simulated peers, which run until this is dropped.
-pub struct StandIns {
+pub struct SimulatedPeers {
     /// Address of the list service.
     pub list_service: SocketAddr,
     shared: Arc<Shared>,
@@ -89,9 +89,9 @@
     thread: Option<JoinHandle<()>>,
 }
 
-impl StandIns {
+impl SimulatedPeers {
     /// Starts the list service, with `destinations` destinations that have an endpoint in each zone, and the endpoints.
-    pub fn start(destinations: u32) -> Result<StandIns, CapacityError> {
+    pub fn start(destinations: u32) -> Result<SimulatedPeers, CapacityError> {
         let error = |e: io::Error| CapacityError::Measurement { subject: "stand-ins", reason: e.to_string() };
         let shared = Arc::<Shared>::default();
         let (stop, stopped) = oneshot::channel();
@@ -105,7 +105,12 @@
             });
         });
         let address = address_receiver.recv().map_err(|e| error(io::Error::other(e)))?;
-        Ok(StandIns { list_service: address.map_err(error)?, shared, stop: Some(stop), thread: Some(thread) })
+        Ok(SimulatedPeers {
+            list_service: address.map_err(error)?,
+            shared,
+            stop: Some(stop),
+            thread: Some(thread),
+        })
     }
 
     /// From now on, the endpoints in the zones of this mask never answer, and all others do.
@@ -124,7 +129,7 @@
     }
 }
 
-impl Drop for StandIns {
+impl Drop for SimulatedPeers {
     fn drop(&mut self) {
         drop(self.stop.take());
         let _ = self.thread.take().map(JoinHandle::join);
--- a/lab/src/capacity/site.rs
+++ b/lab/src/capacity/site.rs
@@ -42,8 +42,8 @@
     pub relay: Relay,
     /// Folder with the relay's files.
     pub folder: tempfile::TempDir,
-    /// Start of the simulated world's clock.
-    pub began: Instant,
+    /// Time at which the simulated world's clock starts.
+    pub clock_start: Instant,
     subject: &'static str,
 }
 
@@ -82,10 +82,10 @@
             |e: std::io::Error| error(format!("cannot start a listener of the simulated peers: {e}"));
         let experiment = experiment(destinations, table).map_err(error)?;
         let world = Rc::new(RefCell::new(World::new(&experiment, destinations, seed)));
-        let began = Instant::now();
-        let emulator = Emulator::start(world.clone(), began, false).map_err(listener)?;
+        let clock_start = Instant::now();
+        let emulator = Emulator::start(world.clone(), clock_start, false).map_err(listener)?;
         let costs = experiment.list.service.clone();
-        let discovery = Discovery::start(world.clone(), emulator.clone(), began, Vec::new(), costs);
+        let discovery = Discovery::start(world.clone(), emulator.clone(), clock_start, Vec::new(), costs);
         let discovery = discovery.await.map_err(listener)?;
         let folder =
             tempfile::tempdir().map_err(|e| error(format!("cannot create a temporary folder: {e}")))?;
@@ -93,7 +93,7 @@
         let program = relay::program().map_err(error)?;
         let relay =
             Relay::start(&program, folder.path(), &experiment, 0, around, seed).await.map_err(error)?;
-        let site = Site { world, discovery, relay, folder, began, subject };
+        let site = Site { world, discovery, relay, folder, clock_start, subject };
         site.wait_until_idle().await?;
         Ok(site)
     }
@@ -126,7 +126,7 @@
 
     /// From now on, the destination accepts calls and never answers.
     pub fn hang(&self, destination: usize) {
-        let now = self.began.elapsed();
+        let now = self.clock_start.elapsed();
         let trouble = Event::Trouble(Trouble::Hang);
         self.world.borrow_mut().happen(now, trouble, destination, DAY_S, true);
     }
--- a/lab/src/capacity/traffic.rs
+++ b/lab/src/capacity/traffic.rs
@@ -17,7 +17,7 @@
 
 use super::fit::Law;
 use super::process::{RelayFolder, thread_times};
-use super::stand_ins::{Observations, StandIns, ZONES};
+use super::simulated_peers::{Observations, SimulatedPeers, ZONES};
 use super::{CapacityError, Figure, Measured, Options, Point, Series};
 use crate::arrivals::{Arrival, Load, draw};
 use crate::experiment::RelayTable;
@@ -131,7 +131,7 @@
     /// Number of messages without a response within the client's timeout.
     unanswered: u32,
     /// Processor time per second of the busiest thread of the clients and simulated peers.
-    stand_ins: f64,
+    peers_cpu_share: f64,
 }
 
 impl RateReading {
@@ -164,10 +164,10 @@
     /// warm-up.
     async fn measure_rate(&self, rate: f64, silent_zones: u32) -> Result<RateReading, CapacityError> {
         self.runs.set(self.runs.get() + 1);
-        let stand_ins = StandIns::start(DESTINATIONS as u32)?;
+        let peers = SimulatedPeers::start(DESTINATIONS as u32)?;
         let path = self.folder.join(format!("relay{}", self.runs.get()));
         let folder = RelayFolder::create(&self.program, &path, |listen| {
-            configuration(listen, stand_ins.list_service, self.seed)
+            configuration(listen, peers.list_service, self.seed)
         })?;
         let process = folder.start().await?;
         let submitters = Submitters::new(process.address, BODY_BYTES);
@@ -175,7 +175,7 @@
         let arrivals = self.arrivals(rate, self.plan.warm_up, self.seed);
         submit(&submitters, &arrivals, 0, Instant::now(), warm_up.clone()).await;
 
-        stand_ins.silence(silent_zones);
+        peers.silence(silent_zones);
         let first = arrivals.len() as u64;
         let arrivals = self.arrivals(rate, self.plan.span, self.seed + 1);
         let thread_times_before = thread_times(std::process::id());
@@ -184,12 +184,12 @@
         submit(&submitters, &arrivals, first, begin, counts.clone()).await;
         sleep_until((begin + self.plan.span).into()).await;
         let (after, lasted) = (process.usage()?, begin.elapsed().as_secs_f64());
-        let stand_ins_share = busiest(&thread_times_before) / lasted;
-        wait_for_ends(&stand_ins, &counts, first, arrivals.len(), self.plan.wait).await;
+        let peers_cpu_share = busiest(&thread_times_before) / lasted;
+        wait_for_ends(&peers, &counts, first, arrivals.len(), self.plan.wait).await;
         process.kill().await?;
 
         let cpu = after.cpu.saturating_sub(before.cpu).as_secs_f64();
-        let latencies = latencies(&arrivals, first, begin, &stand_ins.observations().served);
+        let latencies = latencies(&arrivals, first, begin, &peers.observations().served);
         Ok(RateReading {
             cpu_us_a_message: cpu * 1e6 / arrivals.len().max(1) as f64,
             cpu_ms_a_second: cpu * 1e3 / lasted,
@@ -200,7 +200,7 @@
             served: latencies.len() as f64 / arrivals.len().max(1) as f64,
             refused: counts.refused.get(),
             unanswered: counts.unanswered.get(),
-            stand_ins: stand_ins_share,
+            peers_cpu_share,
         })
     }
 
@@ -278,7 +278,7 @@
 
 /// Waits until all messages have a response and the accepted ones have ended, but no longer than `timeout`.
 async fn wait_for_ends(
-    stand_ins: &StandIns,
+    peers: &SimulatedPeers,
     counts: &ResponseCounts,
     first: u64,
     messages: usize,
@@ -286,7 +286,7 @@
 ) {
     let end = Instant::now() + timeout;
     while Instant::now() < end {
-        let ended = ended(&stand_ins.observations(), first) + counts.refused.get() as usize;
+        let ended = ended(&peers.observations(), first) + counts.refused.get() as usize;
         if counts.completed.get() == messages && ended >= messages {
             return;
         }
@@ -374,7 +374,7 @@
             figures.push(figure("traffic.beyond_refused", "messages", f64::from(reading.refused)));
             figures.push(figure("traffic.beyond_unanswered", "messages", f64::from(reading.unanswered)));
             figures.push(figure("traffic.beyond_p99", "ms", reading.p99_ms));
-            figures.push(figure("traffic.beyond_stand_ins", "cores", reading.stand_ins));
+            figures.push(figure("traffic.beyond_stand_ins", "cores", reading.peers_cpu_share));
         }
     }
     Measured { series, figures }
