--- a/lab/src/capacity/destinations.rs
+++ b/lab/src/capacity/destinations.rs
@@ -251,7 +251,8 @@
         (dest as u64 + 1, Arrival { at, dest, order: false, patience: MESSAGE_TIMEOUT })
     });
     let submitters = Submitters::new(site.relay.address, BODY_BYTES);
-    load::submit_all(submitters, site.world.clone(), site.clock_start, arrivals.collect(), Instant::now()).await;
+    load::submit_all(submitters, site.world.clone(), site.clock_start, arrivals.collect(), Instant::now())
+        .await;
     wait_until_delivered(&site, used).await?;
     let usage = site.relay.usage();
     let used_cpu = cpu_time::of_deciding_thread(site.relay.id)?.saturating_sub(cpu);
--- a/lab/src/capacity/lists.rs
+++ b/lab/src/capacity/lists.rs
@@ -126,8 +126,10 @@
 fn run_until_all_current(net: &mut Network, from: At) -> Result<f64, CapacityError> {
     while !net.outdated().is_empty() {
         if net.now > from + secs(PROPAGATION_TIMEOUT) {
-            let reason =
-                format!("{} instances have an older list after {PROPAGATION_TIMEOUT} s", net.outdated().len());
+            let reason = format!(
+                "{} instances have an older list after {PROPAGATION_TIMEOUT} s",
+                net.outdated().len()
+            );
             return Err(CapacityError::Measurement { subject: "lists", reason });
         }
         net.run(POLL_INTERVAL);
--- a/lab/src/capacity/membership.rs
+++ b/lab/src/capacity/membership.rs
@@ -268,7 +268,8 @@
     fn apply_changes(&mut self) {
         for (_, viewer, change) in std::mem::take(&mut self.network.changes) {
             let (viewed, seen) = match change {
-                MembershipChange::Up(member) | MembershipChange::Updated(member) => { (member.address, Some(member.incarnation))
+                MembershipChange::Up(member) | MembershipChange::Updated(member) => {
+                    (member.address, Some(member.incarnation))
                 }
                 MembershipChange::Down(member) => (member.address, None),
                 MembershipChange::Refuted(_) => continue,
--- a/lab/src/capacity/simulated_peers.rs
+++ b/lab/src/capacity/simulated_peers.rs
@@ -15,8 +15,8 @@
 use tokio::task::{LocalSet, spawn_local};
 
 use super::CapacityError;
-use crate::{world, message_number};
 use crate::emulator::{ReceivedRequest, RequestReader, listen_on_loopback};
+use crate::{message_number, world};
 
 /// Zone names.
 pub const ZONES: [&str; 4] = ["a", "b", "c", "d"];
--- a/lab/src/capacity/site.rs
+++ b/lab/src/capacity/site.rs
@@ -89,7 +89,8 @@
         let discovery = discovery.await.map_err(listener)?;
         let folder =
             tempfile::tempdir().map_err(|e| error(format!("cannot create a temporary folder: {e}")))?;
-        let around = RelayEnvironment { list_or_notices: discovery.address, port: emulator.port, dests: destinations };
+        let around =
+            RelayEnvironment { list_or_notices: discovery.address, port: emulator.port, dests: destinations };
         let program = relay::program().map_err(error)?;
         let relay =
             Relay::start(&program, folder.path(), &experiment, 0, around, seed).await.map_err(error)?;
