--- a/relay/src/handover/owners.rs
+++ b/relay/src/handover/owners.rs
@@ -43,12 +43,12 @@
         use Ownership::*;
         match (self, event) {
             (Sole, Event::Hello { version: VERSION }) => (SuccessorWaiting, Action::Welcome),
-            (Sole, Event::Hello { .. }) => (Sole, Action::Refuse("handover protocol version differs")),
+            (Sole, Event::Hello { .. }) => (Sole, Action::Refuse("another version of the hand-over")),
             (SuccessorWaiting, Event::Hello { .. }) => {
-                (SuccessorWaiting, Action::Refuse("another successor is already waiting"))
+                (SuccessorWaiting, Action::Refuse("another newcomer waits already"))
             }
             (WindingDown | HandedOver, Event::Hello { .. }) => {
-                (self, Action::Refuse("the process is already terminating"))
+                (self, Action::Refuse("it has been told to end"))
             }
             (SuccessorWaiting, Event::SuccessorLost) => (Sole, Action::Nothing),
             (_, Event::SuccessorLost) => (self, Action::Nothing),
--- a/relay/src/handover/owners/tests.rs
+++ b/relay/src/handover/owners/tests.rs
@@ -4,9 +4,9 @@
 fn exactly_one_process_owns_the_relay_after_any_event_in_any_state() {
     use Action::*;
     use Ownership::*;
-    let other = Refuse("handover protocol version differs");
-    let second = Refuse("another successor is already waiting");
-    let late = Refuse("the process is already terminating");
+    let other = Refuse("another version of the hand-over");
+    let second = Refuse("another newcomer waits already");
+    let late = Refuse("it has been told to end");
     // The state before; then after hello, hello of another version, loss of the successor, SIGTERM.
     let table = [
         (Sole, [(SuccessorWaiting, Welcome), (Sole, other), (Sole, Nothing), (WindingDown, WindDown)]),
--- a/relay/src/metrics.rs
+++ b/relay/src/metrics.rs
@@ -116,21 +116,26 @@
         let handled =
             opts("handled_total", "Messages ended, by class and outcome, since the process started.");
         let handled = register(&registry, IntCounterVec::new(handled, &["category", "outcome"]));
-        let discovery_calls =
-            opts("discovery_calls_total", "Calls to discovery other than renewals of a watch, by result.");
+        let discovery_calls = opts(
+            "discovery_calls_total",
+            "Calls to discovery that were no watch's renewal, by what was heard of them.",
+        );
         let discovery_calls = register(&registry, IntCounterVec::new(discovery_calls, &["heard"]));
-        let discovery_seconds = opts("discovery_call_seconds_total", "Duration of these calls, by result.");
+        let discovery_seconds = opts(
+            "discovery_call_seconds_total",
+            "Time for which these calls were out, by what was heard of them.",
+        );
         let discovery_seconds = register(&registry, CounterVec::new(discovery_seconds, &["heard"]));
         let series =
             |class: &str| MessageResult::ALL.map(|ended| handled.with_label_values(&[class, ended.label()]));
         Rc::new(Metrics {
             classes: classes.into_iter().map(|class| (class.clone(), series(class))).collect(),
-            tries: counter("upstream_tries_total", "Messages written completely to endpoints."),
-            in_progress: gauge("in_progress", "Messages accepted and not ended."),
+            tries: counter("upstream_tries_total", "Messages written whole to endpoints."),
+            in_progress: gauge("in_progress", "Messages taken on and not ended."),
             known: gauge("known_endpoints", "Endpoints in the list."),
             skipped: gauge(
                 "skipped_endpoints",
-                "Listed endpoints that are avoided now, disabled by an operator or judged unhealthy.",
+                "Listed endpoints that are avoided now, by hand or by choice.",
             ),
             discovery_calls: DiscoveryResult::ALL
                 .map(|result| discovery_calls.with_label_values(&[result.label()])),
@@ -140,26 +145,26 @@
                 &registry,
                 Gauge::with_opts(opts(
                     "list_age_seconds",
-                    "Time since the list of endpoints was known to be complete; 0 if discovery is not used.",
+                    "Since when the list of endpoints is not known to be complete; 0 where it is not asked for.",
                 )),
             ),
             list_lapses: counter(
                 "list_lapses_total",
-                "How often sending stopped because the list had not been confirmed for too long.",
+                "How often nothing was sent any more since the list had not been confirmed for too long.",
             ),
             latest_round: register(
                 &registry,
                 Gauge::with_opts(opts(
                     "latest_round_seconds",
-                    "Longest delay of a decision round since the process started.",
+                    "How late a round of decisions came at most since the process started.",
                 )),
             ),
             unwritten_records: gauge(
                 "journal_unwritten_records",
-                "Failed writes of journal records since the process started, retries included.",
+                "Records that the journal did not take since the process started, failed tries of the same one counted.",
             ),
-            loads: counter("loads_total", "Configurations applied, including the first."),
-            load_errors: counter("load_errors_total", "Configurations that were faulty and not applied."),
+            loads: counter("loads_total", "Configurations taken up, the first one counted."),
+            load_errors: counter("load_errors_total", "Configurations that were faulty and not taken up."),
             registry,
         })
     }
--- a/relay/src/metrics/backlog.rs
+++ b/relay/src/metrics/backlog.rs
@@ -49,16 +49,16 @@
         let opts = |name, help| Opts::new(name, help).namespace(PREFIX).subsystem("backlog");
         let counter = |name, help| register(&metrics.registry, IntCounter::with_opts(opts(name, help)));
         let gauge = |name, help| register(&metrics.registry, IntGauge::with_opts(opts(name, help)));
-        let refused = opts("refused_total", "Messages that the backlog refused, by reason.");
+        let refused = opts("refused_total", "Messages that the backlog did not take, by reason.");
         let refused = register(&metrics.registry, IntCounterVec::new(refused, &["reason"]));
         let slowest = opts("slowest_operation_seconds", "The slowest operation of the store so far.");
         BacklogMetrics {
-            stored: counter("stored_total", "Messages written to disk on arrival."),
-            fetched: counter("fetched_total", "Messages read from disk into memory."),
-            put_back: counter("put_back_total", "Messages put back from memory to disk."),
-            expired: counter("expired_total", "Messages that expired on disk."),
+            stored: counter("stored_total", "Messages that went to disk on arrival."),
+            fetched: counter("fetched_total", "Messages that came from disk into memory."),
+            put_back: counter("put_back_total", "Messages in memory that were put back on disk."),
+            expired: counter("expired_total", "Messages whose time ended on disk."),
             refused: BacklogRefusal::ALL.map(|reason| refused.with_label_values(&[reason.label()])),
-            messages: gauge("messages", "Messages waiting on disk."),
+            messages: gauge("messages", "Messages that wait on disk."),
             disk_bytes: gauge("disk_bytes", "Bytes of the backlog's files."),
             slowest: register(&metrics.registry, Gauge::with_opts(slowest)),
         }
--- a/relay/src/push/server.rs
+++ b/relay/src/push/server.rs
@@ -129,10 +129,7 @@
                 match self.core.admit(job).await {
                     Answer::Accepted => accepted_response(&id, ttl, receipt),
                     Answer::Refused { after } => refused_response(after),
-                    Answer::Failed => text_response(
-                        StatusCode::INTERNAL_SERVER_ERROR,
-                        "the message could not be accepted for delivery",
-                    ),
+                    Answer::Failed => text_response(StatusCode::INTERNAL_SERVER_ERROR, "given up"),
                 }
             }
             Err(error) => {
@@ -162,11 +159,7 @@
             let location = find_location(&locations, path).ok_or(RequestError::not_found())?;
             if request.method() != Method::POST {
                 let status = StatusCode::METHOD_NOT_ALLOWED;
-                return Err(RequestError {
-                    status,
-                    field: ":method",
-                    reason: "push messages must be sent with POST",
-                });
+                return Err(RequestError { status, field: ":method", reason: "push messages are POSTed" });
             }
             let class = location.urgency.get(&urgency(request.headers())?).unwrap_or(&location.class);
             (class.clone(), location.dest, location.target.clone() + &path_and_query[location.path.len()..])
@@ -174,12 +167,12 @@
         check_topic(request.headers())?;
         let rules = self.core.rules();
         let class_index = rules.class_index(&class).ok_or(RequestError::not_found())?;
-        let ttl = request.headers().get(TTL).ok_or(RequestError::bad(TTL, "missing"))?;
+        let ttl = request.headers().get(TTL).ok_or(RequestError::bad(TTL, "it is missing"))?;
         let ttl: u64 = ttl
             .to_str()
             .ok()
             .filter(|v| !v.is_empty() && v.bytes().all(|b| b.is_ascii_digit()))
-            .ok_or(RequestError::bad(TTL, "not a whole number of seconds"))?
+            .ok_or(RequestError::bad(TTL, "it is no whole number of seconds"))?
             .parse()
             .unwrap_or(u64::MAX);
         let class_settings = &rules.settings.classes[class_index];
@@ -205,7 +198,7 @@
             reconnect: false,
             label: None,
             fields,
-            body: body.map_err(|_| RequestError::bad("body", "not received completely in time"))??,
+            body: body.map_err(|_| RequestError::bad("body", "it is not whole in time"))??,
         };
         Ok(PushRequest { job, ttl: if ttl == 0 { 0 } else { left.as_secs() }, receipt })
     }
@@ -268,11 +261,7 @@
     }
 
     fn not_found() -> Self {
-        RequestError {
-            status: StatusCode::NOT_FOUND,
-            field: ":path",
-            reason: "no location matches this path",
-        }
+        RequestError { status: StatusCode::NOT_FOUND, field: ":path", reason: "no location has this path" }
     }
 }
 
@@ -303,14 +292,18 @@
 ) -> Result<Option<&'a HeaderValue>, RequestError> {
     let mut values = headers.get_all(name);
     let first = values.next();
-    if values.next().is_some() { Err(RequestError::bad(name, "given more than once")) } else { Ok(first) }
+    if values.next().is_some() {
+        Err(RequestError::bad(name, "it is given more than once"))
+    } else {
+        Ok(first)
+    }
 }
 
 /// The urgency of a message; normal if not given (RFC 8030, 5.3).
 fn urgency(headers: &HeaderMap) -> Result<Urgency, RequestError> {
     let Some(value) = single_value(headers, "urgency")? else { return Ok(Urgency::default()) };
     let urgency = value.to_str().ok().and_then(Urgency::from_name);
-    urgency.ok_or(RequestError::bad("urgency", "not one of very-low, low, normal and high"))
+    urgency.ok_or(RequestError::bad("urgency", "it is none of very-low, low, normal and high"))
 }
 
 /// Validates the topic of a message (RFC 8030, 5.4): a later message with the same topic and target replaces it.
@@ -319,7 +312,9 @@
     let allowed = |b: &u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_');
     match value.as_bytes() {
         text if (1..=MAX_TOPIC_LENGTH).contains(&text.len()) && text.iter().all(allowed) => Ok(()),
-        _ => Err(RequestError::bad(TOPIC, "not 1 to 32 characters of the URL-safe base64 alphabet")),
+        _ => {
+            Err(RequestError::bad(TOPIC, "it is not from 1 to 32 characters of the URL-safe base64 alphabet"))
+        }
     }
 }
 
@@ -345,7 +340,7 @@
         return Err(RequestError {
             status: StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             field: "headers",
-            reason: "the headers are too large in total",
+            reason: "they are too long together",
         });
     }
     Ok(fields)
@@ -355,10 +350,10 @@
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
     while let Some(chunk) = payload.next().await {
-        let chunk = chunk.map_err(|_| RequestError::bad("body", "cannot be read"))?;
+        let chunk = chunk.map_err(|_| RequestError::bad("body", "it cannot be read"))?;
         if body.len() + chunk.len() > limit {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            return Err(RequestError { status, field: "body", reason: "too large" });
+            return Err(RequestError { status, field: "body", reason: "it is too large" });
         }
         body.extend_from_slice(&chunk);
     }
@@ -383,7 +378,7 @@
 }
 
 fn refused_response(after: Option<Duration>) -> Response<String> {
-    let mut response = text_response(StatusCode::TOO_MANY_REQUESTS, "too many requests; retry later");
+    let mut response = text_response(StatusCode::TOO_MANY_REQUESTS, "come again later");
     if let Some(after) = after {
         // Retry-After has whole seconds (RFC 9110). Rounded up, as an earlier retry would be refused again.
         let seconds = after.as_millis().div_ceil(1000).max(1) as u64;
--- a/relay/src/tls.rs
+++ b/relay/src/tls.rs
@@ -153,7 +153,7 @@
 pub fn generate_certificates(folder: &Path, names: &[String]) -> Result<Vec<PathBuf>, String> {
     let error = |context: &str, e: rcgen::Error| format!("{context}: {e}");
     let mut params = CertificateParams::default();
-    params.distinguished_name.push(DnType::CommonName, "onyxglade test authority");
+    params.distinguished_name.push(DnType::CommonName, "onyxglade's authority for trying things out");
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
     let authority_key = KeyPair::generate().map_err(|e| error("cannot generate a key", e))?;
