--- a/backlog/src/planner.rs
+++ b/backlog/src/planner.rs
@@ -208,9 +208,9 @@
         let indexed = IndexEntry::of(record, now, &self.settings);
         self.slots.replace(id, std::mem::replace(&mut record.indexed, indexed), indexed);
         let wanted_queue = (record.refill(now, &self.settings) > 0).then_some(record.half_open);
-        if record.ticket.map(|ticket| ticket.half_open) != wanted_queue {
-            record.ticket.take().into_iter().for_each(|ticket| self.slot_queue.cancel(ticket));
-            record.ticket = wanted_queue.map(|half_open| self.slot_queue.enqueue(id, half_open));
+        if record.queue_entry.map(|queue_entry| queue_entry.half_open) != wanted_queue {
+            record.queue_entry.take().into_iter().for_each(|queue_entry| self.slot_queue.cancel(queue_entry));
+            record.queue_entry = wanted_queue.map(|half_open| self.slot_queue.enqueue(id, half_open));
         }
         if record.is_idle() {
             self.slots.replace(id, indexed, IndexEntry::default());
@@ -392,7 +392,7 @@
             let Some(id) = self.slot_queue.next(free_for_half_open > 0) else { return };
             let even_share = free / (self.slot_queue.ready_len() as u64 + 1);
             let requests = self.update(now, id, |record, settings| {
-                record.ticket = None;
+                record.queue_entry = None;
                 let limit = match record.rate() {
                     // A single message, so that the slots suffice to test many destinations.
                     _ if record.half_open => 1,
--- a/backlog/src/planner/destination.rs
+++ b/backlog/src/planner/destination.rs
@@ -4,7 +4,7 @@
 use super::drain_rate::DrainRate;
 use super::fair_share::FairShare;
 use super::settings::Settings;
-use super::slot_queue::Ticket;
+use super::slot_queue::QueueEntry;
 use super::slots::IndexEntry;
 use crate::message::ClassNumber;
 
@@ -51,7 +51,7 @@
     /// Everything that can be evicted was evicted since its last progress.
     fully_evicted: bool,
     /// Its entry in the queue for slots.
-    pub ticket: Option<Ticket>,
+    pub queue_entry: Option<QueueEntry>,
     /// The values of this record that the indexes contain.
     pub indexed: IndexEntry,
 }
@@ -72,7 +72,7 @@
             half_open: false,
             evicting: false,
             fully_evicted: false,
-            ticket: None,
+            queue_entry: None,
             indexed: IndexEntry::default(),
         }
     }
--- a/backlog/src/planner/slot_queue.rs
+++ b/backlog/src/planner/slot_queue.rs
@@ -6,7 +6,7 @@
 
 /// An entry in one of the queues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ticket {
+pub struct QueueEntry {
     /// It is in the queue of half-open destinations.
     pub half_open: bool,
     number: u64,
@@ -23,16 +23,16 @@
 
 impl SlotQueue {
     /// Adds a destination to the end of a queue.
-    pub fn enqueue(&mut self, destination: u64, half_open: bool) -> Ticket {
+    pub fn enqueue(&mut self, destination: u64, half_open: bool) -> QueueEntry {
         let number = self.next;
         self.next += 1;
         self.queue(half_open).insert(number, destination);
-        Ticket { half_open, number }
+        QueueEntry { half_open, number }
     }
 
     /// Removes an entry.
-    pub fn cancel(&mut self, ticket: Ticket) {
-        self.queue(ticket.half_open).remove(&ticket.number);
+    pub fn cancel(&mut self, queue_entry: QueueEntry) {
+        self.queue(queue_entry.half_open).remove(&queue_entry.number);
     }
 
     /// Removes and returns the next destination. Destinations that make progress come first, but every fourth grant
--- a/instances/src/catalog.rs
+++ b/instances/src/catalog.rs
@@ -8,11 +8,11 @@
 /// A list entry: its name and its text, or `None` if the entry was removed.
 pub type Entry = (String, Option<String>);
 
-/// Identifies the contents of a list. The generation alone is not enough: a list service that loses its state restarts its
+/// Identifies the contents of a list. The generation alone is not enough: a discovery service that loses its state restarts its
 /// generation counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ListVersion {
-    /// The list service's generation counter.
+    /// Discovery's generation counter.
     pub generation: u64,
     /// Digest of the contents: the wrapping sum of the first 8 bytes of each entry's SHA-256.
     pub digest: u64,
@@ -65,7 +65,7 @@
         (next.version() == difference.version).then_some(next)
     }
 
-    /// This list after an answer of the list service with the whole list or with the changed entries.
+    /// This list after discovery answered with the whole list or with the changed entries.
     pub fn updated(&self, generation: u64, whole: bool, entries: Vec<Entry>) -> Catalog {
         let mut next = self.clone();
         let step = if whole { next.replace(entries) } else { next.change(entries) };
--- a/instances/src/lib.rs
+++ b/instances/src/lib.rs
@@ -1,7 +1,7 @@
 //! Cluster membership of the relay's instances, and replication of the list of execute nodes between them.
 //!
 //! [`Member`] describes an instance, [`Swim`] is the membership protocol with suspicion and refutation, [`Lists`] decides which
-//! instances poll the list service and how the others receive its list, [`FrameAuthenticator`] authenticates frames with a shared
+//! instances poll discovery and how the others receive its list, [`FrameAuthenticator`] authenticates frames with a shared
 //! key, and [`LinkMessage`] is what links carry. The crate consists of state machines without sockets, clocks or files: time and
 //! messages go in, messages and changes come out. The relay and the simulation of the tests drive the same code.
 #![forbid(unsafe_code)]
@@ -24,7 +24,7 @@
 pub use list_messages::{Heartbeat, ListStatus, ListUpdate};
 pub use lists::{KnownList, Lists, ListsConfig, ListsInput, ListsOutput};
 pub use member::{MAX_TEXT_BYTES, Member, is_valid_text};
-pub use seal::{FrameAuthenticator, FrameError, Key, KeyFault};
+pub use seal::{FrameAuthenticator, FrameError, Key, KeyError};
 pub use swim::{MemberStatus, MembershipChange, Swim, SwimConfig, SwimCounters, SwimInput, SwimOutput};
 pub use view::{LinkMessage, MAX_FRAME_BYTES, View};
 
--- a/instances/src/list_messages.rs
+++ b/instances/src/list_messages.rs
@@ -5,19 +5,19 @@
 
 use crate::catalog::{Entry, ListVersion};
 
-/// Which list an instance has, and how long ago the list service itself confirmed that list as the current one. The age is a range,
+/// Which list an instance has, and how long ago discovery itself confirmed that list as the current one. The age is a range,
 /// since the delays on the way are not known. Ages are sent instead of times, since clocks differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListStatus {
     /// The list's version.
     pub version: ListVersion,
-    /// How many losses of the list service's state had been observed before it returned this list.
+    /// How many losses of discovery's state had been observed before it returned this list.
     pub resets: u64,
     /// The greatest possible age of the confirmation.
     pub max_age: Duration,
     /// The least possible age of the confirmation.
     pub min_age: Duration,
-    /// The instance that called the list service.
+    /// The instance that called discovery.
     pub origin: SocketAddr,
     /// Over how many other instances the confirmation came.
     pub hops: u8,
--- a/instances/src/lists.rs
+++ b/instances/src/lists.rs
@@ -1,8 +1,8 @@
-//! Replication of the list of execute nodes between instances: which instances poll the list service, from which the others receive
+//! Replication of the list of execute nodes between instances: which instances poll discovery, from which the others receive
 //! the list, and how old it is.
 //!
 //! Few instances poll, the first by [`rank`]. Each instance keeps links to two instances that precede it and receives the list from
-//! them. With a list comes the interval of time in which the list service confirmed it, converted to the receiver's clock. A list
+//! them. With a list comes the interval of time in which discovery confirmed it, converted to the receiver's clock. A list
 //! replaces another if it was certainly confirmed later, or if the intervals overlap and its generation is higher, where a generation
 //! from after a loss of the service's state counts as higher. So no older list replaces a newer one, and a lower generation is
 //! accepted as soon as it is certainly the later one. Where no instance has a fresh list, instances poll by rank, few at a time.
@@ -38,16 +38,16 @@
 /// Bounds of the exponential backoff after a link could not be opened or broke.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(300);
 const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(10);
-/// Bounds of the exponential backoff after a call of the list service failed.
+/// Bounds of the exponential backoff after a call to discovery failed.
 const MIN_POLL_RETRY_DELAY: Duration = Duration::from_millis(250);
 const MAX_POLL_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Least time between replacements of working links, randomized up to twice that: while views are still filling, the preferred
 /// parents of every instance change all the time.
 const MIN_LINK_CHANGE_INTERVAL: Duration = Duration::from_secs(5);
-/// Different lists received for this long do not come from mere lag: this instance polls the list service to find out which is
+/// Different lists received for this long do not come from mere lag: this instance polls discovery to find out which is
 /// right.
 const CONFLICT_TOLERANCE: Duration = Duration::from_secs(2);
-/// How long a version that the list service does not know is rejected, whoever sends it.
+/// How long a version that discovery does not know is rejected, whoever sends it.
 const REJECTED_FOR: Duration = Duration::from_secs(60);
 /// Most versions rejected at once.
 const MAX_REJECTED: usize = 64;
@@ -87,9 +87,9 @@
     Closed(u64),
     /// A message was received on a link.
     Received(u64, LinkMessage),
-    /// A call of the list service begins.
+    /// A call to discovery begins.
     CallStarted,
-    /// The list service answered.
+    /// Discovery answered.
     CallAnswered {
         /// When the call began.
         began: At,
@@ -118,24 +118,24 @@
     Close(u64),
     /// Send a message on a link.
     Send(u64, LinkMessage),
-    /// Start or stop polling the list service.
+    /// Start or stop polling discovery.
     Poll(bool),
     /// This instance's list has changed: see [`Lists::changes_since`].
     ListChanged,
 }
 
-/// A list version and the interval in which the list service last confirmed it, from `earliest` to `latest`.
+/// A list version and the interval in which discovery last confirmed it, from `earliest` to `latest`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownList {
     /// The list's version.
     pub version: ListVersion,
-    /// How many losses of the list service's state had been observed by then.
+    /// How many losses of discovery's state had been observed by then.
     pub resets: u64,
-    /// The earliest time at which the list service may have confirmed the list.
+    /// The earliest time at which discovery may have confirmed the list.
     pub earliest: At,
-    /// The latest time at which the list service may have confirmed the list.
+    /// The latest time at which discovery may have confirmed the list.
     pub latest: At,
-    /// The instance that called the list service.
+    /// The instance that called discovery.
     pub origin: SocketAddr,
     /// Over how many other instances the confirmation came.
     pub hops: u8,
@@ -209,7 +209,7 @@
     assume_seeds: bool,
     catalog: Catalog,
     current: Option<KnownList>,
-    /// The list service's last answer to this instance itself.
+    /// Discovery's last answer to this instance itself.
     own_answer: Option<KnownList>,
     /// That answer does not match the current list, so the next call asks for the whole list.
     needs_full_list: bool,
@@ -224,7 +224,7 @@
     opening: BTreeSet<SocketAddr>,
     /// Instances that could not be reached: when to retry, and the backoff delay.
     reconnect_backoff: HashMap<SocketAddr, (At, Duration)>,
-    /// Versions that others kept sending though the list service does not know them, and until when they are rejected.
+    /// Versions that others kept sending though discovery does not know them, and until when they are rejected.
     rejected_versions: HashMap<ListVersion, At>,
     /// The different versions that are being received, and since when.
     conflict: Option<(BTreeSet<ListVersion>, At)>,
@@ -336,7 +336,7 @@
     }
 
     /// The age at which a list is no longer fresh: half of the greatest intended age. This is longer than the first instances take to
-    /// get a new confirmation and to pass it on over three links, and leaves time for others to stand in for them.
+    /// get a new confirmation and to pass it on over three links, and leaves time for others to take their place.
     fn stale_after(&self) -> Duration {
         self.config.must_ask_in / 2
     }
@@ -349,7 +349,7 @@
         self.rejected_versions.get(&known.version).is_some_and(|until| now < *until)
     }
 
-    /// The lists that this instance may adopt, with the links they came on: its own fresh answer from the list service; else the fresh
+    /// The lists that this instance may adopt, with the links they came on: its own fresh answer from discovery; else the fresh
     /// lists of the parents that precede it, if one of them originates from one of the first instances; else, since the polling may
     /// have moved to any instance, the fresh lists of all links; if none is fresh, the lists of all links.
     fn eligible_lists(&self, now: At) -> Vec<(Option<u64>, KnownList)> {
@@ -608,7 +608,7 @@
         }
     }
 
-    /// Tells all links at once that the current list has changed.
+    /// Notifies all links at once that the current list has changed.
     fn announce_change(&mut self, now: At, outputs: &mut Vec<ListsOutput>) {
         outputs.push(ListsOutput::ListChanged);
         for number in self.links.keys().copied().collect::<Vec<_>>() {
@@ -618,7 +618,7 @@
         }
     }
 
-    /// How many losses of state the list service has had when it answers a call, begun at a time, with a generation. Losses seen by
+    /// How many losses of state discovery has had when it answers a call, begun at a time, with a generation. Losses seen by
     /// others count only if the answer is certainly later than them: a delayed answer may be from before the loss.
     fn resets_at(&self, began: At, generation: u64) -> u64 {
         let lists = self.links.values().filter_map(|link| link.list);
@@ -675,7 +675,7 @@
         }
     }
 
-    /// Rejects those of the conflicting versions whose generation is above the list service's present one: it never returned them.
+    /// Rejects those of the conflicting versions whose generation is above discovery's present one: it never returned them.
     fn reject_unknown(&mut self, now: At, generation: u64, versions: BTreeSet<ListVersion>) {
         self.rejected_versions.retain(|_, until| now < *until);
         let room = MAX_REJECTED - self.rejected_versions.len().min(MAX_REJECTED);
@@ -715,7 +715,7 @@
         };
         let conflict = self.conflict.as_ref().is_some_and(|(_, since)| now >= *since + CONFLICT_TOLERANCE);
         let first = self.position < rank::POLLERS && self.has_reliable_position();
-        let should_poll = if first || self.stands_in(now) {
+        let should_poll = if first || self.is_replacement_poller(now) {
             true
         } else if now >= due || conflict {
             let at = match self.poll_at {
@@ -755,7 +755,7 @@
     }
 
     /// Whether this instance has a fresh answer in place of those that precede it, and none of them has a fresh list again.
-    fn stands_in(&self, now: At) -> bool {
+    fn is_replacement_poller(&self, now: At) -> bool {
         let precedes = |origin: &SocketAddr| self.order[..self.position].contains(origin);
         let lists = self.links.values().filter_map(|link| link.list);
         let taken_over = lists.filter(|known| self.is_fresh(known, now)).any(|known| precedes(&known.origin));
--- a/instances/src/rank.rs
+++ b/instances/src/rank.rs
@@ -2,7 +2,7 @@
 //! hashing, Thaler and Ravishankar 1998), so that views which differ by few members give ranks that differ by few positions.
 use std::net::{IpAddr, SocketAddr};
 
-/// How many instances poll the list service as long as it answers them: one may fail and no change is missed.
+/// How many instances poll discovery as long as it answers them: one may fail and no change is missed.
 pub const POLLERS: usize = 2;
 /// How many other instances an instance receives the list from.
 pub const PARENTS: usize = 2;
@@ -64,7 +64,7 @@
     all
 }
 
-/// How many periods the instance at a position waits before it polls the list service in place of earlier ones that have no fresh
+/// How many periods the instance at a position waits before it polls discovery in place of earlier ones that have no fresh
 /// list: two poll at once, two a period later, then four, then eight in each period. This bounds the calls to a service that is down,
 /// however many instances there are.
 pub fn poll_delay(position: usize) -> u32 {
--- a/instances/src/seal.rs
+++ b/instances/src/seal.rs
@@ -29,24 +29,24 @@
 
 /// Why a key is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyFault {
+pub enum KeyError {
     /// It has fewer than 32 bytes; the value is its length.
     TooShort(usize),
 }
 
-impl std::fmt::Display for KeyFault {
+impl std::fmt::Display for KeyError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let KeyFault::TooShort(length) = self;
+        let KeyError::TooShort(length) = self;
         write!(f, "a key needs at least {MIN_KEY_BYTES} bytes, this one has {length}")
     }
 }
 
 impl Key {
     /// Reads a key from a file's contents; surrounding white space is ignored.
-    pub fn read(text: &[u8]) -> Result<Key, KeyFault> {
+    pub fn read(text: &[u8]) -> Result<Key, KeyError> {
         let text = text.trim_ascii();
         match text.len() {
-            0..MIN_KEY_BYTES => Err(KeyFault::TooShort(text.len())),
+            0..MIN_KEY_BYTES => Err(KeyError::TooShort(text.len())),
             _ => Ok(Key(hmac::Key::new(hmac::HMAC_SHA256, text))),
         }
     }
--- a/instances/src/seal/tests.rs
+++ b/instances/src/seal/tests.rs
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_short_key_is_rejected() {
-    assert_eq!(Key::read(b"  short\n").err(), Some(KeyFault::TooShort(5)));
+    assert_eq!(Key::read(b"  short\n").err(), Some(KeyError::TooShort(5)));
     assert!(Key::read(format!(" {}\n", "k".repeat(32)).as_bytes()).is_ok());
 }
 
--- a/instances/src/simulation/lists.rs
+++ b/instances/src/simulation/lists.rs
@@ -1,4 +1,4 @@
-//! Simulates list replication between many instances; one random seed determines the links, the processes and the list service.
+//! Simulates list replication between many instances; one random seed determines the links, the processes and discovery.
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -48,13 +48,13 @@
 pub struct Node {
     /// Its state machine.
     pub lists: Lists,
-    /// Whether it polls the list service.
+    /// Whether it polls discovery.
     pub polling: bool,
     /// The call in flight: its number and when it began.
     call: Option<(u64, At)>,
 }
 
-/// The list service. It answers calls for the whole list one at a time.
+/// Discovery. It answers calls for the whole list one at a time.
 pub struct Service {
     generation: u64,
     /// How often it lost its state.
@@ -74,7 +74,7 @@
     waiting: Vec<(usize, u64, u64)>,
 }
 
-/// Simulated instances, the links between them and their list service.
+/// Simulated instances, the links between them and their discovery service.
 pub struct Network {
     /// The present time on the simulation's clock.
     pub now: At,
@@ -94,12 +94,12 @@
     unread: HashMap<usize, Vec<Event>>,
     /// The partition that each instance is in; messages do not cross partitions.
     pub partition: Vec<u32>,
-    /// Instances that cannot reach the list service.
+    /// Instances that cannot reach discovery.
     pub cut_off: HashSet<usize>,
     links: HashMap<u64, (usize, usize)>,
     /// When the last message sent on a link arrives, so that messages stay in order.
     last_arrivals: HashMap<(u64, usize), At>,
-    /// The list service.
+    /// Discovery.
     pub service: Service,
     /// Bytes that each instance sent over links.
     pub sent: Vec<u64>,
--- a/instances/src/swim.rs
+++ b/instances/src/swim.rs
@@ -34,7 +34,7 @@
 /// How long a member that is down is remembered.
 const REMOVE_DOWN_AFTER: Duration = Duration::from_secs(600);
 /// How often the whole view of a member is fetched, to learn what gossip did not deliver: a datagram carries some 15 members, and
-/// gossip does not tell a newcomer of members that have not changed.
+/// gossip does not carry members that have not changed to a new one.
 const VIEW_FETCH_INTERVAL: Duration = Duration::from_secs(10);
 /// The same until a view has arrived since this process started or resumed.
 const FIRST_VIEW_FETCH_INTERVAL: Duration = Duration::from_millis(500);
--- a/relay/src/admin/mod.rs
+++ b/relay/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The admin address, for the operators of the relay. It passes calls on to the frontends, and decides nothing itself.
+//! The admin address, for the operators of the relay. It passes calls on to the fronts, and decides nothing itself.
 //!
 //! It has its own listener, connection limit and connection policy, so that neither callers that do not complete a call, nor
 //! thousands of submitters, nor a busy relay delay a call.
@@ -39,12 +39,13 @@
 /// How long a call waits until this process has taken over the relay; its caller waits for a second.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What operators can see of a frontend and do to it.
-pub trait Frontend {
-    fn census(&self) -> GaugeValues;
+/// What operators can see of a front and do to it.
+pub trait Front {
+    /// The current values of its gauges.
+    fn gauge_values(&self) -> GaugeValues;
     /// Disables an endpoint, or enables it again.
     fn set_disabled(&self, id: &str, disabled: bool) -> Result<(), SetDisabledError>;
-    /// The messages queued on disk, if the frontend has a backlog.
+    /// The messages queued on disk, if the front has a backlog.
     fn backlog(&self) -> Option<Rc<Backlog>>;
 }
 
@@ -55,9 +56,9 @@
 }
 
 pub struct Admin {
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     /// Empty until this process runs the relay.
-    frontends: RefCell<Vec<Rc<dyn Frontend>>>,
+    fronts: RefCell<Vec<Rc<dyn Front>>>,
     opened: Notify,
     /// This process can serve, though perhaps only after another process has handed over.
     ready: Cell<bool>,
@@ -67,10 +68,10 @@
 }
 
 impl Admin {
-    pub fn new(figures: Rc<Metrics>, process: Rc<dyn AvailabilityControl>) -> Rc<Self> {
+    pub fn new(metrics: Rc<Metrics>, process: Rc<dyn AvailabilityControl>) -> Rc<Self> {
         Rc::new(Admin {
-            figures,
-            frontends: RefCell::default(),
+            metrics,
+            fronts: RefCell::default(),
             opened: Notify::new(),
             ready: Cell::new(false),
             instances: RefCell::default(),
@@ -87,10 +88,10 @@
         *self.instances.borrow_mut() = instances;
     }
 
-    /// To be called when the frontends can serve.
-    pub fn open(&self, frontends: Vec<Rc<dyn Frontend>>) {
+    /// To be called when the fronts can serve.
+    pub fn open(&self, fronts: Vec<Rc<dyn Front>>) {
         self.set_ready();
-        *self.frontends.borrow_mut() = frontends;
+        *self.fronts.borrow_mut() = fronts;
         self.opened.notify_waiters();
     }
 
@@ -123,8 +124,8 @@
             }
             Ok(Call::Ready) => text_response(StatusCode::OK, "ready"),
             Ok(Call::Metrics) => {
-                let census = self.frontends.borrow().iter().map(|frontend| frontend.census()).sum();
-                let response = Response::with_body(StatusCode::OK, self.figures.render(census));
+                let gauge_values = self.fronts.borrow().iter().map(|front| front.gauge_values()).sum();
+                let response = Response::with_body(StatusCode::OK, self.metrics.render(gauge_values));
                 with_content_type(response, prometheus::TEXT_FORMAT)
             }
             Ok(Call::Instances) => match &*self.instances.borrow() {
@@ -166,11 +167,11 @@
     /// Whether this process runs the relay, or takes it over within [`TAKEOVER_TIMEOUT`].
     async fn is_open(&self) -> bool {
         let opened = self.opened.notified();
-        !self.frontends.borrow().is_empty() || timeout(TAKEOVER_TIMEOUT, opened).await.is_ok()
+        !self.fronts.borrow().is_empty() || timeout(TAKEOVER_TIMEOUT, opened).await.is_ok()
     }
 
     async fn backlog(&self, destination: Option<u64>) -> Response<String> {
-        let backlog = self.frontends.borrow().iter().find_map(|frontend| frontend.backlog());
+        let backlog = self.fronts.borrow().iter().find_map(|front| front.backlog());
         let Some(backlog) = backlog else {
             return text_response(
                 StatusCode::NOT_FOUND,
@@ -186,11 +187,11 @@
         }
     }
 
-    /// Disables or enables an endpoint. If several frontends know its id, on all of them.
+    /// Disables or enables an endpoint. If several fronts know its id, on all of them.
     fn set_disabled(&self, id: &str, disabled: bool) -> Response<String> {
         let mut response = text_response(StatusCode::NOT_FOUND, "no endpoint has this id");
-        for frontend in self.frontends.borrow().iter() {
-            match frontend.set_disabled(id, disabled) {
+        for front in self.fronts.borrow().iter() {
+            match front.set_disabled(id, disabled) {
                 Ok(()) => {
                     response =
                         text_response(StatusCode::OK, if disabled { "disabled" } else { "not disabled" })
--- a/relay/src/backlog.rs
+++ b/relay/src/backlog.rs
@@ -29,7 +29,7 @@
 /// The store's cache and write buffers get one part in this many of the memory; the windows of destinations get the rest.
 const STORE_MEMORY_DIVISOR: u64 = 4;
 /// Fraction (numerator, denominator) of the requests allowed in memory that the windows may use. The remainder is for
-/// arrivals still being decided on: a full relay would refuse them before the backlog is asked.
+/// arrivals still being decided on: a full relay would refuse them before the backlog is consulted.
 const WINDOWS_SHARE: (u64, u64) = (3, 4);
 /// How long to wait for another process to release the folder: one that hands over, or one that was just killed.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(3);
@@ -67,7 +67,7 @@
     quota: u64,
     watchdog: Watchdog,
     /// The backlog's counters and gauges.
-    pub figures: BacklogMetrics,
+    pub metrics: BacklogMetrics,
     /// Notified after each event, since the time of the next tick may have changed.
     changed: Notify,
 }
@@ -84,11 +84,11 @@
         classes: &[BacklogClass],
         max_in_memory: Option<u32>,
         journaled: &[OpenJob],
-        figures: BacklogMetrics,
+        metrics: BacklogMetrics,
     ) -> Result<(Backlog, Vec<Action>), StoreError> {
         let worker = open_worker(settings, owner).await?;
         tracing::info!(folder = %settings.folder.display(), "backlog folder opened");
-        Backlog::with_worker(worker, settings, classes, max_in_memory, journaled, figures).await
+        Backlog::with_worker(worker, settings, classes, max_in_memory, journaled, metrics).await
     }
 
     /// Like [`Backlog::open`], with a store that is already open.
@@ -101,25 +101,25 @@
         classes: &[BacklogClass],
         max_in_memory: Option<u32>,
         journaled: &[OpenJob],
-        figures: BacklogMetrics,
+        metrics: BacklogMetrics,
     ) -> Result<(Backlog, Vec<Action>), StoreError> {
         let mut numbers = HashMap::new();
         let mut class_worth = Vec::new();
         for class in classes {
-            let number = ask(worker.class(class.name.as_str().into())).await?;
+            let number = await_reply(worker.class(class.name.as_str().into())).await?;
             numbers.insert(class.name.clone(), number);
             let index = usize::from(number.0);
             class_worth.resize(class_worth.len().max(index + 1), 1.0);
             class_worth[index] = class.worth;
         }
         let fetched = journaled.iter().filter_map(|open| open.place).collect();
-        ask(worker.remove(fetched)).await?;
-        let Overview { lanes, corruptions, .. } = ask(worker.overview()).await?;
+        await_reply(worker.remove(fetched)).await?;
+        let Overview { lanes, corruptions, .. } = await_reply(worker.overview()).await?;
         for damage in &corruptions {
             let (location, cause) = (&damage.location, &damage.cause);
             tracing::error!(location, cause, "the backlog is damaged; the messages there are skipped");
         }
-        let earliest = ask(worker.due(UnixMillis(u64::MAX), 1)).await?;
+        let earliest = await_reply(worker.due(UnixMillis(u64::MAX), 1)).await?;
         let messages: u64 = lanes.iter().map(|lane| lane.messages).sum();
         tracing::info!(messages, lanes = lanes.len(), "backlog opened");
 
@@ -131,12 +131,11 @@
             }
         }
         let lanes = lanes.iter().map(|lane| LaneCount { lane: lane.lane, messages: lane.messages }).collect();
-        let earliest_end = earliest.first().map(|message| time_until(message.deadline));
-        let actions =
-            planner.handle(Duration::ZERO, Event::Opened { lanes, earliest_deadline_in: earliest_end });
+        let earliest_deadline_in = earliest.first().map(|message| time_until(message.deadline));
+        let actions = planner.handle(Duration::ZERO, Event::Opened { lanes, earliest_deadline_in });
         let backlog = Backlog {
             watchdog: worker.watchdog(),
-            figures,
+            metrics,
             worker: RefCell::new(Some(worker)),
             planner: RefCell::new(planner),
             started: Instant::now(),
@@ -209,8 +208,8 @@
 
     /// Whether messages of a destination are on disk or being written.
     pub fn has_queued(&self, destination: u64) -> bool {
-        let figures = self.planner.borrow().stats(self.now(), destination);
-        figures.is_some_and(|figures| figures.on_disk > 0)
+        let stats = self.planner.borrow().stats(self.now(), destination);
+        stats.is_some_and(|stats| stats.on_disk > 0)
     }
 
     /// Duration of the slowest operation of the store so far, including one that is still running.
@@ -271,7 +270,7 @@
     }
 
     /// Queues an operation for the store's thread. It is in the queue when this returns, before the future is polled.
-    fn ask<T, R>(&self, operation: R) -> impl Future<Output = Result<T, StoreError>> + use<T, R>
+    fn request<T, R>(&self, operation: R) -> impl Future<Output = Result<T, StoreError>> + use<T, R>
     where
         R: FnOnce(&Worker) -> Result<ReplyReceiver<T>, Busy>,
     {
@@ -282,14 +281,14 @@
         async move { answer?.await? }
     }
 
-    /// Appends a message to its lane. If the outcome of the write is unknown, the store is asked for the message: if it is
-    /// there, the append succeeded.
+    /// Appends a message to its lane. If the outcome of the write is unknown, the message is looked up: if the store
+    /// has it, the append succeeded.
     ///
     /// # Errors
     /// The message is not in the store, or that cannot be determined.
     pub async fn append(&self, message: NewMessage) -> Result<Position, StoreError> {
         let id = message.id.clone();
-        let appended = self.ask(|worker| worker.append(vec![message])).await;
+        let appended = self.request(|worker| worker.append(vec![message])).await;
         match appended.map(|places| places.first().copied()) {
             Ok(Some(place)) => Ok(place),
             Ok(None) => Err(StoreError::Closed),
@@ -300,7 +299,7 @@
 
     /// The place of the message with this ID.
     pub async fn find(&self, id: &str) -> Result<Option<Position>, StoreError> {
-        self.ask(|worker| worker.find(id.into())).await
+        self.request(|worker| worker.find(id.into())).await
     }
 
     /// Reserves the first messages of a lane that are not reserved yet, at most `max`; also returns whether the lane has no more.
@@ -312,7 +311,7 @@
     ) -> Result<(Vec<StoredMessage>, bool), StoreError> {
         let mut after = None;
         loop {
-            let read = self.ask(|worker| worker.fetch(lane, after, max as usize)).await?;
+            let read = self.request(|worker| worker.fetch(lane, after, max as usize)).await?;
             let exhausted = read.len() < max as usize;
             after = read.last().map(|message| message.position.sequence);
             let reserved = self.reserve_all(read);
@@ -326,7 +325,7 @@
     /// The caller must release them.
     pub async fn reserve_expired(&self, max: u32) -> Result<(Vec<StoredMessage>, bool), StoreError> {
         let now = unix_millis(clock::now());
-        let read = self.ask(|worker| worker.due(now, max as usize)).await?;
+        let read = self.request(|worker| worker.due(now, max as usize)).await?;
         let more = read.len() == max as usize;
         Ok((self.reserve_all(read), more))
     }
@@ -366,17 +365,17 @@
 
     /// Removes messages; those that are already removed are ignored.
     pub async fn remove(&self, places: Vec<Position>) -> Result<(), StoreError> {
-        self.ask(|worker| worker.remove(places)).await
+        self.request(|worker| worker.remove(places)).await
     }
 
     /// Puts messages back at their former places.
     pub async fn put_back(&self, messages: Vec<StoredMessage>) -> Result<(), StoreError> {
-        self.ask(|worker| worker.put_back(messages)).await
+        self.request(|worker| worker.put_back(messages)).await
     }
 
     /// Time until the earliest deadline of a message on disk.
-    pub async fn earliest_end(&self) -> Result<Option<Duration>, StoreError> {
-        let earliest = self.ask(|worker| worker.due(UnixMillis(u64::MAX), 1)).await?;
+    pub async fn earliest_deadline_in(&self) -> Result<Option<Duration>, StoreError> {
+        let earliest = self.request(|worker| worker.due(UnixMillis(u64::MAX), 1)).await?;
         Ok(earliest.first().map(|message| time_until(message.deadline)))
     }
 
@@ -390,19 +389,19 @@
             id: "probe".into(),
             payload: bytes::Bytes::new(),
         };
-        let places = self.ask(|worker| worker.append(vec![probe])).await?;
+        let places = self.request(|worker| worker.append(vec![probe])).await?;
         self.remove(places).await
     }
 
     /// The store's lanes, disk usage and damage.
     pub async fn overview(&self) -> Result<Overview, StoreError> {
-        self.ask(Worker::overview).await
+        self.request(Worker::overview).await
     }
 
     /// The disk usage as an event for the planner; also updates the gauges.
     pub async fn usage(&self) -> Result<Event, StoreError> {
-        let used = self.ask(Worker::usage).await?.disk_bytes;
-        self.figures.set(self.on_disk(), used, self.slowest());
+        let used = self.request(Worker::usage).await?.disk_bytes;
+        self.metrics.set(self.on_disk(), used, self.slowest());
         Ok(Event::Usage { used, quota: self.quota })
     }
 }
@@ -412,7 +411,7 @@
     if matches!(error, StoreError::Full { .. }) { StoreFault::Full } else { StoreFault::Failing }
 }
 
-async fn ask<T>(operation: Result<ReplyReceiver<T>, Busy>) -> Result<T, StoreError> {
+async fn await_reply<T>(operation: Result<ReplyReceiver<T>, Busy>) -> Result<T, StoreError> {
     operation?.await?
 }
 
--- a/relay/src/backlog/report.rs
+++ b/relay/src/backlog/report.rs
@@ -67,7 +67,7 @@
     /// Errors of the store.
     pub async fn report(&self, destination: Option<u64>) -> Result<BacklogReport, StoreError> {
         let overview = self.overview().await?;
-        let earliest_end = self.earliest_end().await?;
+        let earliest_deadline_in = self.earliest_deadline_in().await?;
         let mut destinations = self.by_destination(&overview, destination);
         let count = MAX_DESTINATIONS.min(destinations.len());
         destinations.sort_unstable_by_key(|report| std::cmp::Reverse(report.messages));
@@ -82,7 +82,7 @@
             health: format!("{:?}", planner.health()),
             slowest_ms: self.slowest().as_millis() as u64,
             damaged: overview.corruptions.len(),
-            earliest_end_ms: earliest_end.map(|left| left.as_millis() as u64),
+            earliest_end_ms: earliest_deadline_in.map(|left| left.as_millis() as u64),
             destinations,
         })
     }
@@ -100,12 +100,12 @@
         let planner = self.planner.borrow();
         let complete = |(destination, mut report): (u64, DestinationReport)| {
             report.destination = destination;
-            if let Some(figures) = planner.stats(self.now(), destination) {
-                report.in_memory = figures.in_memory;
-                report.window = figures.window;
-                report.delivered_per_s = figures.rate;
+            if let Some(stats) = planner.stats(self.now(), destination) {
+                report.in_memory = stats.in_memory;
+                report.window = stats.window;
+                report.delivered_per_s = stats.rate;
                 report.empty_in_s =
-                    figures.rate.filter(|rate| *rate > 0.0).map(|rate| report.messages as f64 / rate);
+                    stats.rate.filter(|rate| *rate > 0.0).map(|rate| report.messages as f64 / rate);
             }
             report
         };
--- a/relay/src/clock.rs
+++ b/relay/src/clock.rs
@@ -1,4 +1,4 @@
-//! Timestamps for deadlines and attempts: they follow real time, survive a restart and ignore steps of the wall clock.
+//! Timestamps for deadlines and claims: they follow real time, survive a restart and ignore steps of the wall clock.
 //!
 //! The wall clock may be stepped at any moment, also while no process runs, so no time is computed from it directly. A timestamp is the
 //! epoch plus the present reading of the monotonic clock. The epoch is the Unix time at which the monotonic clock was zero, measured
--- a/relay/src/config/rules.rs
+++ b/relay/src/config/rules.rs
@@ -42,9 +42,9 @@
     nanos.map_or(default, Duration::from_nanos)
 }
 
-/// Makes the rules from the platform's settings; an error names the key within them.
-pub(super) fn rules(env: WireSettings) -> Result<Rules, String> {
-    let (settings, names) = wire_settings::translate(env)?;
+/// Translates the settings of a front; an error names the key within them.
+pub(super) fn rules(front_settings: WireSettings) -> Result<Rules, String> {
+    let (settings, names) = wire_settings::translate(front_settings)?;
     if settings.classes.is_empty() {
         return Err("categories: at least one class of messages is needed".into());
     }
--- a/relay/src/connection_limiter.rs
+++ b/relay/src/connection_limiter.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections for a frontend: at most as many at once as there are permits, each for as long as the frontend's
+//! Accepts client connections for a front: at most as many at once as there are permits, each for as long as the front's
 //! policy allows ([`ConnectionPolicy`]). Idle connections are closed to make room for new ones.
 use actix_rt::net::TcpStream;
 use actix_service::{Service, ServiceFactory};
--- a/relay/src/connection_limiter/state.rs
+++ b/relay/src/connection_limiter/state.rs
@@ -21,12 +21,12 @@
 /// How long a closed connection may take to receive its last response.
 pub(super) const CLOSE_GRACE: Duration = Duration::from_secs(1);
 
-/// For how long a frontend lets connections stay open.
+/// For how long a front lets connections stay open.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionPolicy {
     /// The first request must be complete within this time after the connection was accepted.
     pub first_request_timeout: Duration,
-    /// A later request must be complete within this time after its first byte. `None` if the frontend enforces a time itself.
+    /// A later request must be complete within this time after its first byte. `None` if the front enforces a time itself.
     pub request_timeout: Option<Duration>,
     /// How long a connection may be idle.
     pub idle_timeout: Duration,
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Whether a time limit of the frontend's policy is exceeded.
+    /// Whether a time limit of the front's policy is exceeded.
     pub(super) fn is_overdue(&self, now: Instant, policy: &ConnectionPolicy) -> bool {
         let limit = match (self.phase.get(), self.has_answered.get()) {
             (Phase::Idle, false) => Some(policy.first_request_timeout),
@@ -194,7 +194,7 @@
     }
 }
 
-/// The open connections of a frontend.
+/// The open connections of a front.
 #[derive(Default)]
 pub(super) struct OpenConnections(RefCell<Vec<Weak<ConnectionState>>>);
 
--- a/relay/src/connection_limiter/tests.rs
+++ b/relay/src/connection_limiter/tests.rs
@@ -25,7 +25,7 @@
     assert_eq!(closed(), [true, true, false]);
 }
 
-/// A connection as a frontend tracks it, and the client's end of it. Only the test reads from either.
+/// A connection as a front tracks it, and the client's end of it. Only the test reads from either.
 async fn connected() -> (Rc<ClientConnection>, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = std::net::TcpStream::connect(listener.local_addr().expect("an address")).expect("connected");
--- a/relay/src/core/backlog.rs
+++ b/relay/src/core/backlog.rs
@@ -50,14 +50,14 @@
     unreadable: Vec<Notice>,
 }
 
-/// A request's share of the memory that the planner manages. Dropping it tells the planner that the request has left.
+/// A request's share of the memory that the planner manages. Dropping it notifies the planner that the request has left.
 pub(super) struct MemorySlot<C: Transport> {
     core: Rc<Core<C>>,
     backlog: Rc<Backlog>,
     destination: u64,
     /// The request's number at the decision module, if it may be put back on disk.
     message: Option<MsgId>,
-    /// How the request leaves memory; `None` if the planner must not be told.
+    /// How the request leaves memory; `None` if the planner must not be notified.
     outcome: Cell<Option<MemoryOutcome>>,
 }
 
@@ -67,7 +67,7 @@
         self.outcome.set(Some(outcome));
     }
 
-    /// Does not tell the planner when this is dropped: the request stays in memory, or is being put back on disk.
+    /// Does not notify the planner when this is dropped: the request stays in memory, or is being put back on disk.
     pub fn disarm(&self) {
         self.outcome.set(None);
     }
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Tells the planner that an attempt failed, or that its destination requested a wait.
+    /// Notifies the planner that an attempt failed, or that its destination requested a wait.
     pub(super) fn attempt_failed(self: &Rc<Self>, destination: u64, wait: Option<Duration>) {
         let Some(backlog) = self.backlog() else { return };
         let event = match wait {
@@ -163,7 +163,7 @@
             let (core, backlog) = (self.clone(), backlog.clone());
             match action {
                 Action::Fetch { lane, limit } => drop(actix_rt::spawn(core.fetch(backlog, lane, limit))),
-                Action::Evict { destination } => drop(actix_rt::spawn(core.park(backlog, destination))),
+                Action::Evict { destination } => drop(actix_rt::spawn(core.evict(backlog, destination))),
                 Action::ReadExpired { limit } => drop(actix_rt::spawn(core.end_expired(backlog, limit))),
                 Action::ProbeStore => drop(actix_rt::spawn(core.probe_store(backlog))),
                 Action::HealthChanged { health } => {
@@ -244,7 +244,7 @@
         match own.first() {
             Some(Action::Refuse { retry_after, reason, .. }) => {
                 tracing::debug!(id = job.id, dest = job.dest, ?reason, "the backlog refuses a request");
-                backlog.figures.refused(refusal_label(*reason));
+                backlog.metrics.refused(refusal_label(*reason));
                 self.answer_and_release(&job.id, answer, refused_decision(*retry_after));
             }
             Some(Action::Spill { .. }) => self.spill(backlog, lane, job, answer).await,
@@ -280,15 +280,15 @@
         answer: oneshot::Sender<Decision>,
     ) {
         if let Some(hooks) = &self.hooks {
-            let ruling = hooks.admit(&job, job.time_left());
-            if ruling.refuse {
+            let hook_decision = hooks.admit(&job, job.time_left());
+            if hook_decision.refuse {
                 self.handle_backlog_event(&backlog, Event::SpillDropped { lane, count: 1 });
-                let refusal = Refusal::Refused { after: ruling.retry_after };
+                let refusal = Refusal::Refused { after: hook_decision.retry_after };
                 return self.answer_and_release(&job.id, answer, Decision::Refused(refusal));
             }
             job.deadline =
-                ruling.time_left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
-            job.label = ruling.label;
+                hook_decision.time_left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
+            job.label = hook_decision.label;
         }
         let rules = self.rules();
         let Some(class) = rules.class_index(&job.class) else {
@@ -308,7 +308,7 @@
             Ok(place) => {
                 self.handle_backlog_event(&backlog, Event::Stored { lane, count: 1 });
                 self.count(|tally| tally.accepted += 1);
-                backlog.figures.stored.inc();
+                backlog.metrics.stored.inc();
                 match answer.send(Decision::Accepted(Acceptance::in_backlog(&place))) {
                     Ok(()) => self.release_id(&id, Some(Answer::Accepted)),
                     // The submitter has disconnected without an answer, and will submit the message again.
@@ -388,7 +388,7 @@
             self.handle_backlog_event(&backlog, Event::RemovedFromDisk { lane, count: unreadable_count });
         }
         let count = requests.len() as u32;
-        backlog.figures.fetched.inc_by(u64::from(count));
+        backlog.metrics.fetched.inc_by(u64::from(count));
         self.handle_backlog_event(&backlog, Event::Fetched { lane, count, exhausted: all_fetched });
         for (key, request) in requests {
             self.continue_job(JobProgress::from_backlog(key, request));
@@ -445,7 +445,7 @@
     }
 
     /// Puts a destination's requests that came from disk back there, unless they are in flight.
-    async fn park(self: Rc<Self>, backlog: Rc<Backlog>, destination: u64) {
+    async fn evict(self: Rc<Self>, backlog: Rc<Backlog>, destination: u64) {
         let (sender, mut receiver) = mpsc::unbounded_channel();
         for message in backlog.fetched(destination) {
             send_order(&self.state.borrow(), message, Order::PutBack(sender.clone()));
@@ -474,7 +474,7 @@
         let mut returned = BTreeMap::<ClassNumber, u32>::new();
         messages.iter().for_each(|message| *returned.entry(message.position.lane.class).or_default() += 1);
         let returned = returned.into_iter().collect();
-        backlog.figures.put_back.inc_by(messages.len() as u64);
+        backlog.metrics.put_back.inc_by(messages.len() as u64);
         self.handle_backlog_event(&backlog, Event::Evicted { destination, returned });
     }
 
@@ -522,15 +522,15 @@
         if !places.is_empty() && !self.remove_with_retry(&backlog, &places).await {
             return;
         }
-        backlog.figures.expired.inc_by(places.len() as u64);
+        backlog.metrics.expired.inc_by(places.len() as u64);
         backlog.release(places);
         let mut ended = BTreeMap::<Lane, u64>::new();
         expired.iter().for_each(|message| *ended.entry(message.position.lane).or_default() += 1);
         let ended = ended.into_iter().map(|(lane, messages)| LaneCount { lane, messages }).collect();
-        let earliest_end = backlog.earliest_end().await.ok().flatten();
+        let earliest_deadline_in = backlog.earliest_deadline_in().await.ok().flatten();
         self.handle_backlog_event(
             &backlog,
-            Event::ExpiredRead { expired: ended, more, earliest_deadline_in: earliest_end },
+            Event::ExpiredRead { expired: ended, more, earliest_deadline_in },
         );
     }
 
--- a/relay/src/core/backlog/tests.rs
+++ b/relay/src/core/backlog/tests.rs
@@ -343,7 +343,7 @@
     let in_flight = || process.core.state.borrow().in_flight.len();
     process.until("calls in flight", || in_flight() > 0).await;
     process.until("a fetch", || process.backlog.fetched(DESTINATION).len() > in_flight()).await;
-    process.core.clone().park(process.backlog.clone(), DESTINATION).await;
+    process.core.clone().evict(process.backlog.clone(), DESTINATION).await;
     process.control.set(Mode::Up, usize::MAX);
     process.until("all ends", || process.all_ended()).await;
 }
--- a/relay/src/core/handover.rs
+++ b/relay/src/core/handover.rs
@@ -13,7 +13,7 @@
 use super::backlog::MemorySlot;
 use super::job_task::JobProgress;
 use super::{Core, Transport};
-use crate::handover_state::{FinishedClaim, HandoverState, LearnedNode, LearnedUnit, RequestedWait};
+use crate::handover_state::{FinishedClaim, HandoverState, LearnedDestination, LearnedNode, RequestedWait};
 use crate::job::{Answer, Job, Outcome, nanos};
 use crate::journal::{Key, OpenJob};
 use crate::list::{Lifecycle, NodeEntry, NodeList};
@@ -24,7 +24,7 @@
     /// Forwards a job from a submitter that is still connected here.
     fn admit(&self, job: Job) -> LocalBoxFuture<'_, Answer>;
     /// Reports the outcome of a claim that was in flight at the handover.
-    fn claim_ended(&self, home: FinishedClaim);
+    fn claim_ended(&self, finished: FinishedClaim);
 }
 
 fn span(nanos: u64) -> Duration {
@@ -36,7 +36,7 @@
     /// belong to another process. The outcomes of claims in flight go to `successor`; claims not yet sent never are.
     pub fn hand_over(&self, successor: Rc<dyn Successor>) -> HandoverState {
         self.winding_down.set(true);
-        let estate = self.estate();
+        let handover_state = self.handover_state();
         // The successor receives an outcome for every claim in flight, including those of which no byte was sent.
         self.state.borrow().in_flight.values().for_each(|permit| permit.record_unsent());
         *self.successor.borrow_mut() = Some(successor);
@@ -45,10 +45,10 @@
         self.handed_over.cancel();
         self.rounds_stopped.notify_waiters();
         self.decisions.notify_waiters();
-        estate
+        handover_state
     }
 
-    fn estate(&self) -> HandoverState {
+    fn handover_state(&self) -> HandoverState {
         let mut state = self.state.borrow_mut();
         let now = Instant::now();
         let recent = state.recent.all();
@@ -59,35 +59,36 @@
             node: node.and_then(name),
             left: until.get() - now,
         });
-        let learned = state.courier.snapshot(self.module_time(now)).into_iter().map(|learned| LearnedUnit {
-            dest: learned.dest.0,
-            route: learned.route.and_then(name),
-            wait_left: span(learned.retry_after_left),
-            window: learned.window,
-            pace: learned.rate,
-            cut_ago: learned.rate_cut_ago.map(span),
-            proven: learned.proven_rate,
-            least: learned.min_latency,
-            recent: learned.latest_latency,
-            mean: learned.mean_latency,
-            answered_ago: span(learned.answered_ago),
-            demand: learned.demand,
-            nodes: learned
-                .endpoints
-                .iter()
-                .filter_map(|peer| {
-                    Some(LearnedNode {
-                        name: name(peer.id)?,
-                        down: peer.down,
-                        returning_ago: peer.returning_ago.map(span),
-                        since_ago: span(peer.unhealthy_ago),
-                        bad: peer.failure_average,
-                        trial_left: span(peer.next_trial_in),
-                        served_ago: peer.served_ago.map(span),
+        let learned =
+            state.dispatcher.snapshot(self.module_time(now)).into_iter().map(|learned| LearnedDestination {
+                dest: learned.dest.0,
+                route: learned.route.and_then(name),
+                retry_after_left: span(learned.retry_after_left),
+                window: learned.window,
+                rate: learned.rate,
+                rate_cut_ago: learned.rate_cut_ago.map(span),
+                proven_rate: learned.proven_rate,
+                min_latency: learned.min_latency,
+                latest_latency: learned.latest_latency,
+                mean_latency: learned.mean_latency,
+                answered_ago: span(learned.answered_ago),
+                demand: learned.demand,
+                nodes: learned
+                    .endpoints
+                    .iter()
+                    .filter_map(|peer| {
+                        Some(LearnedNode {
+                            name: name(peer.id)?,
+                            down: peer.down,
+                            returning_ago: peer.returning_ago.map(span),
+                            unhealthy_ago: span(peer.unhealthy_ago),
+                            failure_average: peer.failure_average,
+                            next_trial_in: span(peer.next_trial_in),
+                            served_ago: peer.served_ago.map(span),
+                        })
                     })
-                })
-                .collect(),
-        });
+                    .collect(),
+            });
         HandoverState {
             generation: self.generation.get(),
             nodes: state.nodes.all().map(|node| node.to_listed_node(&self.rules())).collect(),
@@ -118,10 +119,10 @@
     /// sender for the outcome of each claim that is still in flight there; a claim without an outcome may have run.
     pub async fn take_over(
         self: &Rc<Self>,
-        estate: &HandoverState,
+        handover_state: &HandoverState,
         open: Vec<OpenJob>,
     ) -> Vec<(Key, oneshot::Sender<FinishedClaim>)> {
-        let entries = estate.nodes.iter().map(|node| NodeEntry {
+        let entries = handover_state.nodes.iter().map(|node| NodeEntry {
             instance_id: node.name.clone().into(),
             host_port: node.address.clone().into(),
             zone: node.zone.clone().into(),
@@ -132,48 +133,48 @@
             started_at_ms: node.started_ms,
         });
         let mut list = NodeList::from_entries(entries.collect());
-        list.generation = estate.generation.unwrap_or(0);
+        list.generation = handover_state.generation.unwrap_or(0);
         self.apply_list(&list).await;
-        for node in &estate.nodes {
+        for node in &handover_state.nodes {
             self.set_enabled_ms(&node.name, node.reenabled_ms);
         }
         // The decision module knows the list only after a round.
         self.round(Instant::now());
-        self.restore_learned(estate);
+        self.restore_learned(handover_state);
         let mut senders = Vec::new();
         let (in_flight, idle): (Vec<_>, Vec<_>) =
-            open.into_iter().partition(|open| estate.in_flight.contains(&open.key));
+            open.into_iter().partition(|open| handover_state.in_flight.contains(&open.key));
         self.predecessor_claims.set(in_flight.len());
         self.reserve_predecessor_slots();
         for open in in_flight {
-            let (sender, home) = oneshot::channel();
+            let (sender, finished) = oneshot::channel();
             senders.push((open.key, sender));
             self.state.borrow_mut().ids.insert(open.job.id.clone(), true);
-            actix_rt::spawn(self.clone().await_predecessor_claim(open, home));
+            actix_rt::spawn(self.clone().await_predecessor_claim(open, finished));
         }
         idle.into_iter().for_each(|open| self.continue_handed_over(open));
         senders
     }
 
     /// Restores what another process learned of destinations, the waits requested from it, and its recent answers.
-    fn restore_learned(&self, estate: &HandoverState) {
+    fn restore_learned(&self, handover_state: &HandoverState) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         let at = self.module_time(now);
         let id = |name: &String| state.nodes.by_name(name).map(|node| node.id);
-        for unit in &estate.learned {
+        for unit in &handover_state.learned {
             let learned = DestinationSnapshot {
                 dest: DestId(unit.dest),
                 route: unit.route.as_ref().and_then(id),
-                retry_after_left: nanos(unit.wait_left),
+                retry_after_left: nanos(unit.retry_after_left),
                 window: unit.window,
-                rate: unit.pace,
-                rate_cut_ago: unit.cut_ago.map(nanos),
-                proven_rate: unit.proven,
-                min_latency: unit.least,
-                latest_latency: unit.recent,
-                mean_latency: unit.mean,
+                rate: unit.rate,
+                rate_cut_ago: unit.rate_cut_ago.map(nanos),
+                proven_rate: unit.proven_rate,
+                min_latency: unit.min_latency,
+                latest_latency: unit.latest_latency,
+                mean_latency: unit.mean_latency,
                 answered_ago: nanos(unit.answered_ago),
                 demand: unit.demand,
                 endpoints: unit
@@ -184,47 +185,51 @@
                             id: id(&node.name)?,
                             down: node.down,
                             returning_ago: node.returning_ago.map(nanos),
-                            unhealthy_ago: nanos(node.since_ago),
-                            failure_average: node.bad,
-                            next_trial_in: nanos(node.trial_left),
+                            unhealthy_ago: nanos(node.unhealthy_ago),
+                            failure_average: node.failure_average,
+                            next_trial_in: nanos(node.next_trial_in),
                             served_ago: node.served_ago.map(nanos),
                         })
                     })
                     .collect(),
             };
-            state.courier.restore(at, &learned);
+            state.dispatcher.restore(at, &learned);
         }
-        for wait in &estate.waits {
+        for wait in &handover_state.waits {
             let route = wait.node.as_ref().and_then(id);
-            state.courier.apply_retry_after(at, DestId(wait.dest), route, nanos(wait.left));
+            state.dispatcher.apply_retry_after(at, DestId(wait.dest), route, nanos(wait.left));
             let until = state.waits.entry((wait.dest, route)).or_insert_with(|| Rc::new(Cell::new(now)));
             until.set(until.get().max(now + wait.left));
         }
-        estate.recent.iter().for_each(|(id, answer)| state.recent.add(id, *answer));
+        handover_state.recent.iter().for_each(|(id, answer)| state.recent.add(id, *answer));
     }
 
     /// Reserves the slots of claims that are in flight at another process.
     pub(super) fn reserve_predecessor_slots(&self) {
-        self.state.borrow_mut().courier.reserve_slots(self.predecessor_claims.get());
+        self.state.borrow_mut().dispatcher.reserve_slots(self.predecessor_claims.get());
         self.wake.notify_one();
     }
 
     /// Runs a job whose claim is in flight at another process: waits for the outcome, then continues here.
-    async fn await_predecessor_claim(self: Rc<Self>, open: OpenJob, home: oneshot::Receiver<FinishedClaim>) {
+    async fn await_predecessor_claim(
+        self: Rc<Self>,
+        open: OpenJob,
+        finished: oneshot::Receiver<FinishedClaim>,
+    ) {
         let key = open.key;
         let slot = self.take_slot(&open.job);
-        let home = home.await.ok();
+        let finished = finished.await.ok();
         self.predecessor_claims.set(self.predecessor_claims.get() - 1);
         self.reserve_predecessor_slots();
         let (job, mut progress) = JobProgress::from_journal(open);
-        let outcome = home.as_ref().map_or(Outcome::Cancelled, |home| home.outcome);
+        let outcome = finished.as_ref().map_or(Outcome::Cancelled, |finished| finished.outcome);
         tracing::debug!(id = job.id, ?outcome, "a claim of the previous process has ended");
         if outcome.never_ran() {
             self.record_never_ran(key, &job.id);
-            progress.set_risk(self.journal.borrow().risk(key));
+            progress.set_unconfirmed_claim(self.journal.borrow().unconfirmed_claim(key));
         }
-        if let (Outcome::Full { wait: Some(wait) }, Some(home)) = (outcome, &home) {
-            self.apply_wait(&home.node, wait);
+        if let (Outcome::Full { wait: Some(wait) }, Some(finished)) = (outcome, &finished) {
+            self.apply_wait(&finished.node, wait);
         }
         match outcome {
             Outcome::Delivered => {
@@ -250,7 +255,7 @@
         self.extend_wait(&node, left);
         let route = self.is_separate_route(&node).then_some(node.id);
         let now = self.module_time(Instant::now());
-        self.state.borrow_mut().courier.apply_retry_after(now, DestId(node.dest), route, nanos(left));
+        self.state.borrow_mut().dispatcher.apply_retry_after(now, DestId(node.dest), route, nanos(left));
         self.wake.notify_one();
     }
 
--- a/relay/src/core/job_task.rs
+++ b/relay/src/core/job_task.rs
@@ -33,16 +33,16 @@
     /// Claims made by an earlier process.
     tries: u32,
     /// The first claim that may have run.
-    risk: Option<RecordedClaim>,
+    unconfirmed_claim: Option<RecordedClaim>,
     /// The rules of its class as recorded in the journal.
     accepted_rules: Option<Class>,
     /// Whether the relay has been restarted, as planned or not, since it accepted the job.
     restarted: bool,
     /// The end that an earlier process has decided on.
-    ending: Option<Notice>,
+    pending_notice: Option<Notice>,
     /// Whether it came from the backlog and may be put back there.
     from_backlog: bool,
-    /// A deadline set by a plug-in, and when the submitter may retry if it passes.
+    /// A deadline set by a hook, and when the submitter may retry if it passes.
     hook_deadline: Option<Instant>,
     hook_retry_after: Option<Duration>,
 }
@@ -56,13 +56,13 @@
         self.tries
     }
 
-    pub fn set_risk(&mut self, risk: Option<RecordedClaim>) {
-        self.risk = risk;
+    pub fn set_unconfirmed_claim(&mut self, unconfirmed_claim: Option<RecordedClaim>) {
+        self.unconfirmed_claim = unconfirmed_claim;
     }
 
     /// A job from the journal.
     pub fn from_journal(open: OpenJob) -> (Job, JobProgress) {
-        let OpenJob { key, job, rules, tries, risk, pending_notice: ending, place } = open;
+        let OpenJob { key, job, rules, tries, unconfirmed_claim, pending_notice, place } = open;
         let from_backlog = place.is_some();
         (
             job,
@@ -70,8 +70,8 @@
                 key,
                 accepted_rules: rules,
                 tries,
-                risk,
-                ending,
+                unconfirmed_claim,
+                pending_notice,
                 from_backlog,
                 ..JobProgress::default()
             },
@@ -80,9 +80,16 @@
 
     /// A job that was fetched from the backlog.
     pub fn from_backlog(key: Key, request: QueuedRequest) -> (Job, JobProgress) {
-        let (accepted_rules, tries, risk) = (Some(request.rules()), request.tries(), request.risk());
-        let progress =
-            JobProgress { key, accepted_rules, tries, risk, from_backlog: true, ..JobProgress::default() };
+        let (accepted_rules, tries, unconfirmed_claim) =
+            (Some(request.rules()), request.tries(), request.unconfirmed_claim());
+        let progress = JobProgress {
+            key,
+            accepted_rules,
+            tries,
+            unconfirmed_claim,
+            from_backlog: true,
+            ..JobProgress::default()
+        };
         (request.job, progress)
     }
 
@@ -104,7 +111,7 @@
     ) {
         // Admit.
         let mut slot = self.take_slot(&job);
-        if let Some(notice) = progress.ending.take() {
+        if let Some(notice) = progress.pending_notice.take() {
             return self.finish(&job, &progress, Some(notice)).await;
         }
         if answer.is_none() && job.time_left().is_zero() {
@@ -121,13 +128,13 @@
         progress.rules =
             progress.accepted_rules.take().unwrap_or_else(|| self.rules().settings.classes[class].clone());
         if let (Some(hooks), Some(_)) = (&self.hooks, &answer) {
-            let ruling = hooks.admit(&job, job.time_left());
-            if ruling.refuse {
-                return self.refuse_job(&job, answer, Refusal::Refused { after: ruling.retry_after });
+            let hook_decision = hooks.admit(&job, job.time_left());
+            if hook_decision.refuse {
+                return self.refuse_job(&job, answer, Refusal::Refused { after: hook_decision.retry_after });
             }
             job.deadline =
-                ruling.time_left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
-            job.label = ruling.label;
+                hook_decision.time_left.map_or(job.deadline, |left| job.deadline.min(clock::now() + left));
+            job.label = hook_decision.label;
         }
         let mut registration = self.register(&job, &progress);
         if progress.from_backlog {
@@ -229,22 +236,23 @@
                         _ => {}
                     }
                     if let Some(hooks) = &self.hooks {
-                        let ruling = hooks.outcome(
+                        let hook_decision = hooks.outcome(
                             &job,
                             job.time_left(),
                             outcome,
                             registration.next_attempt,
                             &node.name,
                         );
-                        job.label = ruling.label.or(job.label);
-                        let time_left = if ruling.refuse { Some(Duration::ZERO) } else { ruling.time_left };
+                        job.label = hook_decision.label.or(job.label);
+                        let time_left =
+                            if hook_decision.refuse { Some(Duration::ZERO) } else { hook_decision.time_left };
                         let deadline = time_left.map(|left| Instant::now() + left);
                         progress.hook_deadline = progress.hook_deadline.into_iter().chain(deadline).min();
-                        progress.hook_retry_after = ruling.retry_after.or(progress.hook_retry_after);
+                        progress.hook_retry_after = hook_decision.retry_after.or(progress.hook_retry_after);
                     }
                 }
             }
-            // Checked before the next order, so that no claim is made once a plug-in has ended the job.
+            // Checked before the next order, so that no claim is made once a hook has ended the job.
             let hook_deadline = progress.hook_deadline.unwrap_or_else(|| Instant::now() + IDLE_WAKEUP);
             if hook_deadline <= Instant::now() {
                 registration.abandon(Order::Queued);
@@ -288,7 +296,8 @@
         let limit = share.as_ref().map_or(limit, Share::limit);
         let limit =
             progress.hook_deadline.map_or(limit, |end| limit.min(end.saturating_duration_since(sent)));
-        let not_after = progress.risk.as_ref().and_then(|risk| key_memory_end(&progress.rules, risk));
+        let not_after =
+            progress.unconfirmed_claim.as_ref().and_then(|claim| key_memory_end(&progress.rules, claim));
         let permit = self.permit(progress.key, node, not_after);
         self.state.borrow_mut().in_flight.insert(progress.key, permit.clone());
         self.count_call(job.dest, true);
@@ -350,7 +359,7 @@
             Some(_) if outcome.never_ran() => {
                 self.record_never_ran(progress.key, &job.id);
             }
-            Some(claim) => _ = progress.risk.get_or_insert(claim),
+            Some(claim) => _ = progress.unconfirmed_claim.get_or_insert(claim),
             // Not a byte was sent.
             None => {}
         }
@@ -433,7 +442,8 @@
 
     /// Whether submitting the job again is harmless according to the rules of its class.
     fn may_return(&self, job: &Job, progress: &JobProgress) -> bool {
-        (progress.risk.is_none() || progress.rules.may_be_resubmitted()) && !job.time_left().is_zero()
+        (progress.unconfirmed_claim.is_none() || progress.rules.may_be_resubmitted())
+            && !job.time_left().is_zero()
     }
 
     /// Writes a new job to the journal; `None` if that is impossible.
@@ -455,13 +465,13 @@
     fn register(&self, job: &Job, progress: &JobProgress) -> Registration<'_, C> {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
-        let risk = progress.risk.as_ref().map(|risk| {
-            let ago = risk.age(now);
-            let zone = risk.zone.as_ref().and_then(|z| self.rules().names.zones.iter().position(|n| n == z));
+        let unconfirmed = progress.unconfirmed_claim.as_ref().map(|claim| {
+            let ago = claim.age(now);
+            let zone = claim.zone.as_ref().and_then(|z| self.rules().names.zones.iter().position(|n| n == z));
             UnconfirmedAttempt {
                 sent: self.module_time(Instant::now()).saturating_sub(nanos(ago)),
                 // A node that is no longer listed gets a number that no node has; numbers are never reused.
-                endpoint: state.nodes.by_name(&risk.node).map_or(EndpointId(u32::MAX), |node| node.id),
+                endpoint: state.nodes.by_name(&claim.node).map_or(EndpointId(u32::MAX), |node| node.id),
                 zone: zone.map(ZoneId),
             }
         });
@@ -484,7 +494,7 @@
             retry: job.retry,
             reconnect: job.reconnect,
             previous_attempts: progress.tries,
-            unconfirmed: risk,
+            unconfirmed,
             restored: progress.restarted,
             rules: Some(progress.rules.clone()),
         }));
@@ -494,9 +504,9 @@
 }
 
 /// Until when the nodes remember the idempotency key of an earlier claim; `None` if repeats are harmless.
-fn key_memory_end(rules: &Class, risk: &RecordedClaim) -> Option<Instant> {
+fn key_memory_end(rules: &Class, claim: &RecordedClaim) -> Option<Instant> {
     let memory = Duration::from_nanos(rules.resend_window()?);
-    Some(Instant::now() + memory.saturating_sub(risk.age(clock::now())))
+    Some(Instant::now() + memory.saturating_sub(claim.age(clock::now())))
 }
 
 /// A job's registration with the decision module, which ends when this is dropped.
@@ -549,7 +559,7 @@
         });
     }
 
-    /// Tells the decision module that the job is abandoned, and reports ordered claims as not sent: without an outcome
+    /// Notifies the decision module that the job is abandoned, and reports ordered claims as not sent: without an outcome
     /// they would occupy their slots for ever.
     fn abandon(&mut self, order: Order) {
         let mut order = Some(order);
--- a/relay/src/core/mod.rs
+++ b/relay/src/core/mod.rs
@@ -74,7 +74,7 @@
 }
 
 struct State {
-    courier: Dispatcher,
+    dispatcher: Dispatcher,
     /// Events since the last round.
     inbox: Vec<Event>,
     timers: BinaryHeap<Reverse<(Instant, u64)>>,
@@ -171,7 +171,7 @@
     predecessor_claims: Cell<usize>,
 }
 
-/// Start of the decision module's clock. One hour, since the module takes times near zero to be long ago.
+/// Start of the decision module's clock. One hour, since the module treats times near zero as long ago.
 const CLOCK_START: Duration = Duration::from_secs(3600);
 /// The backoff in refusals that the decision module did not decide on.
 const DEFAULT_BACKOFF: Duration = Duration::from_secs(1);
@@ -191,7 +191,7 @@
         metrics: Rc<Metrics>,
     ) -> Rc<Self> {
         let state = State {
-            courier: Dispatcher::new(rules.settings.clone(), seed),
+            dispatcher: Dispatcher::new(rules.settings.clone(), seed),
             inbox: Vec::new(),
             timers: BinaryHeap::new(),
             order_senders: HashMap::new(),
@@ -256,7 +256,7 @@
             self.list_reloaded();
             return;
         }
-        self.state.borrow_mut().courier.apply_settings(rules.settings.clone());
+        self.state.borrow_mut().dispatcher.apply_settings(rules.settings.clone());
         *self.rules.borrow_mut() = Rc::new(rules);
         self.list_reloaded();
         self.reserve_predecessor_slots();
@@ -268,7 +268,7 @@
         let mut rules = (*self.rules()).clone();
         if rules.settings.relays != Some(relays) {
             rules.settings.relays = Some(relays);
-            self.state.borrow_mut().courier.apply_settings(rules.settings.clone());
+            self.state.borrow_mut().dispatcher.apply_settings(rules.settings.clone());
             *self.rules.borrow_mut() = Rc::new(rules);
         }
     }
@@ -338,7 +338,7 @@
         GaugeValues {
             in_progress,
             known,
-            skipped: unavailable + state.courier.down_endpoints(),
+            skipped: unavailable + state.dispatcher.down_endpoints(),
             list_age,
             unwritten_records,
         }
@@ -390,7 +390,7 @@
                 let list_age = self.lease_clock.age(Instant::now());
                 let (open, kept) = {
                     let state = self.state.borrow();
-                    (state.ids.len(), state.courier.record_counts())
+                    (state.ids.len(), state.dispatcher.record_counts())
                 };
                 tracing::info!(
                     front,
--- a/relay/src/core/nodes.rs
+++ b/relay/src/core/nodes.rs
@@ -365,7 +365,7 @@
             });
         }
         self.generation.set(Some(list.generation));
-        // Even if nothing changed, tells the decision module that the list is available.
+        // Even if nothing changed, informs the decision module that the list is available.
         self.update_list(|_| Vec::new());
     }
 
@@ -546,7 +546,7 @@
     /// The timeout of a call to discovery other than the renewal of a watch; `has_list` says whether the call requests
     /// changes to a list rather than a full one.
     pub fn list_call_timeout(&self, has_list: bool) -> Duration {
-        Duration::from_nanos(self.state.borrow().courier.list_timeout(has_list))
+        Duration::from_nanos(self.state.borrow().dispatcher.list_timeout(has_list))
     }
 
     /// Creates the permit to send a job's claim to a node, valid until `not_after` if given.
--- a/relay/src/core/rounds.rs
+++ b/relay/src/core/rounds.rs
@@ -89,10 +89,10 @@
             events.push(Event::Timer { nonce });
         }
         self.log_lease_change(now);
-        state.courier.set_list_lease(self.lease_clock.ends_at());
-        state.courier.pause_calls(self.journal_health.is_failing());
+        state.dispatcher.set_list_lease(self.lease_clock.ends_at());
+        state.dispatcher.pause_calls(self.journal_health.is_failing());
         let mut actions = Vec::new();
-        state.courier.on_round(self.module_time(now), &events, &mut actions);
+        state.dispatcher.on_round(self.module_time(now), &events, &mut actions);
         let mut bundles = HashMap::new();
         for action in actions {
             self.execute(state, now, action, &mut bundles);
--- a/relay/src/discovery.rs
+++ b/relay/src/discovery.rs
@@ -55,7 +55,7 @@
     mut known_generation: Option<u64>,
     sharing: Option<ListSharing>,
 ) {
-    // Where lists are pushed, their source is on this machine and has no queue: the module does not request them.
+    // Where lists are pushed, their source is on this machine and has no queue: the decision module does not request them.
     let mut pushed = !core.rules().settings.list_on_request;
     let mut restart = false;
     let mut doubtful_failures = 0;
@@ -74,7 +74,7 @@
         }
         let current = server.borrow_and_update().clone();
         tokio::select! {
-            // It is another instance's turn now; this one waits for its next turn, whatever the module requests.
+            // It is another instance's turn now; this one waits for its next turn, whatever the decision module requests.
             () = turn_ended(&sharing) => restart = true,
             // Guards against following the old server to its end, or calling the new one only after a backoff.
             Ok(()) = server.changed() => restart = true,
@@ -198,7 +198,7 @@
             *known_generation = Some(generation);
             sharing.call_answered(begun, &list);
             if std::mem::take(&mut first) {
-                // Only tells the module that the list is available; its entries are applied from the shared list.
+                // Only informs the decision module that the list is available; its entries are applied from the shared list.
                 apply(core, NodeList::new(generation, false, Vec::new()), answered);
             }
             continue;
@@ -218,7 +218,7 @@
             *known_generation = None;
             renewal = false;
         }
-        // The first response is applied even if nothing changed, so that the module learns that the list is available.
+        // The first response is applied even if nothing changed, so that the decision module learns that the list is available.
         if std::mem::take(&mut first) || whole || changes > 0 {
             core.lists_applied().await;
             if lower {
--- a/relay/src/handover/mod.rs
+++ b/relay/src/handover/mod.rs
@@ -261,7 +261,7 @@
         };
         if let Action::Refuse(why) = self.handle(Event::Hello { version }) {
             tracing::warn!(version, why, "upgrade: a successor is refused");
-            // If the frame is lost, the end of the connection tells the successor the same.
+            // If the frame is lost, the end of the connection has the same effect.
             let _ = stream.write_all(&Frame::Refused(why.into()).encode()).await;
             return;
         }
@@ -294,8 +294,8 @@
         };
         let mut state = core.hand_over(successor.clone());
         state.drained = drained;
-        let (nodes, waits, out) = (state.nodes.len(), state.waits.len(), state.in_flight.len());
-        tracing::info!(nodes, waits, out, "upgrade: the relay is handed over");
+        let (nodes, waits, in_flight) = (state.nodes.len(), state.waits.len(), state.in_flight.len());
+        tracing::info!(nodes, waits, out = in_flight, "upgrade: the relay is handed over");
         for part in std::mem::take(&mut state.nodes).chunks(NODES_PER_FRAME) {
             drop(successor.frames.send(Frame::Nodes(part.to_vec())));
         }
--- a/relay/src/handover_state.rs
+++ b/relay/src/handover_state.rs
@@ -13,7 +13,7 @@
     pub nodes: Vec<ListedNode>,
     /// Requested waits that are not over yet.
     pub waits: Vec<RequestedWait>,
-    pub learned: Vec<LearnedUnit>,
+    pub learned: Vec<LearnedDestination>,
     /// The most recent answers to submitters, by message ID.
     pub recent: Vec<(String, Answer)>,
     /// Jobs with a claim in flight, whose outcome the process that made the claim will report.
@@ -34,11 +34,11 @@
     pub weight: Option<f64>,
     /// When it last started, as Unix time in milliseconds; 0 if long ago.
     pub started_ms: u64,
-    /// When an operator last enabled it again, likewise.
+    /// When an operator last enabled it again, in the same form.
     pub reenabled_ms: u64,
 }
 
-/// A wait that a destination asked for, or one node of it where nodes are separate routes.
+/// A wait that a destination requested, or one node of it where nodes are separate routes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestedWait {
     pub dest: u64,
@@ -46,33 +46,34 @@
     pub left: Duration,
 }
 
-/// What the decision module learned of a destination or route, with nodes by name; see [`slatethread::Learned`].
+/// What the decision module learned of a destination or route, with nodes by name; see [`slatethread::DestinationSnapshot`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LearnedUnit {
+pub struct LearnedDestination {
     pub dest: u64,
     pub route: Option<String>,
-    pub wait_left: Duration,
+    /// Remaining time for which it asked not to be called.
+    pub retry_after_left: Duration,
     /// Number of calls that may be in flight at once.
     pub window: f64,
     /// Calls per second; infinite if no limit was found.
-    pub pace: f64,
-    /// Time since the pace was last cut.
-    pub cut_ago: Option<Duration>,
-    /// The most calls per second that it served without refusing any.
-    pub proven: f64,
-    /// Least completion time, in seconds.
-    pub least: Option<f64>,
-    /// Latest completion time, in seconds.
-    pub recent: f64,
-    /// Mean completion time, in seconds.
-    pub mean: f64,
+    pub rate: f64,
+    /// Time since the rate was last reduced.
+    pub rate_cut_ago: Option<Duration>,
+    /// Highest rate, in calls per second, that it served without a refusal.
+    pub proven_rate: f64,
+    /// Lowest latency, in seconds, if one was measured.
+    pub min_latency: Option<f64>,
+    /// Latest latency, in seconds.
+    pub latest_latency: f64,
+    /// Mean latency, in seconds.
+    pub mean_latency: f64,
     pub answered_ago: Duration,
     /// Messages per second that arrived for it.
     pub demand: f64,
     pub nodes: Vec<LearnedNode>,
 }
 
-/// What the decision module learned of an execute node; see [`slatethread::LearnedPeer`].
+/// What the decision module learned of an execute node; see [`slatethread::EndpointSnapshot`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedNode {
     pub name: String,
@@ -81,11 +82,11 @@
     /// Time since it began to answer again after an outage.
     pub returning_ago: Option<Duration>,
     /// Time since it was last up.
-    pub since_ago: Duration,
+    pub unhealthy_ago: Duration,
     /// Moving average of its failures.
-    pub bad: f64,
-    /// Time to its next trial call.
-    pub trial_left: Duration,
+    pub failure_average: f64,
+    /// Time until its next trial call.
+    pub next_trial_in: Duration,
     /// Time since it last served a call.
     pub served_ago: Option<Duration>,
 }
--- a/relay/src/idle_pool.rs
+++ b/relay/src/idle_pool.rs
@@ -12,7 +12,7 @@
 /// Identifies an idle connection.
 pub type ConnectionId = u64;
 
-/// The open connections of a frontend to its nodes.
+/// The open connections of a front to its nodes.
 #[derive(Debug, Default)]
 pub struct IdlePool {
     max_open: Option<usize>,
--- a/relay/src/instances/lists.rs
+++ b/relay/src/instances/lists.rs
@@ -21,8 +21,8 @@
 const MAX_QUEUED_MESSAGES: usize = 64;
 /// Time allowed for opening a link, and for writing a message to it.
 const LINK_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after which an instance that cannot listen yet, because its predecessor process still does, calls the list service
-/// on its own.
+/// Time after which an instance that cannot listen yet, because its predecessor process still does, calls discovery on its
+/// own.
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay before the list of an earlier process is used, if no newer one has arrived by then: its addresses may belong to
 /// other machines by now. The delay still lets an instance without peers serve within its first second.
@@ -43,12 +43,12 @@
     cancelled: CancellationToken,
 }
 
-/// The list of execute nodes, as received from the list service or from other instances.
+/// The list of execute nodes, as received from discovery or from other instances.
 pub struct SharedLists {
     limits: ListSharingLimits,
     started_at: Instant,
     lists: RefCell<Option<Lists>>,
-    /// Whether this instance is to call the list service.
+    /// Whether this instance is to call discovery.
     polling: watch::Sender<bool>,
     /// Notified when sharing starts.
     started: Notify,
@@ -189,7 +189,7 @@
     }
 }
 
-/// Coordinates this instance's calls to the list service when lists are shared.
+/// Coordinates this instance's calls to discovery when lists are shared.
 #[derive(Clone)]
 pub struct ListSharing {
     pub(super) instances: Rc<Instances>,
@@ -197,7 +197,7 @@
 }
 
 impl ListSharing {
-    /// Waits until this instance is to call the list service.
+    /// Waits until this instance is to call discovery.
     pub async fn wait_until_poller(&self) {
         let shared = &self.shared;
         if shared.lists.borrow().is_none() {
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Waits until this instance is no longer to call the list service.
+    /// Waits until this instance is no longer to call discovery.
     pub async fn wait_while_poller(&self) {
         let shared = &self.shared;
         if shared.lists.borrow().is_none() {
--- a/relay/src/instances/mod.rs
+++ b/relay/src/instances/mod.rs
@@ -256,9 +256,9 @@
                 SwimOutput::Changed(MembershipChange::Updated(m)) => {
                     tracing::info!(name = m.name, address = %m.address, zone = m.zone, "instances: member is up again (restarted or changed)");
                 }
-                SwimOutput::Changed(MembershipChange::Refuted(life)) => {
+                SwimOutput::Changed(MembershipChange::Refuted(incarnation)) => {
                     tracing::warn!(
-                        life,
+                        life = incarnation,
                         "instances: other members considered this one down; it has refuted that"
                     );
                 }
--- a/relay/src/instances/shares.rs
+++ b/relay/src/instances/shares.rs
@@ -1,4 +1,4 @@
-//! Divides the limits of a front among the live instances. [`Count`] decides by how many they are divided.
+//! Divides the limits of a front among the live instances. [`InstanceCount`] decides by how many they are divided.
 use onyxglade_instances::InstanceCount;
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,10 +7,11 @@
 use super::Instances;
 use crate::core::{Core, Transport};
 
-/// Sleep time while [`Count`] has no pending change.
+/// Sleep time while [`InstanceCount`] has no pending change.
 const IDLE_SLEEP: Duration = Duration::from_secs(3600);
 
-/// Divides the limits of a front among the live instances, as they come and go. Starts with the number in the settings.
+/// Divides the limits of a front among the live instances, and again whenever their number changes. Starts with the number in the
+/// settings.
 pub async fn divide_limits<C: Transport>(core: Rc<Core<C>>, instances: Rc<Instances>) {
     let mut members = instances.members.subscribe();
     let expected = core.rules().settings.relays.unwrap_or(1);
--- a/relay/src/job.rs
+++ b/relay/src/job.rs
@@ -18,7 +18,7 @@
     pub retry: bool,
     /// Whether a relay that had accepted it before has crashed.
     pub reconnect: bool,
-    /// A label set by a plug-in, for the log.
+    /// A label set by a hook, for the log.
     pub label: Option<String>,
     /// Name-value pairs that only the front reads; the core passes them through unchanged.
     pub fields: Vec<(String, Bytes)>,
@@ -133,7 +133,7 @@
     span.as_nanos().min(u128::from(u64::MAX)) as u64
 }
 
-/// Upper bound on the waits that nodes and plug-ins request.
+/// Upper bound on the waits that nodes and hooks request.
 const MAX_WAIT: Duration = Duration::from_secs(24 * 3600);
 
 /// Limits a requested wait to `MAX_WAIT`, since a huge value would overflow the clock.
--- a/relay/src/journal.rs
+++ b/relay/src/journal.rs
@@ -3,10 +3,10 @@
 //! Nothing is synced: the platform guarantees that written data outlasts the process. The file is rewritten with the open jobs
 //! only, before it and its replacement together could exceed the folder's limit.
 //!
-//! Memory is never ahead of the file except for deferred records: that an attempt never ran, that a job is removed, and the
+//! Memory is never ahead of the file except for deferred records: that a claim never ran, that a job is removed, and the
 //! end of a job whose time is over. These facts hold whether or not they are recorded, and a process that does not find
 //! them errs on the safe side. Deferred records are written before any other. A record that others are notified of
-//! ([`Acceptance`], [`FinalNotice`], an attempt) takes effect only once it is written.
+//! ([`Acceptance`], [`FinalNotice`], a claim) takes effect only once it is written.
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -52,7 +52,7 @@
     /// How many claims were made.
     pub tries: u32,
     /// The first claim that may have run.
-    pub risk: Option<RecordedClaim>,
+    pub unconfirmed_claim: Option<RecordedClaim>,
     /// How it ended, if that was decided; the notice may not have been delivered.
     pub pending_notice: Option<Notice>,
     /// Its place in the backlog, which may still have it.
@@ -176,8 +176,8 @@
     }
 
     /// The first claim of a job that may have run.
-    pub fn risk(&self, key: Key) -> Option<RecordedClaim> {
-        self.live.get(&key).and_then(|live| live.claims.risk.clone())
+    pub fn unconfirmed_claim(&self, key: Key) -> Option<RecordedClaim> {
+        self.live.get(&key).and_then(|live| live.claims.unconfirmed_claim.clone())
     }
 
     /// Prepares the journal for requests that are exchanged with the backlog on disk.
@@ -239,7 +239,8 @@
                 }
                 Record::NeverRan(key) => self.update(key, |live| live.claims.never_ran()),
                 Record::ClaimHistory(key, mut claims) => {
-                    claims.risk = claims.risk.map(|claim| self.claim_from_folder(claim));
+                    claims.unconfirmed_claim =
+                        claims.unconfirmed_claim.map(|claim| self.claim_from_folder(claim));
                     self.update(key, |live| live.claims = claims);
                 }
                 Record::Notice(key, notice) => self.update(key, |live| live.pending_notice = Some(notice)),
@@ -264,9 +265,9 @@
         }
         let open = open.into_iter().filter_map(|(key, job)| {
             let live = self.live.get(&key)?;
-            let ClaimHistory { tries, risk, .. } = live.claims.clone();
+            let ClaimHistory { tries, unconfirmed_claim, .. } = live.claims.clone();
             let (rules, pending_notice) = (live.rules.clone(), live.pending_notice.clone());
-            Some(OpenJob { key, job, rules, tries, risk, pending_notice, place: live.place })
+            Some(OpenJob { key, job, rules, tries, unconfirmed_claim, pending_notice, place: live.place })
         });
         Ok(open.collect())
     }
@@ -276,8 +277,8 @@
     fn mark_claims_unknown(&mut self) {
         let unknown = RecordedClaim { sent: SystemTime::UNIX_EPOCH, node: String::new(), zone: None };
         for live in self.live.values_mut() {
-            live.claims.risk.get_or_insert_with(|| unknown.clone());
-            live.claims.risk_is_latest = false;
+            live.claims.unconfirmed_claim.get_or_insert_with(|| unknown.clone());
+            live.claims.unconfirmed_is_latest = false;
         }
     }
 
@@ -325,8 +326,8 @@
 
     /// The record of a job's claim history, with times on the folder's clock.
     fn claims_record(&self, key: Key, claims: &ClaimHistory) -> Record {
-        let risk = claims.risk.as_ref().map(|claim| self.claim_to_folder(claim));
-        Record::ClaimHistory(key, ClaimHistory { risk, ..claims.clone() })
+        let unconfirmed_claim = claims.unconfirmed_claim.as_ref().map(|claim| self.claim_to_folder(claim));
+        Record::ClaimHistory(key, ClaimHistory { unconfirmed_claim, ..claims.clone() })
     }
 
     fn job_record(&self, key: Key, job: &Job) -> Record {
--- a/relay/src/journal/queued.rs
+++ b/relay/src/journal/queued.rs
@@ -78,13 +78,13 @@
     }
 
     /// The first claim that may have run.
-    pub fn risk(&self) -> Option<RecordedClaim> {
-        self.claims.risk.clone()
+    pub fn unconfirmed_claim(&self) -> Option<RecordedClaim> {
+        self.claims.unconfirmed_claim.clone()
     }
 
     /// Whether one of its claims may have run.
     pub fn may_have_run(&self) -> bool {
-        self.claims.risk.is_some()
+        self.claims.unconfirmed_claim.is_some()
     }
 }
 
--- a/relay/src/journal/queued/tests.rs
+++ b/relay/src/journal/queued/tests.rs
@@ -58,7 +58,7 @@
         let (_, open) = Journal::open(folder.path(), LIMIT).expect("it opens");
         assert_eq!((open.len(), open[0].place, open[0].tries), (1, Some(place(5)), 1));
         assert_eq!(open[0].job, job("a", 9));
-        assert_eq!(open[0].risk, Some(claim(1)));
+        assert_eq!(open[0].unconfirmed_claim, Some(claim(1)));
     }
 }
 
@@ -78,10 +78,10 @@
 
     let again = QueuedRequest::decode(&back.encode()).expect("a request");
     let key = journal.record_fetched(&again, place(5)).expect("written").expect("room");
-    assert_eq!(journal.risk(key), Some(claim(1)));
+    assert_eq!(journal.unconfirmed_claim(key), Some(claim(1)));
     drop(journal);
     let (_, open) = Journal::open(folder.path(), LIMIT).expect("it opens");
-    assert_eq!((open.len(), open[0].tries, open[0].risk.clone()), (1, 2, Some(claim(1))));
+    assert_eq!((open.len(), open[0].tries, open[0].unconfirmed_claim.clone()), (1, 2, Some(claim(1))));
 }
 
 #[test]
--- a/relay/src/journal/record.rs
+++ b/relay/src/journal/record.rs
@@ -130,22 +130,22 @@
 pub(super) struct ClaimHistory {
     pub tries: u32,
     /// The first claim that may have run.
-    pub risk: Option<RecordedClaim>,
-    /// Whether `risk` is the latest claim, which may still turn out never to have run.
-    pub risk_is_latest: bool,
+    pub unconfirmed_claim: Option<RecordedClaim>,
+    /// Whether `unconfirmed_claim` is the latest claim, which may still turn out never to have run.
+    pub unconfirmed_is_latest: bool,
 }
 
 impl ClaimHistory {
     pub fn add(&mut self, claim: RecordedClaim) {
         self.tries += 1;
-        self.risk_is_latest = self.risk.is_none();
-        self.risk.get_or_insert(claim);
+        self.unconfirmed_is_latest = self.unconfirmed_claim.is_none();
+        self.unconfirmed_claim.get_or_insert(claim);
     }
 
     /// The latest claim never ran.
     pub fn never_ran(&mut self) {
-        if std::mem::take(&mut self.risk_is_latest) {
-            self.risk = None;
+        if std::mem::take(&mut self.unconfirmed_is_latest) {
+            self.unconfirmed_claim = None;
         }
     }
 }
--- a/relay/src/journal/tests.rs
+++ b/relay/src/journal/tests.rs
@@ -62,7 +62,7 @@
         let (_, open) = Journal::open(folder.path(), 100_000).expect("it opens");
         let ids: Vec<_> = open.iter().map(|o| o.job.id.as_str()).collect();
         assert_eq!(ids, ["a", "c", "d"]);
-        assert_eq!((open[0].tries, open[0].risk.clone()), (3, Some(claim(2))));
+        assert_eq!((open[0].tries, open[0].unconfirmed_claim.clone()), (3, Some(claim(2))));
         assert_eq!(open[1].pending_notice, Some(notice.clone()));
         assert_eq!(open[2].job, job("d", 9));
     }
@@ -178,8 +178,9 @@
             let this = ids.iter().position(|id| *id == open.job.id).expect("one of them");
             let before = this < owners[..record].iter().filter(|(_, is_job)| *is_job).count();
             let claimed = this == 0 && record != 6 && record != 0;
-            assert_eq!(open.risk.is_some(), before || claimed, "byte {byte}, {}", open.job.id);
-            let unknown = open.risk.as_ref().is_some_and(|risk| risk.sent == SystemTime::UNIX_EPOCH);
+            assert_eq!(open.unconfirmed_claim.is_some(), before || claimed, "byte {byte}, {}", open.job.id);
+            let unknown =
+                open.unconfirmed_claim.as_ref().is_some_and(|claim| claim.sent == SystemTime::UNIX_EPOCH);
             // A claim that was read before the damage keeps its time.
             assert_eq!(unknown, before && !(this == 0 && record > 6), "byte {byte}, {}", open.job.id);
             let has_rules = open.rules == Some(rules());
@@ -257,13 +258,13 @@
         let whole = at.iter().filter(|end| **end <= cut).count() - 2;
         let open = read(&bytes[..cut]);
         let found = open.first().map_or((false, 0, None, false), |open| {
-            let sent = open.risk.as_ref().map(claim_time);
+            let sent = open.unconfirmed_claim.as_ref().map(claim_time);
             (true, open.tries, sent, open.pending_notice.is_some())
         });
         assert_eq!(found, after[whole], "{cut} bytes");
     }
 }
 
-fn claim_time(risk: &RecordedClaim) -> u64 {
-    risk.sent.duration_since(SystemTime::UNIX_EPOCH).expect("after the epoch").as_secs()
+fn claim_time(claim: &RecordedClaim) -> u64 {
+    claim.sent.duration_since(SystemTime::UNIX_EPOCH).expect("after the epoch").as_secs()
 }
--- a/relay/src/journal/tests_of_faults.rs
+++ b/relay/src/journal/tests_of_faults.rs
@@ -87,7 +87,7 @@
         };
         prop_assert!(!reported.removal_recorded, "{id} was removed and is open");
         prop_assert_eq!(open.tries, reported.tries, "{}", id);
-        prop_assert!(open.risk.is_some() || !reported.may_have_run, "{id} may have run");
+        prop_assert!(open.unconfirmed_claim.is_some() || !reported.may_have_run, "{id} may have run");
         if reported.end.is_some() {
             prop_assert_eq!(&open.pending_notice, &reported.end, "{}", id);
         }
@@ -137,7 +137,7 @@
                 Step::NeverRan(which) => {
                     let Some(reported) = chosen(which).and_then(|id| accepted.get_mut(&id)) else { continue };
                     let _ = journal.record_never_ran(reported.key);
-                    reported.may_have_run = journal.risk(reported.key).is_some();
+                    reported.may_have_run = journal.unconfirmed_claim(reported.key).is_some();
                 }
                 Step::Notice(which) => {
                     let Some(id) = chosen(which) else { continue };
@@ -175,7 +175,7 @@
                         reported.removed = !open.contains_key(id);
                         reported.removal_recorded = reported.removed;
                         let Some(open) = open.get(id) else { continue };
-                        (reported.may_have_run, reported.end) = (open.risk.is_some(), open.pending_notice.clone());
+                        (reported.may_have_run, reported.end) = (open.unconfirmed_claim.is_some(), open.pending_notice.clone());
                     }
                 }
             }
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -1,10 +1,10 @@
 //! A relay for messages to partner systems. The `slatethread` crate, called the decision module, decides what is sent when and where;
 //! this program does the I/O.
 //!
-//! A frontend accepts messages over one protocol and sends them to execute nodes. The modules form layers, each of which imports
+//! A front accepts messages over one protocol and sends them to execute nodes. The modules form layers, each of which imports
 //! only those before it: plain values ([`clock`], [`job`]); data that is read and written ([`config`], [`list`], [`tls`], [`journal`],
-//! [`notice`], [`import`], [`figures`], [`disabled`]); plug-ins ([`hook`]); messages queued on disk ([`backlog`]); the processing of
-//! jobs ([`core`]); what frontends share ([`availability`], [`connection_limiter`], [`discovery`]); the frontends ([`platform`],
+//! [`notice`], [`import`], [`metrics`], [`disabled`]); hook scripts ([`hook`]); messages queued on disk ([`backlog`]); the processing of
+//! jobs ([`core`]); what fronts share ([`availability`], [`connection_limiter`], [`discovery`]); the fronts ([`platform`],
 //! [`push`]); the admin address ([`admin`], and `admin_client` to call it); and startup and shutdown ([`run`]).
 #![forbid(unsafe_code)]
 
--- a/relay/src/main.rs
+++ b/relay/src/main.rs
@@ -13,7 +13,7 @@
 
 /// Relays messages to partner systems outside its control.
 ///
-/// Without a command, runs the relay. The platform frontend is enabled if BALANCER_CONFIG is set, the push frontend if the
+/// Without a command, runs the relay. The platform front is enabled if BALANCER_CONFIG is set, the push front if the
 /// file given with --config has a table [push]. SIGHUP reloads the configuration, SIGTERM shuts down within 3.5 s.
 #[derive(Parser)]
 #[command(version, args_conflicts_with_subcommands = true)]
@@ -26,7 +26,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run the configured frontends (the default)
+    /// Run the configured fronts (the default)
     Run(Run),
     /// Check a configuration file: the relay's own (TOML) or the platform's (JSON). Prints each error with its key;
     /// exits with 0 if there are none, else with 2
@@ -187,8 +187,8 @@
 /// Prints the converted file to standard output, and what was not converted to standard error.
 fn import_nginx(file: &Path) -> ExitCode {
     match import::import_file(file) {
-        Ok((text, remarks)) => {
-            remarks.iter().for_each(|remark| eprintln!("{}: {remark}", file.display()));
+        Ok((text, diagnostics)) => {
+            diagnostics.iter().for_each(|diagnostic| eprintln!("{}: {diagnostic}", file.display()));
             match std::io::stdout().write_all(text.as_bytes()) {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(_) => ExitCode::FAILURE,
--- a/relay/src/platform/connection.rs
+++ b/relay/src/platform/connection.rs
@@ -2,7 +2,7 @@
 //!
 //! awc hides whether the bytes of a call were written, takes a 1xx response for the final one, discards the status line of a response
 //! that it cannot parse, and reuses a connection whatever was received on it. So awc gets a [`NodeStream`] for one call only. The stream
-//! asks the claim's ticket for permission before the first byte, marks it as sent after the last one, and tracks the response. The
+//! asks the claim's [`SendPermit`] for permission before the first byte, marks it as sent after the last one, and tracks the response. The
 //! socket returns to the [`NodePool`] only if nothing but the response was received on it.
 use actix_rt::net::{ActixStream, Ready, TcpStream};
 use slatethread::{EndpointId, Report};
@@ -37,7 +37,7 @@
 
 /// The state of one call as seen at the socket.
 pub struct CallTrace {
-    /// The tickets of all messages of the call.
+    /// The permits of all messages of the call.
     permits: Vec<Rc<SendPermit>>,
     socket: RefCell<Option<Rc<LeasedSocket>>>,
     denied: Cell<bool>,
@@ -74,7 +74,7 @@
         self.permits.iter().for_each(|permit| permit.set_wait(wait));
     }
 
-    /// Whether the call may be sent now; if so, its tickets record that it begins.
+    /// Whether the call may be sent now; if so, its permits record that it begins.
     fn begin(&self) -> bool {
         let permitted = self.permits.iter().all(|permit| permit.may_begin())
             && self.permits.iter().all(|permit| permit.begin());
@@ -93,7 +93,7 @@
         self.is_sent() || self.permits.iter().all(|permit| permit.may_continue())
     }
 
-    /// Whether a ticket denied permission to send.
+    /// Whether a permit denied permission to send.
     pub fn was_denied(&self) -> bool {
         self.denied.get()
     }
@@ -135,7 +135,7 @@
     peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// All connections of the frontend to its nodes: counts the open ones, and finds the idle ones of each node.
+/// All connections of the front to its nodes: counts the open ones, and finds the idle ones of each node.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle_pool: RefCell<IdlePool>,
--- a/relay/src/platform/mod.rs
+++ b/relay/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The frontend for the platform's protocol: serves submitters with actix-http, sends claims and notices with awc.
+//! The front for the platform's protocol: serves submitters with actix-http, sends claims and notices with awc.
 mod batch;
 pub mod carrier;
 mod chunks;
--- a/relay/src/push/server.rs
+++ b/relay/src/push/server.rs
@@ -91,7 +91,7 @@
     }
 
     /// Accepts submitters' connections and serves their requests.
-    pub async fn accept(self: Rc<Self>, listener: TcpListener, places: Rc<ConnectionLimiter>) {
+    pub async fn accept(self: Rc<Self>, listener: TcpListener, limiter: Rc<ConnectionLimiter>) {
         let tls_server = self.clone();
         let service = HttpService::build()
             .keep_alive(KeepAlive::Timeout(KEEP_ALIVE))
@@ -105,7 +105,7 @@
             let tls = tls_server.tls.borrow().clone();
             async move { Ok::<_, DispatchError>((tls_handshake(stream, tls).await?, peer)) }
         });
-        connection_limiter::accept(listener, places, CONNECTION_POLICY, handshake.and_then(service)).await;
+        connection_limiter::accept(listener, limiter, CONNECTION_POLICY, handshake.and_then(service)).await;
     }
 
     async fn serve(&self, mut request: Request) -> Response<String> {
--- a/relay/src/run.rs
+++ b/relay/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the configured frontends, handles signals, and shuts down.
+//! Starts the configured fronts, handles signals, and shuts down.
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::sleep;
 
-use crate::admin::{Admin, AvailabilityControl, Frontend};
+use crate::admin::{Admin, AvailabilityControl, Front};
 use crate::availability::{Availability, AvailabilityEvent};
 use crate::backlog::{Backlog, BacklogClass};
 use crate::clock;
@@ -65,7 +65,7 @@
     }
 }
 
-/// Runs the configured frontends until SIGTERM.
+/// Runs the configured fronts until SIGTERM.
 pub async fn run(file: Option<PathBuf>) -> Result<(), Error> {
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let mut reload = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
@@ -81,22 +81,22 @@
             "no front is configured: set BALANCER_CONFIG or name a file with [push] (--config FILE)";
         return Err(Error::Configuration(message.into()));
     }
-    // Each frontend loads the script for itself.
+    // Each front loads the script for itself.
     let hooks = || own.hook.as_ref().map(Hooks::load).transpose().map_err(Error::Configuration);
     let platform_admin = platform.as_ref().and_then(|platform| platform.admin);
     let admin_address =
         config::admin_address_from_env().map_err(Error::Configuration)?.or(platform_admin).or(own.admin);
     let rules = platform.as_ref().map(|p| &p.rules).into_iter().chain(own.push.as_ref().map(|p| &p.rules));
-    let figures = Metrics::new(rules.flat_map(|rules| &rules.names.classes));
+    let metrics = Metrics::new(rules.flat_map(|rules| &rules.names.classes));
     let process = Rc::new(ProcessAvailability::default());
-    let admin = Admin::new(figures.clone(), process.clone());
+    let admin = Admin::new(metrics.clone(), process.clone());
     if let Some(address) = admin_address {
         let listener = listen("BALANCER_ADMIN", address)?;
         tracing::info!(listen = %listener.local_addr().unwrap_or(address), "admin address is ready");
         actix_rt::spawn(admin.clone().accept(listener, Rc::new(ConnectionLimiter::new(ADMIN_CONNECTIONS))));
     }
     let name = platform.as_ref().map(|platform| platform.name.clone());
-    // Instances share the lists of the platform frontend only: the gateways of the push frontend are in the file.
+    // Instances share the lists of the platform front only: the gateways of the push front are in the file.
     let lists = platform.as_ref().map(|platform| instances::ListSharingLimits {
         max_age: platform.rules.list_max_age(),
         max_bytes: own.idle.list_limit,
@@ -106,9 +106,7 @@
         Instances::start(settings, name, lists)
     });
     if lists.is_none() && instances.as_ref().is_some_and(|instances| instances.shares_lists()) {
-        tracing::warn!(
-            "instances.lists has no effect: there is no list to share without the platform frontend"
-        );
+        tracing::warn!("instances.lists has no effect: there is no list to share without the platform front");
     }
     let sharing = instances.as_ref().and_then(Instances::list_sharing);
     admin.set_instances(instances.clone());
@@ -120,7 +118,7 @@
                 platform,
                 &own.idle,
                 hooks()?,
-                &figures,
+                &metrics,
                 &process,
                 &admin,
                 upgrades,
@@ -136,7 +134,7 @@
         None => None,
     };
     let push = match own.push {
-        Some(push) => Some(start_push(push, hooks()?, &figures).await?),
+        Some(push) => Some(start_push(push, hooks()?, &metrics).await?),
         None => None,
     };
     if let Some(instances) = instances.as_ref().filter(|instances| instances.shares_limits()) {
@@ -147,9 +145,9 @@
             actix_rt::spawn(instances::divide_limits(push.core.clone(), instances.clone()));
         }
     }
-    figures.config_loaded(true);
-    let first = platform.as_ref().map(|platform| platform.core.clone() as Rc<dyn Frontend>);
-    let second = push.as_ref().map(|push| push.core.clone() as Rc<dyn Frontend>);
+    metrics.config_loaded(true);
+    let first = platform.as_ref().map(|platform| platform.core.clone() as Rc<dyn Front>);
+    let second = push.as_ref().map(|push| push.core.clone() as Rc<dyn Front>);
     process.apply(AvailabilityEvent::Started);
     admin.open(first.into_iter().chain(second).collect());
     loop {
@@ -161,7 +159,7 @@
                     (Some(push), Some(file)) => push.reload(file).await,
                     _ => true,
                 };
-                figures.config_loaded(first && second);
+                metrics.config_loaded(first && second);
             }
         }
     }
@@ -198,7 +196,7 @@
     Ok(())
 }
 
-/// Shuts a frontend down: requests that are complete by now are still answered, and claims in flight may complete.
+/// Shuts a front down: requests that are complete by now are still answered, and claims in flight may complete.
 async fn shut_down<C: Transport>(core: &Core<C>, limiter: &ConnectionLimiter) {
     limiter.terminate();
     core.wind_down(SHUTDOWN_COMPLETION_TIME).await;
@@ -236,7 +234,7 @@
     }
 }
 
-struct PlatformFrontend {
+struct PlatformFront {
     core: Rc<Core<crate::platform::carrier::NodeClient>>,
     limiter: Rc<ConnectionLimiter>,
     budget: Rc<DescriptorBudget>,
@@ -245,7 +243,7 @@
     listen: std::net::SocketAddr,
 }
 
-struct PushFrontend {
+struct PushFront {
     core: Rc<Core<crate::push::gateways::Gateways>>,
     server: Rc<crate::push::server::Server<crate::push::gateways::Gateways>>,
     limiter: Rc<ConnectionLimiter>,
@@ -253,8 +251,8 @@
     state: PathBuf,
 }
 
-impl<C: Transport> Frontend for Core<C> {
-    fn census(&self) -> GaugeValues {
+impl<C: Transport> Front for Core<C> {
+    fn gauge_values(&self) -> GaugeValues {
         Core::gauge_values(self)
     }
 
@@ -269,15 +267,15 @@
 
 /// Creates a core with its journal.
 fn new_core<C: Transport>(
-    carrier: C,
+    transport: C,
     rules: Rules,
     hooks: Option<Hooks>,
     seed: u64,
     state: &Path,
     journal: Journal,
-    figures: &Rc<Metrics>,
+    metrics: &Rc<Metrics>,
 ) -> Rc<Core<C>> {
-    Core::new(carrier, rules, hooks, seed, journal, DisabledNodes::open(state), figures.clone())
+    Core::new(transport, rules, hooks, seed, journal, DisabledNodes::open(state), metrics.clone())
 }
 
 /// Retries an operation on the state folder for as long as its errors may be temporary.
@@ -315,12 +313,12 @@
     retry_in_folder(state, "journal", async || Journal::open(state, disk)).await
 }
 
-/// Starts the background tasks of a frontend's core.
-fn start_tasks<C: Transport>(core: &Rc<Core<C>>, frontend: &'static str) {
+/// Starts the background tasks of a front's core.
+fn start_tasks<C: Transport>(core: &Rc<Core<C>>, front: &'static str) {
     let (rounds, tally, journal) = (core.clone(), core.clone(), core.clone());
     actix_rt::spawn(async move { rounds.run_rounds().await });
     actix_rt::spawn(async move { journal.retry_journal().await });
-    actix_rt::spawn(async move { tally.log_tally(frontend).await });
+    actix_rt::spawn(async move { tally.log_tally(front).await });
 }
 
 /// Opens the socket that submitters connect to: the one passed by the platform, if the environment names one.
@@ -354,13 +352,13 @@
     mut config: config::PlatformConfig,
     idle: &IdleConfig,
     hooks: Option<Hooks>,
-    figures: &Rc<Metrics>,
+    metrics: &Rc<Metrics>,
     process: &ProcessAvailability,
     admin: &Admin,
     upgrades: bool,
     sharing: Option<ListSharing>,
     backlog: Option<&config::BacklogConfig>,
-) -> Result<PlatformFrontend, String> {
+) -> Result<PlatformFront, String> {
     let (lock, predecessor) = match upgrades {
         true => {
             let owned = retry_in_folder(&config.state, "lock", async || {
@@ -396,7 +394,7 @@
     let (mut journal, open) = opened.map_err(|e| format!("BALANCER_STATE: {e}"))?;
     tracing::info!(recovered = open.len(), "journal read");
     journal.keep_lock(lock);
-    let core = new_core(node_client, config.rules, hooks, config.seed, &config.state, journal, figures);
+    let core = new_core(node_client, config.rules, hooks, config.seed, &config.state, journal, metrics);
     if let Some(settings) = backlog {
         settings.check_folder(Some(&config.state))?;
         attach_backlog(&core, settings, &config.name, &open).await?;
@@ -452,7 +450,7 @@
     actix_rt::spawn(server.accept(listener, limiter.clone()));
     process.apply(AvailabilityEvent::Started);
     tracing::info!(name = config.name, listen = %address, "platform front is ready");
-    Ok(PlatformFrontend { core, limiter, budget, handover, discovery_task, listen: config.listen })
+    Ok(PlatformFront { core, limiter, budget, handover, discovery_task, listen: config.listen })
 }
 
 /// Allows claims by the list only while it is confirmed, by this process or, as its record says, by the previous one.
@@ -482,9 +480,9 @@
     let classes: Vec<_> = classes
         .map(|(name, class)| BacklogClass { name: name.clone(), worth: class.worth.unwrap_or(1.0) })
         .collect();
-    let max_held = rules.settings.max_open_messages;
-    let figures = BacklogMetrics::register(core.metrics());
-    let opened = Backlog::open(settings, owner, &classes, max_held, journaled, figures).await;
+    let max_open_messages = rules.settings.max_open_messages;
+    let metrics = BacklogMetrics::register(core.metrics());
+    let opened = Backlog::open(settings, owner, &classes, max_open_messages, journaled, metrics).await;
     let (backlog, actions) = opened.map_err(|error| format!("backlog.folder: {error}"))?;
     core.attach_backlog(backlog, actions).map_err(|error| format!("BALANCER_STATE: {error}"))
 }
@@ -515,7 +513,7 @@
     }
 }
 
-impl PlatformFrontend {
+impl PlatformFront {
     /// Hands all jobs over to a successor process, if one is connected. Returns once nothing is left to do in this process; false
     /// if there was no successor.
     async fn hand_over(&self, drained: bool) -> bool {
@@ -578,9 +576,9 @@
 async fn start_push(
     config: config::PushConfig,
     hooks: Option<Hooks>,
-    figures: &Rc<Metrics>,
-) -> Result<PushFrontend, String> {
-    // This frontend is given no seed: it uses a new one for each start.
+    metrics: &Rc<Metrics>,
+) -> Result<PushFront, String> {
+    // This front is given no seed: it uses a new one for each start.
     let seed = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
     let gateways = crate::push::gateways::Gateways::new(config.pool_limits, config.notices);
     gateways.set_tls(config.gateway_tls.clone());
@@ -588,7 +586,7 @@
     let opened = open_journal(&config.state, config.disk_bytes).await;
     let (journal, open) = opened.map_err(|e| format!("push.state: {e}"))?;
     tracing::info!(recovered = open.len(), "journal read");
-    let core = new_core(gateways, rules, hooks, seed, &config.state, journal, figures);
+    let core = new_core(gateways, rules, hooks, seed, &config.state, journal, metrics);
     open.into_iter().for_each(|open| core.recover(open));
     start_tasks(&core, "push");
     core.apply_list(&config.gateways).await;
@@ -599,10 +597,10 @@
     let limiter = Rc::new(ConnectionLimiter::new(config.connections));
     actix_rt::spawn(server.clone().accept(listener, limiter.clone()));
     tracing::info!(listen = %address, "push front is ready");
-    Ok(PushFrontend { core, server, limiter, listen: config.listen, state: config.state })
+    Ok(PushFront { core, server, limiter, listen: config.listen, state: config.state })
 }
 
-impl PushFrontend {
+impl PushFront {
     /// Reloads the file without dropping a message or a connection. Returns false if it is invalid.
     async fn reload(&self, file: &Path) -> bool {
         match config::load_relay_config(file).and_then(|own| own.push.ok_or("push: the table is gone".into()))
--- a/src/cold_return.rs
+++ b/src/cold_return.rs
@@ -21,7 +21,7 @@
 pub(crate) enum ReturnKind {
     /// It did not restart and has its full capacity.
     Warm,
-    /// Only this endpoint of its destination may be cold, or its trouble was short: its own calls are spaced.
+    /// Only this endpoint of its destination may be cold, or its outage was short: its own calls are spaced.
     SpacedEndpoint,
     /// The whole destination may be cold: its rate is bounded.
     ColdDestination,
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -107,7 +107,7 @@
 }
 
 struct Instance {
-    module: Dispatcher,
+    dispatcher: Dispatcher,
     names: SettingNames,
     events: Vec<Event>,
     /// Whether it is listed in [`Host::order`] for the current round.
@@ -158,8 +158,8 @@
             }
             WireMessage::Attach { courier, rng_seed, env } => {
                 let (settings, names) = translate(*env)?;
-                let module = Dispatcher::new(settings, rng_seed);
-                let instance = Instance { module, names, events: Vec::new(), in_order: true };
+                let dispatcher = Dispatcher::new(settings, rng_seed);
+                let instance = Instance { dispatcher, names, events: Vec::new(), in_order: true };
                 self.instances.insert(courier, instance);
                 self.order.retain(|c| *c != courier);
                 self.order.push(courier);
@@ -242,30 +242,30 @@
         }
     }
 
-    fn instance(&mut self, courier: u64) -> Result<&mut Instance, String> {
-        self.instances.get_mut(&courier).ok_or_else(|| format!("unknown instance {courier}"))
+    fn instance(&mut self, instance_id: u64) -> Result<&mut Instance, String> {
+        self.instances.get_mut(&instance_id).ok_or_else(|| format!("unknown instance {instance_id}"))
     }
 
-    fn push(&mut self, courier: u64, event: Event) -> Result<(), String> {
-        let instance = self.instance(courier)?;
+    fn push(&mut self, instance_id: u64, event: Event) -> Result<(), String> {
+        let instance = self.instance(instance_id)?;
         instance.events.push(event);
         if !std::mem::replace(&mut instance.in_order, true) {
-            self.order.push(courier);
+            self.order.push(instance_id);
         }
         Ok(())
     }
 
     fn reply(&mut self, now: u64) -> String {
         let mut reply = String::new();
-        for courier in std::mem::take(&mut self.order) {
-            let Some(instance) = self.instances.get_mut(&courier) else {
+        for instance_id in std::mem::take(&mut self.order) {
+            let Some(instance) = self.instances.get_mut(&instance_id) else {
                 continue;
             };
             instance.in_order = false;
             let mut actions = Vec::new();
-            instance.module.on_round(now, &std::mem::take(&mut instance.events), &mut actions);
+            instance.dispatcher.on_round(now, &std::mem::take(&mut instance.events), &mut actions);
             for action in actions {
-                reply.push_str(&action_message(courier, &action).to_string());
+                reply.push_str(&action_message(instance_id, &action).to_string());
                 reply.push('\n');
             }
         }
@@ -274,32 +274,32 @@
     }
 }
 
-fn action_message(courier: u64, action: &Action) -> Value {
+fn action_message(instance_id: u64, action: &Action) -> Value {
     match action {
-        Action::Send { msg, endpoint, timeout: limit } => {
-            json!({"type": "deliver", "courier": courier, "handle": msg.0, "limit": limit, "endpoint": endpoint.0})
+        Action::Send { msg, endpoint, timeout } => {
+            json!({"type": "deliver", "courier": instance_id, "handle": msg.0, "limit": timeout, "endpoint": endpoint.0})
         }
         Action::Refuse { msg, backoff, .. } => {
-            json!({"type": "deny", "courier": courier, "handle": msg.0, "backoff": backoff})
+            json!({"type": "deny", "courier": instance_id, "handle": msg.0, "backoff": backoff})
         }
-        Action::Fail { msg } => json!({"type": "end_failed", "courier": courier, "handle": msg.0}),
+        Action::Fail { msg } => json!({"type": "end_failed", "courier": instance_id, "handle": msg.0}),
         Action::Cancel { msg, attempt } => {
-            json!({"type": "stop_attempt", "courier": courier, "handle": msg.0, "hop": attempt})
+            json!({"type": "stop_attempt", "courier": instance_id, "handle": msg.0, "hop": attempt})
         }
         Action::SetTimer { nonce, after } => {
-            json!({"type": "set_timer", "courier": courier, "nonce": nonce, "in": after})
+            json!({"type": "set_timer", "courier": instance_id, "nonce": nonce, "in": after})
         }
         Action::Probe { endpoint } => {
-            json!({"type": "health_check", "courier": courier, "endpoint": endpoint.0})
+            json!({"type": "health_check", "courier": instance_id, "endpoint": endpoint.0})
         }
         Action::CloseIdle { endpoint } => {
-            json!({"type": "disconnect", "courier": courier, "endpoint": endpoint.0})
+            json!({"type": "disconnect", "courier": instance_id, "endpoint": endpoint.0})
         }
         Action::SendToRelays { to, bytes } => {
-            json!({"type": "publish", "courier": courier, "recipient": to, "content": BASE64.encode(bytes)})
+            json!({"type": "publish", "courier": instance_id, "recipient": to, "content": BASE64.encode(bytes)})
         }
-        Action::Log { line } => json!({"type": "journal_line", "courier": courier, "line": line}),
-        Action::Subscribe { open: want } => json!({"type": "follow", "courier": courier, "want": want}),
-        Action::FetchList => json!({"type": "reload", "courier": courier}),
+        Action::Log { line } => json!({"type": "journal_line", "courier": instance_id, "line": line}),
+        Action::Subscribe { open } => json!({"type": "follow", "courier": instance_id, "want": open}),
+        Action::FetchList => json!({"type": "reload", "courier": instance_id}),
     }
 }
