--- a/relay/src/push/gateways.rs
+++ b/relay/src/push/gateways.rs
@@ -42,7 +42,7 @@
 /// Interval between maintenance runs on all connections.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The carrier of the push front: sends messages to gateways, and notices to their receiver, over pooled connections.
+/// The [`Transport`] of the push front: sends messages to gateways, and notices to their receiver, over pooled connections.
 pub struct Gateways {
     gateways: RefCell<HashMap<SocketAddr, Rc<Gateway>>>,
     notices: Cell<SocketAddr>,
